--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -214,6 +214,7 @@
     }
     duty.ring()
     mover.ring()
+    unfed = true
     news.ring()
   }
   function config(): Body | undefined {
@@ -325,14 +326,14 @@
   // --- the term ---
 
   // All sights that stand, with their age. One is alive while this node hears it, or while a core that answers tells it.
-  function allSights(): Sight[] {
+  function allSights(group?: string): Sight[] {
     const out: Sight[] = []
     const now = world.now()
     for (const [name, one] of own)
       if (now - one.at > (one.sight.leaving ? LEAVING_LIFE : ANNOUNCE_LIFE)) own.delete(name)
     for (const [name, one] of sights) {
       if (now - one.alive > ANNOUNCE_LIFE && !own.has(name)) sights.delete(name)
-      else out.push({ ...one.sight, age: now - one.at })
+      else if (group === undefined || one.sight.group === group) out.push({ ...one.sight, age: now - one.at })
     }
     return out
   }
@@ -602,8 +603,17 @@
 
   // --- the proxy ---
 
+  // fed: when the proxy was fed last. unfed: a register changed since.
+  let fed = -Infinity
+  let unfed = false
+  // Each renewal feeds as well: the loop only has to bring changes, and to go on while renewals fail.
+  async function feedIfDue(): Promise<void> {
+    if (unfed || world.now() - fed >= TERM_BEAT / 2) await feed()
+  }
   async function feed(): Promise<void> {
     const now = world.now()
+    fed = now
+    unfed = false
     if (!proxy) {
       // No proxy of this machine can be working: what is known counts as applied.
       if (now > given) for (const [key, k] of known) ackAll(key, k.value.turn)
@@ -648,6 +658,7 @@
       live: proxies(),
     }
     proxy.link.tell(word)
+    numbers.add('claynotch_agent_feeds_total')
   }
   function serveProxy(peer: Hello, link: Link) {
     if (peer.kind !== 'proxy') throw new Error(`a ${peer.kind} dialled the proxy's link`)
@@ -661,6 +672,7 @@
         throw new Error('unknown word from the proxy')
       }
       if (proxy?.link !== link) return undefined
+      numbers.add('claynotch_agent_notes_total')
       const first = proxy.note === undefined
       const before = proxy.note?.bad ?? []
       proxy.note = got.val
@@ -896,9 +908,6 @@
     else failing.delete(sum.node)
     for (const name of now) if (!before?.has(name)) return duty.ring()
   }
-  function sightList(): Sight[] {
-    return allSights()
-  }
   function termNow(): number {
     return termUntil
   }
@@ -921,14 +930,16 @@
     groups,
     cell,
     learned,
-    sights: sightList,
+    sightsOf: allSights,
     reports,
     askMembers,
     body: config,
     numbers,
   }
-  const duty = startDuty(world, view, stop)
-  const mover = startMover(world, view, stop)
+  // Only a node that serves operators is ever live() and so holds duties; on any other, a task for each group would only look.
+  const mayHoldDuties = set.http !== undefined
+  const duty = mayHoldDuties ? startDuty(world, view, stop) : { ring: nothing }
+  const mover = mayHoldDuties ? startMover(world, view, stop) : { ring: nothing }
   function coreNow(id: string): { held: Held; heard: number } | undefined {
     const c = cores.get(id)
     return c ? { held: c.held, heard: Math.max(pictures.get(id)?.heard() ?? 0, c.since) } : undefined
@@ -942,21 +953,18 @@
   function coreSetOf(): { set: CoreSet; since: number } {
     return { set: coreSet, since: coreSetSince }
   }
-  startCoreSetDuty(
-    world,
-    {
-      node: set.node,
-      proposer,
-      termUntil: dutyUntil,
-      live,
-      learned,
-      coreSet: coreSetOf,
-      core: coreNow,
-      spares,
-      mostVoters: set.mostVoters ?? VOTERS_MOST,
-    },
-    stop,
-  )
+  const coreSetView = {
+    node: set.node,
+    proposer,
+    termUntil: dutyUntil,
+    live,
+    learned,
+    coreSet: coreSetOf,
+    core: coreNow,
+    spares,
+    mostVoters: set.mostVoters ?? VOTERS_MOST,
+  }
+  if (mayHoldDuties) startCoreSetDuty(world, coreSetView, stop)
   const peers = await startPeers(world, set.peer, stop, peerList, { all: sayAll, seenFor }, numbers, heardPeer)
 
   // Undefined: no majority of cores answered.
@@ -982,17 +990,16 @@
     const lags = new Map(proxy?.note?.lags ?? [])
     for (const g of groups()) {
       const instances: unknown[] = []
-      for (const s of allSights())
-        if (s.group === g)
-          instances.push({
-            name: s.name,
-            addr: s.addr,
-            area: s.area,
-            role: s.role,
-            leaving: s.leaving,
-            age: Math.round(s.age),
-            lag: lags.get(s.name),
-          })
+      for (const s of allSights(g))
+        instances.push({
+          name: s.name,
+          addr: s.addr,
+          area: s.area,
+          role: s.role,
+          leaving: s.leaving,
+          age: Math.round(s.age),
+          lag: lags.get(s.name),
+        })
       out.push({ name: g, record: cell(groupKey(g))?.body ?? null, instances })
     }
     return out
@@ -1141,7 +1148,7 @@
   async function catchUpIfNeeded(): Promise<void> {
     if (registers.wants()) await catchUp()
   }
-  void loop(world, 'feed', TERM_BEAT, stop, feed, news)
+  void loop(world, 'feed', TERM_BEAT, stop, feedIfDue, news)
   void loop(world, 'slot', TERM_BEAT, stop, holdSlot, news)
   world.log.info('agent-started', { node: set.node, area: set.area, http: set.http ?? 'none' })
 
--- a/packages/duty/src/duty.ts
+++ b/packages/duty/src/duty.ts
@@ -54,7 +54,8 @@
   groups: () => string[]
   cell: (key: string) => Value | undefined
   learned: (key: string, value: Value, ballot: [number, string]) => void
-  sights: () => Sight[]
+  // What is known of the group's instances.
+  sightsOf: (group: string) => Sight[]
   // What the nodes that have a proxy told last.
   reports: () => Report[]
   // A majority's word on the members; undefined without a majority.
@@ -192,8 +193,8 @@
   return false
 }
 
-export function addrIn(view: Pick<DutyView, 'sights'>, group: string, name: string, recorded: string): string {
-  for (const s of view.sights()) if (s.name === name && s.group === group) return s.addr
+export function addrIn(view: Pick<DutyView, 'sightsOf'>, group: string, name: string, recorded: string): string {
+  for (const s of view.sightsOf(group)) if (s.name === name) return s.addr
   return recorded
 }
 
@@ -243,9 +244,7 @@
     return won
   }
   function sightsHere(): Sight[] {
-    const out: Sight[] = []
-    for (const s of view.sights()) if (s.group === group) out.push(s)
-    return out
+    return view.sightsOf(group)
   }
   function sightOf(name: string): Sight | undefined {
     for (const s of sightsHere()) if (s.name === name) return s
--- a/packages/duty/src/move.ts
+++ b/packages/duty/src/move.ts
@@ -95,7 +95,7 @@
     if (!head) return false
     if (mark && (head.source?.group !== move.from || compareMarks(head.source.mark, mark) < 0)) return false
     const rest: { name: string; addr: string }[] = []
-    for (const s of view.sights()) if (s.group === move.to && s.name !== head.name && !s.leaving) rest.push(s)
+    for (const s of view.sightsOf(move.to)) if (s.name !== head.name && !s.leaving) rest.push(s)
     if (rest.length === 0) return true
     async function has(s: { name: string; addr: string }): Promise<boolean> {
       const got = await view.instance.status(world, { ...s, group: move.to }, SAMPLE_LIMIT)
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -7,6 +7,7 @@
   LINE_GRACE,
   makeFlag,
   makeMetrics,
+  makeSignal,
   NOTE_BEAT,
   NOTICE,
   pause,
@@ -130,9 +131,23 @@
     for (const name of waits.keys()) if (!watch.get(name)) waits.delete(name)
     return out
   }
+  // isAckAwaited: a turn is known here that is not applied in full yet.
+  let isAckAwaited = false
+  // Whether a turn was acknowledged that was not before.
+  function acknowledge(): boolean {
+    let isNew = false
+    isAckAwaited = false
+    for (const [key, turn] of state.turns()) {
+      if ((acked.get(key) ?? 0) >= turn) continue
+      if (applied(key, turn)) {
+        acked.set(key, turn)
+        isNew = true
+      } else isAckAwaited = true
+    }
+    return isNew
+  }
   function note(): void {
-    for (const [key, turn] of state.turns())
-      if ((acked.get(key) ?? 0) < turn && applied(key, turn)) acked.set(key, turn)
+    acknowledge()
     const highs: [string, number, number][] = []
     for (const [g, m] of runner.highs()) highs.push([g, m.epoch, m.position])
     const seen: [string, number][] = []
@@ -179,11 +194,17 @@
       throw new Error('unknown word from the agent')
     }
     state.take(got.val)
-    note()
+    if (acknowledge()) note()
     return undefined
   }
   const agent = holdLink(world, set.agent, hello('proxy', life), take, stop, note)
-  void loop(world, 'note', NOTE_BEAT, stop, note, runner.quiet)
+  // The end of a write or a transaction is worth a note only where an acknowledgement waits for it.
+  const mayAck = makeSignal()
+  runner.quiet.watch(ringIfAwaited)
+  function ringIfAwaited(): void {
+    if (isAckAwaited) mayAck.ring()
+  }
+  void loop(world, 'note', NOTE_BEAT, stop, note, mayAck)
   // That an instance begins to fail is told at once.
   let failing = new Set<string>()
   function tellTrouble(): void {
--- a/packages/register/src/core.ts
+++ b/packages/register/src/core.ts
@@ -81,7 +81,7 @@
   const settled = new Map<string, Ballot>()
   const pushes = makePushes(store, chains, isSettled, numbers)
 
-  const renewals = makeRenewals(world, terms, keyLines)
+  const renewals = makeRenewals(world, terms, keyLines, numbers)
   const handover = makeHandover(world, store, isSettled, learn, numbers)
 
   const findings = await store.open()
--- a/packages/register/src/renewals.ts
+++ b/packages/register/src/renewals.ts
@@ -1,31 +1,42 @@
-import type { World } from '@claynotch/base'
+import type { Metrics, World } from '@claynotch/base'
 import { makeTable } from './changes.js'
 import type { Terms } from './terms.js'
-import type { KeyLine, MemberLine, Renew, RenewAnswer, Sight } from './words.js'
+import { signSight, type KeyLine, type MemberLine, type Renew, type RenewAnswer, type Sight } from './words.js'
 
 /** Answers renewals of leases, each with what changed since the last one that its sender has an answer to. */
 export type Renewals = { answer: (renewal: Renew) => RenewAnswer }
 
 /** keyLines: what this core holds of each register now. */
-export function makeRenewals(world: World, terms: Terms, keyLines: () => KeyLine[]): Renewals {
+export function makeRenewals(world: World, terms: Terms, keyLines: () => KeyLine[], metrics: Metrics): Renewals {
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
   const count = { at: 0 }
   const keyTable = makeTable(count, signKey)
   const memberTable = makeTable(count, signMember)
   const sightTable = makeTable(count, signSight)
 
+  // tallied: the revision of members and instances that the tables hold; they are walked only where it changed.
+  let tallied = -1
   function tally(): void {
     const keys = new Map<string, KeyLine>()
     for (const line of keyLines()) keys.set(line.key, line)
+    keyTable.update(keys)
+    const revision = terms.revision()
+    if (revision === tallied) return
+    tallied = revision
+    metrics.add('claynotch_core_tallies_total')
     const members = new Map<string, MemberLine>()
-    for (const { node, life: its, area, addr, operator, build, proxy, core } of terms.members())
-      members.set(node, { node, life: its, area, addr, operator, build, proxy, ...(core ? { core } : {}) })
+    for (const line of terms.memberLines()) members.set(line.node, line)
     const sights = new Map<string, Sight>()
     for (const sight of terms.sights()) sights.set(sight.name, sight)
-    keyTable.update(keys)
     memberTable.update(members)
     sightTable.update(sights)
   }
+  // As they are now, with their age: the table's may be older, and say the same.
+  function sightsNow(lines: Sight[]): Sight[] {
+    const out: Sight[] = []
+    for (const line of lines) out.push(terms.sight(line.name) ?? line)
+    return out
+  }
   function answer(renewal: Renew): RenewAnswer {
     const end = terms.renew(renewal)
     if (end !== 'held') return { ok: false, [end]: true }
@@ -43,7 +54,7 @@
       count: count.at,
       ...(keys.length > 0 ? { keys } : {}),
       ...(members.lines.length > 0 ? { members: members.lines } : {}),
-      ...(sights.lines.length > 0 ? { sights: sights.lines } : {}),
+      ...(sights.lines.length > 0 ? { sights: sightsNow(sights.lines) } : {}),
       ...(members.gone.length > 0 ? { left: members.gone } : {}),
       ...(sights.gone.length > 0 ? { lost: sights.gone } : {}),
     }
@@ -57,7 +68,3 @@
 function signMember(line: MemberLine): string {
   return `${line.life} ${line.area} ${line.addr} ${line.operator} ${line.build} ${line.proxy} ${line.core?.token}`
 }
-// Not its age, nor how far its instance has counted: an instance that only says the same again has not changed.
-function signSight(sight: Sight): string {
-  return `${sight.group} ${sight.addr} ${sight.area} ${sight.role} ${sight.leaving}`
-}
--- a/packages/register/src/terms.ts
+++ b/packages/register/src/terms.ts
@@ -1,5 +1,5 @@
 import { ANNOUNCE_LIFE, LEAVING_LIFE, TERM, TERM_SLACK, type World } from '@claynotch/base'
-import { laterSight, type Member, type Renew, type Self, type Sight } from './words.js'
+import { laterSight, signSight, type Member, type MemberLine, type Renew, type Self, type Sight } from './words.js'
 
 // Terms held at this core, in memory only.
 // Invariants: a term ends here later than at its holder (the holder counts from before it asked);
@@ -21,7 +21,16 @@
   leave: (node: string, life: string) => void
   ack: (node: string, key: string, turn: number) => void
   members: () => Member[]
+  /** What every agent is told of the members. */
+  memberLines: () => MemberLine[]
   sights: () => Sight[]
+  /** One of them, with its age as of now. */
+  sight: (name: string) => Sight | undefined
+  /**
+   * Grows whenever memberLines() or what sights() says of an instance changes; an instance that only says the same again has
+   * not changed.
+   */
+  revision: () => number
   sure: () => boolean
   // From now on others may have counted terms here that this core does not know: it has just begun to vote.
   doubt: () => void
@@ -31,10 +40,26 @@
   let start = world.now()
   const terms = new Map<string, Term>()
   const seen = new Map<string, { sight: Sight; at: number }>()
+  let revision = 0
 
   function see(s: Sight, now: number): void {
-    const at = now - s.age
-    seen.set(s.name, laterSight(seen.get(s.name), s, at))
+    const old = seen.get(s.name)
+    const next = laterSight(old, s, now - s.age)
+    seen.set(s.name, next)
+    if (!old || signSight(old.sight) !== signSight(next.sight)) revision++
+  }
+  function expire(): void {
+    const now = world.now()
+    for (const [node, one] of terms) {
+      if (one.until > now) continue
+      terms.delete(node)
+      revision++
+    }
+    for (const [name, one] of seen) {
+      if (now - one.at <= (one.sight.leaving ? LEAVING_LIFE : ANNOUNCE_LIFE)) continue
+      seen.delete(name)
+      revision++
+    }
   }
   // replaced: another life of the same node has taken the term over. unknown: no Self of this life was told here.
   function renew(r: Renew): 'held' | 'replaced' | 'unknown' {
@@ -53,47 +78,60 @@
       const high = highs.get(group)
       if (!high || epoch > high[0] || (epoch === high[0] && position > high[1])) highs.set(group, [epoch, position])
     }
+    if (!same || r.self) revision++
     terms.set(r.node, { until: now + TERM + TERM_SLACK, life: r.life, self, open: r.open, acks, highs, past })
     for (const s of r.sights) see(s, now)
     return 'held'
   }
   function leave(node: string, life: string): void {
     const old = terms.get(node)
-    if (old && old.life === life) terms.delete(node)
+    if (!old || old.life !== life) return
+    terms.delete(node)
+    revision++
   }
   function ack(node: string, key: string, turn: number): void {
     const one = terms.get(node)
     if (one) one.acks.set(key, Math.max(turn, one.acks.get(key) ?? 0))
   }
   function members(): Member[] {
-    const now = world.now()
+    expire()
     const out: Member[] = []
     for (const [node, one] of terms) {
-      if (one.until <= now) {
-        terms.delete(node)
-        continue
-      }
       const highs: [string, number, number][] = []
       for (const [group, [epoch, position]] of one.highs) highs.push([group, epoch, position])
       out.push({ node, life: one.life, ...one.self, open: one.open, acks: [...one.acks], highs })
     }
     return out
   }
+  function memberLines(): MemberLine[] {
+    expire()
+    const out: MemberLine[] = []
+    for (const [node, { life, self }] of terms) {
+      const { area, addr, operator, build, proxy, core } = self
+      out.push({ node, life, area, addr, operator, build, proxy, ...(core ? { core } : {}) })
+    }
+    return out
+  }
   function sights(): Sight[] {
+    expire()
     const now = world.now()
     const out: Sight[] = []
-    for (const [name, one] of seen) {
-      const age = now - one.at
-      if (age > (one.sight.leaving ? LEAVING_LIFE : ANNOUNCE_LIFE)) seen.delete(name)
-      else out.push({ ...one.sight, age })
-    }
+    for (const one of seen.values()) out.push({ ...one.sight, age: now - one.at })
     return out
   }
+  function sight(name: string): Sight | undefined {
+    const one = seen.get(name)
+    return one && { ...one.sight, age: world.now() - one.at }
+  }
+  function revisionNow(): number {
+    expire()
+    return revision
+  }
   function sure(): boolean {
     return world.now() - start > TERM + TERM_SLACK
   }
   function doubt(): void {
     start = world.now()
   }
-  return { renew, leave, ack, members, sights, sure, doubt }
+  return { renew, leave, ack, members, memberLines, sights, sight, revision: revisionNow, sure, doubt }
 }
--- a/packages/register/src/words.ts
+++ b/packages/register/src/words.ts
@@ -159,6 +159,10 @@
   if (a.sequence === undefined || b.sequence === undefined || a.sequence === b.sequence) return bAt > aAt
   return a.addr === b.addr && Math.abs(bAt - aAt) < LATE_CALL ? b.sequence > a.sequence : bAt > aAt
 }
+/** What an instance says, as text; neither the sight's age nor how far the instance has counted. */
+export function signSight(sight: Sight): string {
+  return `${sight.group} ${sight.addr} ${sight.area} ${sight.role} ${sight.leaving}`
+}
 // Of two sights of one instance the later, with the earliest notice of either.
 export function laterSight(
   old: { sight: Sight; at: number } | undefined,
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -964,4 +964,25 @@
       ['register/dist/coreset.js', 'set.next === undefined ? [set.cores] : [set.cores, set.next]', '[set.cores]'],
     ],
   },
+  {
+    name: 'note-each-write',
+    rule: 'what a node does beside the calls stays on its beats',
+    test: 'cost.test.js',
+    seeds: [1, 1],
+    edits: [['proxy/dist/proxy.js', 'if (isAckAwaited)', 'if (true)']],
+  },
+  {
+    name: 'tally-always',
+    rule: 'a core walks its tables only when something changed',
+    test: 'cost.test.js',
+    seeds: [1, 1],
+    edits: [['register/dist/renewals.js', 'if (revision === tallied)', 'if (false)']],
+  },
+  {
+    name: 'duties-everywhere',
+    rule: 'an agent that can hold no duty has no task for each group',
+    test: 'cost.test.js',
+    seeds: [1, 1],
+    edits: [['agent/dist/agent.js', 'const mayHoldDuties = set.http !== undefined;', 'const mayHoldDuties = true;']],
+  },
 ]
