--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -189,6 +189,8 @@
     const rules = state.rules()
     if (!rules) return refusal('UNAVAILABLE', 'no configuration is known here', true, AFTER_MOVE)
     const lane = call.find(rules)
+    // Without a valid term a later configuration may have the lane again.
+    if (!lane && !state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, AFTER_MOVE)
     if (!lane) return { ...refusal('NOT_FOUND', `the lane ${call.lane.name} was dropped`, false), lacks: 'lane' }
     give(call)
     if (lane.group !== call.lane.group) {
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -115,10 +115,11 @@
     for (const p of list ?? []) out.push([p.name, p.value])
     return out
   }
+  // That a lane isn't there is said under a valid term alone: without one it may have been added since.
   function noLane(name: string): Verdict {
-    return state.rules()
-      ? { ...refusal('NOT_FOUND', `no lane is named ${name}`, false), lacks: 'lane' }
-      : refusal('UNAVAILABLE', 'no configuration is known here yet', true, AFTER_MOVE)
+    if (!state.rules()) return refusal('UNAVAILABLE', 'no configuration is known here yet', true, AFTER_MOVE)
+    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, AFTER_MOVE)
+    return { ...refusal('NOT_FOUND', `no lane is named ${name}`, false), lacks: 'lane' }
   }
   function teamCount(team: string, by: number): void {
     counts.set(team, (counts.get(team) ?? 0) + by)
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -985,4 +985,14 @@
     seeds: [1, 1],
     edits: [['agent/dist/agent.js', 'const mayHoldDuties = set.http !== undefined;', 'const mayHoldDuties = true;']],
   },
+  {
+    name: 'no-lane-without-term',
+    rule: 'a lane that was added and acknowledged is refused as unknown',
+    test: 'noroute.test.js',
+    seeds: [1, 1],
+    edits: [
+      ['proxy/dist/sessions.js', 'if (!state.valid())', 'if (false)'],
+      ['proxy/dist/interpret.js', 'if (!lane && !state.valid())', 'if (false)'],
+    ],
+  },
 ]
