--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,6 +1,7 @@
 import {
   DELTA_EPOCH,
   LEAVE_LIMIT,
+  MEMBER_SOURCES,
   NOTE_BEAT,
   answerLinks,
   hello,
@@ -91,6 +92,7 @@
 } from '@claynotch/register'
 import { readCoreStatus } from './corestatus.js'
 import { startCoreSetDuty } from './coreset.js'
+import { makeMemberSources, type Candidate } from './member-sources.js'
 import { makeRegisters } from './registers.js'
 import { ownEdges, type AgentEdges, type Desk } from './seam.js'
 import { makeSubscription, type Source } from './subscription.js'
@@ -161,6 +163,8 @@
   const told = new Map<string, Told>()
   const telling = makeTelling(world)
   let members: MemberLine[] = []
+  // memberSources: the cores that tell this node of members; all of them tell of everything else.
+  const memberSources = makeMemberSources(world, set.node, set.http === undefined ? MEMBER_SOURCES : Infinity)
   // termed: a majority has renewed this life's term before.
   let termUntil = 0
   // current: all that a majority showed since this life, or its last long silence, began is known here; no duty is held before.
@@ -389,6 +393,7 @@
       open: proxy?.note?.open ?? 0,
       highs,
       remembers: known.size > 0,
+      ...(memberSources.has(id) ? {} : { brief: true }),
       ...(has?.self === selfText ? {} : { self }),
     }
     function keep(): void {
@@ -448,6 +453,8 @@
       whole.keep()
       return again.val
     }
+    // What one told of members before, or didn't, doesn't fit what it tells now.
+    for (const id of memberSources.choose(candidates())) pictures.get(id)?.reset()
     const asks: { id: string; got: Promise<RenewAnswer | undefined> }[] = []
     for (const [id, { held }] of cores) asks.push({ id, got: ask(id, held, pictures.get(id)!) })
     function isOk(a: RenewAnswer | undefined): boolean {
@@ -492,17 +499,28 @@
     const tables = new Map<string, Map<string, KeyLine>>()
     for (const id of good) {
       const picture = pictures.get(id)!
-      for (const [node, one] of picture.members())
-        if (one.at > (byNode.get(node)?.at ?? -Infinity)) byNode.set(node, one)
+      if (memberSources.has(id))
+        for (const [node, one] of picture.members())
+          if (one.at > (byNode.get(node)?.at ?? -Infinity)) byNode.set(node, one)
       tables.set(id, picture.keys())
     }
-    members = []
-    for (const one of byNode.values()) members.push(one.line)
+    // Those who tell of members may not be among the first to answer: what they told before stands until they do.
+    if (byNode.size > 0) {
+      members = []
+      for (const one of byNode.values()) members.push(one.line)
+      numbers.set('claynotch_agent_members', [], members.length)
+    }
     mergeSights()
     registers.shown(tables, quorum(), from)
     judgeCurrent()
     void subscription.choose(sources(), coreSet.epoch)
   }
+  function candidates(): Candidate[] {
+    const out: Candidate[] = []
+    for (const [id, { held, since }] of cores)
+      out.push({ id, isUp: held.up(), heard: Math.max(since, pictures.get(id)?.heard() ?? 0) })
+    return out
+  }
   // The cores as places to take pushes from.
   function sources(): Source[] {
     const areas = new Map<string, string>()
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -9,6 +9,7 @@
   type World,
 } from '@claynotch/base'
 import { compareBallots, type Ballot, type KeyLine } from '@claynotch/register'
+import { spread } from './spread.js'
 
 /**
  * The one core whose pushes this node takes: of its own area where one votes there, else any that answers.
@@ -35,13 +36,6 @@
   at: () => string | undefined
 }
 
-/** The order in which a node would take cores of the same worth: another for each node, so that the load is spread. */
-function spread(node: string, id: string): number {
-  let sum = 2166136261
-  for (const c of `${node} ${id}`) sum = Math.imul(sum ^ c.charCodeAt(0), 16777619)
-  return sum >>> 0
-}
-
 export function makeSubscription(
   world: World,
   node: string,
--- a/packages/base/src/constants.ts
+++ b/packages/base/src/constants.ts
@@ -58,6 +58,11 @@
 export const SUBSCRIBED_BEHIND = 2
 // ms. A core that was left, or refused, isn't subscribed at again for this long, so that nobody goes to and fro.
 export const SUBSCRIBE_PAUSE = 5000
+// count. Cores that tell a node without duties of the members: one, and one that may be lost. Each line of a member goes to
+// each node from each of them, so that with all nine a fleet of 85 nodes tells 100 MB while it starts.
+export const MEMBER_SOURCES = 2
+// ms. A core that tells of members and was not heard for this long is left for another: two renewals.
+export const MEMBER_SOURCE_QUIET = 1300
 // bytes. A data file is rewritten when longer than this and than REWRITE_RATIO times what lives in it.
 export const REWRITE_FLOOR = 1024 * 1024
 // ratio. See REWRITE_FLOOR; 4 keeps the mean cost of rewriting under a third of appending.
--- a/packages/register/src/renewals.ts
+++ b/packages/register/src/renewals.ts
@@ -6,6 +6,8 @@
 /** Answers renewals of leases, each with what changed since the last one that its sender has an answer to. */
 export type Renewals = { answer: (renewal: Renew) => RenewAnswer }
 
+const NO_LINES: { lines: MemberLine[]; gone: string[] } = { lines: [], gone: [] }
+
 /** keyLines: what this core holds of each register now. */
 export function makeRenewals(world: World, terms: Terms, keyLines: () => KeyLine[], metrics: Metrics): Renewals {
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
@@ -44,8 +46,9 @@
     const whole = renewal.core !== life || renewal.count < Math.max(memberTable.least(), sightTable.least())
     const since = whole ? 0 : renewal.count
     const keys = keyTable.since(since).lines
-    const members = memberTable.since(since)
+    const members = renewal.brief === true ? NO_LINES : memberTable.since(since)
     const sights = sightTable.since(since)
+    metrics.add('claynotch_core_member_lines_total', [], members.lines.length)
     return {
       ok: true,
       sure: terms.sure(),
--- a/packages/register/src/words.ts
+++ b/packages/register/src/words.ts
@@ -49,7 +49,8 @@
     // remembers: this node knows settled registers, so the set was founded once.
     remembers: t.boolean,
   }),
-  t.partial({ self: Self, epoch: t.number }),
+  // brief: the sender takes the lines of members from other cores, and needs none from this one.
+  t.partial({ self: Self, epoch: t.number, brief: t.boolean }),
 ])
 export type Renew = t.TypeOf<typeof Renew>
 
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -995,4 +995,20 @@
       ['proxy/dist/interpret.js', 'if (!lane && !state.valid())', 'if (false)'],
     ],
   },
+  {
+    name: 'members-from-all',
+    rule: 'what a fleet tells of its members while it starts grows with the square of its nodes, not nine times that',
+    test: 'members.test.js',
+    seeds: [1, 1],
+    edits: [['agent/dist/agent.js', 'set.http === undefined ? MEMBER_SOURCES : Infinity', 'Infinity']],
+  },
+  {
+    name: 'member-sources-stay',
+    rule: 'a node goes on knowing the members when the cores that told it are gone',
+    test: 'members.test.js',
+    seeds: [1, 1],
+    edits: [
+      ['agent/dist/member-sources.js', 'candidate.isUp && world.now() - candidate.heard <= MEMBER_SOURCE_QUIET', 'true'],
+    ],
+  },
 ]
