--- a/packages/agent/src/seam.ts
+++ b/packages/agent/src/adapter.ts
@@ -1,28 +1,28 @@
 import {
-  OPERATOR_BODY_LIMIT,
-  serve,
-  type Addr,
-  type Ask,
+  OPERATOR_BODY_LIMIT_BYTES,
+  serveHttp,
+  type Address,
+  type HttpRequest,
   type Metrics,
-  type Reply,
-  type Serving,
+  type HttpResponse,
+  type HttpListener,
   type World,
 } from '@claynotch/base'
 import { promote, takeProbe, type PromotionEdge } from '@claynotch/host'
-import { httpInstance, takeAnnouncement, type Announcement, type InstanceEdge } from '@claynotch/instance'
+import { httpInstance, takeAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
 import type { Body, Change, Verdict } from '@claynotch/operator'
 import type { CoreSet } from '@claynotch/register'
 
 // What operators, instances and probes may have of an agent, whatever they speak.
-export type Desk = {
-  numbers: Metrics
+export type ControlService = {
+  metrics: Metrics
   // An instance's word of itself; false: not kept, as too many are known.
-  heard: (a: Announcement) => boolean
+  heardInstance: (a: Announcement) => boolean
   // An instance's last word, where it tells its name alone; false: not known here.
-  left: (name: string) => boolean
+  instanceLeft: (name: string) => boolean
   // Why an instance's word that was heard here can't be acknowledged; undefined, within CHANGE_ANSWER: a majority of the
   // cores has it.
-  untold: (name: string) => Promise<string | undefined>
+  reportFailure: (name: string) => Promise<string | undefined>
   // One numbered change, decided at the cores, or unclear, after CHANGE_ANSWER at most. stream: a digest of all that it is, so
   // that under one number there is one change alone.
   change: (stream: string, change: Change) => Promise<Verdict>
@@ -33,32 +33,32 @@
   // Why this node is not ready, if so.
   ready: () => string | undefined
   // Our own operators' calls.
-  operator: { take: (ask: Ask) => Promise<Reply | undefined>; raw: (path: string) => boolean }
+  operator: { take: (ask: HttpRequest) => Promise<HttpResponse | undefined>; raw: (path: string) => boolean }
 }
-export type ControlEdge = (world: World, addr: Addr, desk: Desk) => Promise<Serving>
+export type ControlAdapter = (world: World, addr: Address, desk: ControlService) => Promise<HttpListener>
 
 // How an agent speaks with its peers, chosen when the process starts.
-export type AgentEdges = { instance: InstanceEdge; promotion: PromotionEdge; control: ControlEdge }
+export type AgentAdapters = { instance: InstanceAdapter; promotion: PromotionEdge; control: ControlAdapter }
 
 // Where nodes that look for the cores are answered.
-export function takeSeeds(ask: Ask, { epoch, ...set }: CoreSet): Reply | undefined {
+export function answerSeeds(ask: HttpRequest, { epoch, ...set }: CoreSet): HttpResponse | undefined {
   if (ask.path !== '/seeds') return undefined
   return set.cores.length > 0
     ? { status: 200, body: { ...set, ...(epoch > 0 ? { epoch } : {}) } }
     : { status: 503, body: { cores: [] }, after: 1 }
 }
 
-function httpControl(world: World, addr: Addr, desk: Desk): Promise<Serving> {
+function httpControl(world: World, addr: Address, desk: ControlService): Promise<HttpListener> {
   async function announced(a: Announcement): Promise<string | undefined> {
-    return desk.heard(a) ? await desk.untold(a.name) : 'too many instances are known'
+    return desk.heardInstance(a) ? await desk.reportFailure(a.name) : 'too many instances are known'
   }
-  async function handle(ask: Ask): Promise<Reply | undefined> {
-    const first = takeProbe(ask, desk) ?? takeSeeds(ask, desk.coreSet())
+  async function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
+    const first = takeProbe(ask, desk) ?? answerSeeds(ask, desk.coreSet())
     if (first) return first
     if (ask.path === '/announcement') return await takeAnnouncement(ask, announced)
     return await desk.operator.take(ask)
   }
-  return serve(world, addr, handle, { raw: desk.operator.raw, limit: OPERATOR_BODY_LIMIT })
+  return serveHttp(world, addr, handle, { raw: desk.operator.raw, limit: OPERATOR_BODY_LIMIT_BYTES })
 }
 
-export const ownEdges: AgentEdges = { instance: httpInstance, promotion: promote, control: httpControl }
+export const ownAdapters: AgentAdapters = { instance: httpInstance, promotion: promote, control: httpControl }
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,42 +1,42 @@
 import {
-  DELTA_EPOCH,
-  LEAVE_LIMIT,
-  MEMBER_SOURCES,
-  NOTE_BEAT,
-  answerLinks,
-  hello,
-  holdLink,
+  DELTA_LINK_VERSION,
+  SHUTDOWN_TIMEOUT_MS,
+  MEMBER_SOURCE_COUNT,
+  PROXY_REPORT_INTERVAL_MS,
+  acceptLinks,
+  makeHello,
+  makePersistentLink,
   loop,
   makeSignal,
   makeFlag,
   makeMetrics,
-  nothing,
+  noop,
   pause,
   readAs,
-  RENEW_WAIT,
-  ROUND_LIFE,
-  SUSPECT,
-  TERM,
-  TERM_BEAT,
-  TERM_SLACK,
-  CHANGE_ANSWER,
-  LATE,
-  SAMPLE_LIMIT,
-  SIGHTS_KEPT,
-  SUMMARY_EPOCH,
-  VOTERS_MOST,
-  within,
-  ANNOUNCE_LIFE,
-  LEAVING_LIFE,
-  type Addr,
+  LEASE_RENEWAL_TIMEOUT_MS,
+  ROUND_TIMEOUT_MS,
+  SUSPICION_TIMEOUT_MS,
+  LEASE_DURATION_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
+  LEASE_CLOCK_SLACK_MS,
+  CHANGE_ANSWER_TIMEOUT_MS,
+  TIMED_OUT,
+  SAMPLE_TIMEOUT_MS,
+  MAX_KNOWN_INSTANCES,
+  SUMMARY_VERSION,
+  MAX_VOTERS,
+  withTimeout,
+  ANNOUNCEMENT_LIFETIME_MS,
+  LEAVING_LIFETIME_MS,
+  type Address,
   type Finding,
-  type Held,
+  type PersistentLink,
   type Hello,
   type Link,
   type Metrics,
   type World,
 } from '@claynotch/base'
-import { holderOf, startDuty, startMover, type Report } from '@claynotch/duty'
+import { holderOf, startFailover, startRouteMoves, type InstanceObservations } from '@claynotch/duty'
 import type { Announcement } from '@claynotch/instance'
 import {
   CONFIG_KEY,
@@ -59,44 +59,44 @@
   askSeeds,
   CoreSet,
   CORESET_KEY,
-  gather,
+  gatherQuorum,
   NO_SET,
   quorumOf,
   votersOf,
   groupKey,
-  laterSight,
-  makePicture,
+  laterStatus,
+  makeCoreView,
   makeProposer,
   MembersAnswer,
-  Note,
-  Push,
-  RenewAnswer,
-  slotOf,
-  SLOTS_KEY,
-  type Answer,
+  ProxyReport,
+  RegisterPush,
+  LeaseRenewalAnswer,
+  shareOf,
+  SHARES_KEY,
+  type VoterAnswer,
   type CorePlace,
-  type FedCell,
-  type Feed,
+  type FedEntry,
+  type AgentFeed,
   type GroupRecord,
   type Member,
-  type MemberLine,
-  type Picture,
+  type MemberEntry,
+  type CoreView,
   type HeldValue,
-  type KeyLine,
+  type RegisterSummary,
   type Quorum,
-  type Settled,
-  type Sight,
-  type Slots,
-  type Value,
+  type Committed,
+  type InstanceStatus,
+  type ConnectionShares,
+  type RegisterValue,
   type Voter,
 } from '@claynotch/register'
-import { readCoreStatus } from './corestatus.js'
-import { startCoreSetDuty } from './coreset.js'
+import { readCoreStatus } from './core-status.js'
+import { startCoreSetDuty } from './core-set-duty.js'
 import { makeMemberSources, type Candidate } from './member-sources.js'
-import { makeRegisters } from './registers.js'
-import { ownEdges, type AgentEdges, type Desk } from './seam.js'
-import { makeSubscription, type Source } from './subscription.js'
-import { makeTelling } from './telling.js'
+import { makeRegisterCache } from './register-cache.js'
+import { ownAdapters, type AgentAdapters, type ControlService } from './adapter.js'
+import { makeSubscription, type SubscriptionSource } from './subscription.js'
+import { makeInstanceReports } from './instance-reports.js'
 
 // link: where the proxy of this machine finds its agent; none: it has no proxy. peer: UDP, for summaries. http: operators,
 // instances, the platform, and nodes that look for the cores; none: it serves none of them and holds no duties. seeds: http
@@ -106,14 +106,14 @@
 export type AgentSettings = {
   node: string
   area: string
-  link?: Addr
-  peer: Addr
-  http?: Addr
-  seeds: Addr[]
+  link?: Address
+  peer: Address
+  http?: Address
+  seeds: Address[]
   coreSet?: () => CoreSet
   core?: { place: () => CorePlace; adopt: (next: CoreSet) => Promise<void> }
   mostVoters?: number
-  platform?: Addr
+  platform?: Address
   operators?: Credential[]
   build: string
   suspect?: number
@@ -124,31 +124,31 @@
 
 export type Agent = {
   stop: () => Promise<void>
-  numbers: Metrics
-  termUntil: () => number
-  cell: (key: string) => Value | undefined
-  apply: (next: { seeds: Addr[]; platform: Addr | undefined; operators: Credential[] | undefined }) => void
+  metrics: Metrics
+  leaseExpiresAt: () => number
+  register: (key: string) => RegisterValue | undefined
+  apply: (next: { seeds: Address[]; platform: Address | undefined; operators: Credential[] | undefined }) => void
 }
 
 // What a life of a core has of this agent. self: what this machine told of itself, as text. sights: all own sights heard
 // before this time.
 type Told = { core: string; self: string; acks: Map<string, number>; highs: Map<string, string>; sights: number }
 
-function speaksDeltas(held: Held): () => boolean {
+function speaksDeltas(held: PersistentLink): () => boolean {
   function speaks(): boolean {
-    return (held.peer()?.epoch ?? 0) >= DELTA_EPOCH
+    return (held.peer()?.epoch ?? 0) >= DELTA_LINK_VERSION
   }
   return speaks
 }
 
-export async function startAgent(world: World, set: AgentSettings, edges: AgentEdges = ownEdges): Promise<Agent> {
+export async function startAgent(world: World, set: AgentSettings, edges: AgentAdapters = ownAdapters): Promise<Agent> {
   const stop = makeFlag()
-  const numbers = makeMetrics()
+  const metrics = makeMetrics()
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
   const born = world.now()
-  const mine = hello('agent', set.node)
+  const mine = makeHello('agent', set.node)
   // cores: whoever votes in coreSet, all of them and nobody else; since: when this node learnt that it votes.
-  const cores = new Map<string, { held: Held; addr: Addr; since: number; end: () => void }>()
+  const cores = new Map<string, { held: PersistentLink; addr: Address; since: number; end: () => void }>()
   let coreSet: CoreSet = NO_SET
   let coreSetSince = 0
   const news = makeSignal()
@@ -156,15 +156,15 @@
   const linked = makeSignal()
   // own: what instances told this node itself. sights: that and what the cores tell, with the last time at which
   // someone knew it to be alive.
-  const own = new Map<string, { sight: Sight; at: number }>()
-  const sights = new Map<string, { sight: Sight; at: number; alive: number }>()
+  const own = new Map<string, { sight: InstanceStatus; at: number }>()
+  const sights = new Map<string, { sight: InstanceStatus; at: number; alive: number }>()
   // pictures: what each core told of itself so far. told: what each core has of us, by the core's life.
-  const pictures = new Map<string, Picture>()
+  const coreViews = new Map<string, CoreView>()
   const told = new Map<string, Told>()
-  const telling = makeTelling(world)
-  let members: MemberLine[] = []
+  const telling = makeInstanceReports(world)
+  let members: MemberEntry[] = []
   // memberSources: the cores that tell this node of members; all of them tell of everything else.
-  const memberSources = makeMemberSources(world, set.node, set.http === undefined ? MEMBER_SOURCES : Infinity)
+  const memberSources = makeMemberSources(world, set.node, set.http === undefined ? MEMBER_SOURCE_COUNT : Infinity)
   // termed: a majority has renewed this life's term before.
   let termUntil = 0
   // current: all that a majority showed since this life, or its last long silence, began is known here; no duty is held before.
@@ -174,8 +174,8 @@
   // proxy: the one linked now. given: the latest time up to which any proxy of this machine may hold a term;
   // an agent that has just started may have a predecessor's word out for one whole term.
   // at: when the note came.
-  let proxy: { link: Link; sent: Map<string, number>; note: Note | undefined; at: number } | undefined
-  let given = set.link === undefined ? 0 : born + TERM
+  let proxy: { link: Link; sent: Map<string, number>; note: ProxyReport | undefined; at: number } | undefined
+  let given = set.link === undefined ? 0 : born + LEASE_DURATION_MS
   const acked = new Map<string, number>()
   const pushNums = new Map<string, number>()
   let { seeds, platform, operators } = set
@@ -196,21 +196,27 @@
 
   // --- what is known ---
 
-  const registers = makeRegisters(world, { epoch: epochNow, link: linkTo, settle, news: newValue, behind: lag.ring })
-  const { learned, cell } = registers
+  const registers = makeRegisterCache(world, {
+    epoch: epochNow,
+    link: linkTo,
+    readCommitted: settle,
+    onNewer: newValue,
+    onBehind: lag.notify,
+  })
+  const { learn, value: registerValue } = registers
   const known = registers.all()
   const subscription = makeSubscription(world, set.node, set.area, registers.ballots)
   function epochNow(): number {
     return coreSet.epoch
   }
-  function linkTo(id: string): Held | undefined {
+  function linkTo(id: string): PersistentLink | undefined {
     return cores.get(id)?.held
   }
-  function settle(key: string): Promise<Settled> {
+  function settle(key: string): Promise<Committed> {
     return proposer.read(key, 0)
   }
 
-  function newValue(key: string, value: Value): void {
+  function newValue(key: string, value: RegisterValue): void {
     world.log.info('epoch-learnt', { key, turn: value.turn })
     if (key === CORESET_KEY) {
       const next = readAs(CoreSet, value.body)
@@ -219,10 +225,10 @@
     duty.ring()
     mover.ring()
     unfed = true
-    news.ring()
+    news.notify()
   }
   function config(): Body | undefined {
-    return cell(CONFIG_KEY)?.body as Body | undefined
+    return registerValue(CONFIG_KEY)?.body as Body | undefined
   }
   function groups(): string[] {
     const out: string[] = []
@@ -245,13 +251,13 @@
     const first = coreSet.cores.length === 0
     coreSet = next
     coreSetSince = world.now()
-    const all = new Map<string, Addr>()
+    const all = new Map<string, Address>()
     for (const c of votersOf(next)) all.set(c.id, c.addr)
     for (const [id, c] of cores) {
       if (all.get(id) === c.addr) continue
       c.end()
       cores.delete(id)
-      pictures.delete(id)
+      coreViews.delete(id)
       told.delete(id)
     }
     for (const [id, addr] of all) {
@@ -262,9 +268,9 @@
         cancel()
         flag.fire()
       }
-      pictures.set(id, makePicture(world))
+      coreViews.set(id, makeCoreView(world))
       cores.set(id, {
-        held: holdLink(world, addr, mine, makeTake(id), flag, makeOnCore(id)),
+        held: makePersistentLink(world, addr, mine, makeTake(id), flag, makeOnCore(id)),
         addr,
         since: world.now(),
         end,
@@ -278,7 +284,7 @@
       cores: next.cores.length,
       joint: next.next !== undefined,
     })
-    linked.ring()
+    linked.notify()
   }
   // Nobody of the set that is known here may be there any more: whoever knows a later one tells it.
   let looking = false
@@ -293,27 +299,27 @@
   function makeOnCore(id: string) {
     function onCore(): void {
       subscription.linkedAnew(id)
-      if (termUntil === 0) linked.ring()
+      if (termUntil === 0) linked.notify()
     }
     return onCore
   }
   function makeTake(id: string) {
     function take(msg: unknown): undefined {
-      const got = readAs(Push, msg)
+      const got = readAs(RegisterPush, msg)
       if (got.err) {
-        numbers.add('claynotch_link_garbage_total')
+        metrics.add('claynotch_link_garbage_total')
         throw new Error('unknown word from a core')
       }
       const p = got.val
       pushNums.set(`${id} ${p.key}`, p.num)
-      numbers.add('claynotch_agent_pushes_total')
+      metrics.add('claynotch_agent_pushes_total')
       void takePush(id, p)
       return undefined
     }
     return take
   }
-  async function takePush(id: string, push: Push): Promise<void> {
-    await registers.pushed(id, push)
+  async function takePush(id: string, push: RegisterPush): Promise<void> {
+    await registers.takePush(id, push)
     tellAck(id, push.key)
   }
   // Tells one core that the proxy has applied what it has.
@@ -321,22 +327,22 @@
     const turn = acked.get(key)
     if (turn !== undefined) cores.get(id)?.held.tell({ t: 'ack', num: pushNums.get(`${id} ${key}`) ?? 0, key, turn })
   }
-  function ackAll(key: string, turn: number): void {
-    if ((acked.get(key) ?? 0) >= turn) return
-    acked.set(key, turn)
+  function ackAll(key: string, version: number): void {
+    if ((acked.get(key) ?? 0) >= version) return
+    acked.set(key, version)
     for (const id of cores.keys()) tellAck(id, key)
   }
 
   // --- the term ---
 
   // All sights that stand, with their age. One is alive while this node hears it, or while a core that answers tells it.
-  function allSights(group?: string): Sight[] {
-    const out: Sight[] = []
+  function allSights(group?: string): InstanceStatus[] {
+    const out: InstanceStatus[] = []
     const now = world.now()
     for (const [name, one] of own)
-      if (now - one.at > (one.sight.leaving ? LEAVING_LIFE : ANNOUNCE_LIFE)) own.delete(name)
+      if (now - one.at > (one.sight.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) own.delete(name)
     for (const [name, one] of sights) {
-      if (now - one.alive > ANNOUNCE_LIFE && !own.has(name)) sights.delete(name)
+      if (now - one.alive > ANNOUNCEMENT_LIFETIME_MS && !own.has(name)) sights.delete(name)
       else if (group === undefined || one.sight.group === group) out.push({ ...one.sight, age: now - one.at })
     }
     return out
@@ -346,11 +352,11 @@
     const before = new Map(sights)
     sights.clear()
     for (const [name, one] of own) sights.set(name, { ...one, alive: one.at })
-    for (const picture of pictures.values()) {
-      if (now - picture.heard() > ANNOUNCE_LIFE) continue
-      for (const [name, one] of picture.sights()) {
+    for (const coreView of coreViews.values()) {
+      if (now - coreView.heard() > ANNOUNCEMENT_LIFETIME_MS) continue
+      for (const [name, one] of coreView.instances()) {
         const old = sights.get(name)
-        sights.set(name, { ...laterSight(old, one.sight, one.at), alive: Math.max(old?.alive ?? 0, picture.heard()) })
+        sights.set(name, { ...laterStatus(old, one.sight, one.at), alive: Math.max(old?.alive ?? 0, coreView.heard()) })
       }
     }
     // Who leads, and who goes, is looked at at once.
@@ -360,16 +366,20 @@
     }
   }
   // What this life of the core doesn't have of us yet.
-  function renewalFor(id: string, picture: Picture, epoch: number): { msg: unknown; asked: string; keep: () => void } {
+  function renewalFor(
+    id: string,
+    coreView: CoreView,
+    epoch: number,
+  ): { msg: unknown; asked: string; keep: () => void } {
     const now = world.now()
     const old = told.get(id)
-    const has = old && old.core === picture.core() ? old : undefined
+    const has = old && old.core === coreView.core() ? old : undefined
     const acks: [string, number][] = []
-    for (const [key, turn] of acked) if ((has?.acks.get(key) ?? 0) < turn) acks.push([key, turn])
+    for (const [key, version] of acked) if ((has?.acks.get(key) ?? 0) < version) acks.push([key, version])
     const highs: [string, number, number][] = []
     for (const [g, epoch, position] of proxy?.note?.highs ?? [])
       if (has?.highs.get(g) !== `${epoch}/${position}`) highs.push([g, epoch, position])
-    const heardHere: Sight[] = []
+    const heardHere: InstanceStatus[] = []
     for (const one of own.values())
       if (!has || one.at >= has.sights) heardHere.push({ ...one.sight, age: now - one.at })
     const self = {
@@ -386,8 +396,8 @@
       epoch,
       node: set.node,
       life,
-      core: picture.core(),
-      count: picture.count(),
+      core: coreView.core(),
+      count: coreView.count(),
       acks,
       sights: heardHere,
       open: proxy?.note?.open ?? 0,
@@ -398,17 +408,17 @@
     }
     function keep(): void {
       const next =
-        has && has.core === picture.core()
+        has && has.core === coreView.core()
           ? has
           : {
-              core: picture.core(),
+              core: coreView.core(),
               self: selfText,
               acks: new Map<string, number>(),
               highs: new Map<string, string>(),
               sights: 0,
             }
       next.self = selfText
-      for (const [key, turn] of acks) next.acks.set(key, turn)
+      for (const [key, version] of acks) next.acks.set(key, version)
       for (const [g, epoch, position] of highs) next.highs.set(g, `${epoch}/${position}`)
       next.sights = Math.max(next.sights, now)
       told.set(id, next)
@@ -419,10 +429,10 @@
   async function renew(): Promise<void> {
     if (coreSet.cores.length === 0) await discover()
     while (coreSet.cores.length > 0 && !stop.fired()) {
-      const round = telling.begin()
+      const round = telling.beginRound()
       const good = await renewOnce()
-      telling.end(round, good)
-      if (!good || !telling.waiting()) return
+      telling.endRound(round, good)
+      if (!good || !telling.isPending()) return
     }
   }
   // Whether a majority answered.
@@ -431,46 +441,46 @@
     // All of it is under this set, whichever is known at its end.
     const under = coreSet
     const enough = quorumOf(under)
-    async function ask(id: string, held: Held, picture: Picture): Promise<RenewAnswer | undefined> {
-      const { msg, asked, keep } = renewalFor(id, picture, under.epoch)
-      const got = readAs(RenewAnswer, await held.ask(msg, RENEW_WAIT))
+    async function ask(id: string, held: PersistentLink, coreView: CoreView): Promise<LeaseRenewalAnswer | undefined> {
+      const { msg, asked, keep } = renewalFor(id, coreView, under.epoch)
+      const got = readAs(LeaseRenewalAnswer, await held.ask(msg, LEASE_RENEWAL_TIMEOUT_MS))
       if (got.err) return undefined
       if (got.val.set) adopt(got.val.set)
       if (got.val.behind) held.tell({ t: 'set', set: under })
       // The core was removed meanwhile, and what it says is of no use.
-      if (pictures.get(id) !== picture) return got.val.ok ? undefined : got.val
-      if (got.val.ok && picture.take(got.val, asked)) {
+      if (coreViews.get(id) !== coreView) return got.val.ok ? undefined : got.val
+      if (got.val.ok && coreView.take(got.val, asked)) {
         keep()
         return got.val
       }
       if (!got.val.ok && got.val.unknown !== true) return got.val
       // The core was restarted, or has forgotten us: it is told everything and asked for everything.
-      picture.reset()
+      coreView.reset()
       told.delete(id)
-      const whole = renewalFor(id, picture, under.epoch)
-      const again = readAs(RenewAnswer, await held.ask(whole.msg, RENEW_WAIT))
-      if (again.err || !again.val.ok || !picture.take(again.val, whole.asked)) return undefined
+      const whole = renewalFor(id, coreView, under.epoch)
+      const again = readAs(LeaseRenewalAnswer, await held.ask(whole.msg, LEASE_RENEWAL_TIMEOUT_MS))
+      if (again.err || !again.val.ok || !coreView.take(again.val, whole.asked)) return undefined
       whole.keep()
       return again.val
     }
     // What one told of members before, or didn't, doesn't fit what it tells now.
-    for (const id of memberSources.choose(candidates())) pictures.get(id)?.reset()
-    const asks: { id: string; got: Promise<RenewAnswer | undefined> }[] = []
-    for (const [id, { held }] of cores) asks.push({ id, got: ask(id, held, pictures.get(id)!) })
-    function isOk(a: RenewAnswer | undefined): boolean {
+    for (const id of memberSources.choose(candidates())) coreViews.get(id)?.reset()
+    const asks: { id: string; got: Promise<LeaseRenewalAnswer | undefined> }[] = []
+    for (const [id, { held }] of cores) asks.push({ id, got: ask(id, held, coreViews.get(id)!) })
+    function isOk(a: LeaseRenewalAnswer | undefined): boolean {
       return a?.ok === true
     }
-    const all = await gather(world, asks, enough, isOk, RENEW_WAIT)
+    const all = await gatherQuorum(world, asks, enough, isOk, LEASE_RENEWAL_TIMEOUT_MS)
     const good = new Set<string>()
     for (const g of all) if (isOk(g.val)) good.add(g.id)
     // A core that knows our node under another life refuses: two agents run under one name.
     const replaced = all.some(isRefused)
-    function isRefused(g: Answer<RenewAnswer | undefined>): boolean {
+    function isRefused(g: VoterAnswer<LeaseRenewalAnswer | undefined>): boolean {
       return g.val?.replaced === true
     }
     if (replaced) world.log.error('node-replaced', { node: set.node, life, why: 'another agent runs under this name' })
     if (!enough.met(good)) {
-      numbers.add('claynotch_renewals_total', [['end', replaced ? 'replaced' : 'failed']])
+      metrics.add('claynotch_renewals_total', [['end', replaced ? 'replaced' : 'failed']])
       if (termUntil > 0 && world.now() > termUntil) {
         world.log.warn('term-lost', {
           node: set.node,
@@ -483,9 +493,9 @@
       if (termUntil === 0) void lookAgain()
       return false
     }
-    numbers.add('claynotch_renewals_total', [['end', 'good']])
-    termUntil = Math.max(termUntil, from + TERM)
-    if (from - renewed > TERM) setCurrent(false)
+    metrics.add('claynotch_renewals_total', [['end', 'good']])
+    termUntil = Math.max(termUntil, from + LEASE_DURATION_MS)
+    if (from - renewed > LEASE_DURATION_MS) setCurrent(false)
     renewed = from
     termed = true
     // A later set came while these answered: the term stands, what they tell is merged with the next answers.
@@ -495,50 +505,50 @@
   }
   // good: a majority that answered since from; their pictures are as new as those answers.
   function merge(good: Set<string>, from: number): void {
-    const byNode = new Map<string, { line: MemberLine; at: number }>()
-    const tables = new Map<string, Map<string, KeyLine>>()
+    const byNode = new Map<string, { line: MemberEntry; at: number }>()
+    const tables = new Map<string, Map<string, RegisterSummary>>()
     for (const id of good) {
-      const picture = pictures.get(id)!
+      const coreView = coreViews.get(id)!
       if (memberSources.has(id))
-        for (const [node, one] of picture.members())
+        for (const [node, one] of coreView.members())
           if (one.at > (byNode.get(node)?.at ?? -Infinity)) byNode.set(node, one)
-      tables.set(id, picture.keys())
+      tables.set(id, coreView.registers())
     }
     // Those who tell of members may not be among the first to answer: what they told before stands until they do.
     if (byNode.size > 0) {
       members = []
       for (const one of byNode.values()) members.push(one.line)
-      numbers.set('claynotch_agent_members', [], members.length)
+      metrics.set('claynotch_agent_members', [], members.length)
     }
     mergeSights()
-    registers.shown(tables, quorum(), from)
+    registers.takeSummaries(tables, quorum(), from)
     judgeCurrent()
     void subscription.choose(sources(), coreSet.epoch)
   }
   function candidates(): Candidate[] {
     const out: Candidate[] = []
     for (const [id, { held, since }] of cores)
-      out.push({ id, isUp: held.up(), heard: Math.max(since, pictures.get(id)?.heard() ?? 0) })
+      out.push({ id, isUp: held.up(), heard: Math.max(since, coreViews.get(id)?.heard() ?? 0) })
     return out
   }
   // The cores as places to take pushes from.
-  function sources(): Source[] {
+  function sources(): SubscriptionSource[] {
     const areas = new Map<string, string>()
     for (const m of members) if (m.core) areas.set(m.core.id, m.area)
-    const out: Source[] = []
+    const out: SubscriptionSource[] = []
     for (const [id, { held }] of cores) {
-      const picture = pictures.get(id)!
-      out.push({ id, held, heard: picture.heard(), area: areas.get(id), lines: picture.keys() })
+      const coreView = coreViews.get(id)!
+      out.push({ id, held, heard: coreView.heard(), area: areas.get(id), lines: coreView.registers() })
     }
     return out
   }
 
   function setCurrent(to: boolean): void {
     current = to
-    numbers.set('claynotch_agent_current', [], to ? 1 : 0)
+    metrics.set('claynotch_agent_current', [], to ? 1 : 0)
   }
   function judgeCurrent(): void {
-    if (current || registers.wants()) return
+    if (current || registers.isBehind()) return
     setCurrent(true)
     duty.ring()
     mover.ring()
@@ -558,25 +568,26 @@
     const size = config()?.config?.proxies
     // Shares by the live proxies need no slots.
     if (size === undefined || size === 'live' || set.link === undefined || world.now() >= termUntil) return
-    const now = known.get(SLOTS_KEY)?.value
-    const slots = (now?.body as Slots | undefined)?.slots ?? []
-    const mineAt = slotOf(slots, set.node)
+    const now = known.get(SHARES_KEY)?.value
+    const slots = (now?.body as ConnectionShares | undefined)?.slots ?? []
+    const mineAt = shareOf(slots, set.node)
     if (mineAt >= 0 && mineAt < size) {
       slotless = false
       if (slots[mineAt]?.ready) return
       if (slotSince?.turn !== now?.turn) slotSince = { turn: now!.turn, at: world.now() }
       // The node that had it has run out of its term by now, whatever it heard.
-      if (world.now() - slotSince!.at > TERM + 2 * TERM_SLACK) await putSlot(mineAt, true, size, new Set())
+      if (world.now() - slotSince!.at > LEASE_DURATION_MS + 2 * LEASE_CLOCK_SLACK_MS)
+        await putSlot(mineAt, true, size, new Set())
       return
     }
     const got = await askMembers()
     if (!got || !got.sure) return
-    const turn = known.get(CONFIG_KEY)?.value.turn ?? 0
+    const version = known.get(CONFIG_KEY)?.value.turn ?? 0
     const live = new Set<string>()
     for (const m of got.members) {
       live.add(m.node)
       // Shares may be smaller by this configuration: who lends must have applied it first.
-      if (slotOf(slots, m.node) >= 0 && (new Map(m.acks).get(CONFIG_KEY) ?? 0) < turn) return
+      if (shareOf(slots, m.node) >= 0 && (new Map(m.acks).get(CONFIG_KEY) ?? 0) < version) return
     }
     for (let k = 0; k < size; k++) {
       const s = slots[k]
@@ -594,11 +605,11 @@
   }
   async function putSlot(wish: number, ready: boolean, size: number, live: Set<string>): Promise<void> {
     const tag = `${set.node}~${life}~slot~${world.now()}`
-    function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+    function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       if (now?.tag === tag) return undefined
-      const slots = [...((now?.body as Slots | undefined)?.slots ?? [])]
+      const slots = [...((now?.body as ConnectionShares | undefined)?.slots ?? [])]
       while (slots.length < size) slots.push(null)
-      const at = slotOf(slots, set.node)
+      const at = shareOf(slots, set.node)
       if (at >= 0 && at < size) {
         if (slots[at]?.ready || !ready || at !== wish) return undefined
         slots[at] = { node: set.node, ready: true }
@@ -615,8 +626,8 @@
       slots[k] = { node: set.node, ready: free }
       return { body: { slots }, tag }
     }
-    const got = await proposer.change(SLOTS_KEY, edit, ROUND_LIFE)
-    if (got.done && got.value) learned(SLOTS_KEY, got.value, got.ballot)
+    const got = await proposer.change(SHARES_KEY, edit, ROUND_TIMEOUT_MS)
+    if (got.done && got.value) learn(SHARES_KEY, got.value, got.ballot)
   }
 
   // --- the proxy ---
@@ -626,7 +637,7 @@
   let unfed = false
   // Each renewal feeds as well: the loop only has to bring changes, and to go on while renewals fail.
   async function feedIfDue(): Promise<void> {
-    if (unfed || world.now() - fed >= TERM_BEAT / 2) await feed()
+    if (unfed || world.now() - fed >= LEASE_RENEWAL_INTERVAL_MS / 2) await feed()
   }
   async function feed(): Promise<void> {
     const now = world.now()
@@ -638,14 +649,14 @@
       return
     }
     // Past changes and decisions are no matter of the proxy's.
-    function fedBody(key: string, value: Value): unknown {
+    function fedBody(key: string, value: RegisterValue): unknown {
       return key === CONFIG_KEY ? inForce(value.body as Body) : value.body
     }
-    const list: FedCell[] = []
+    const list: FedEntry[] = []
     for (const [key, k] of known) {
       // The voters are the agent's matter alone.
       if (key === CORESET_KEY) continue
-      const until = Math.min(k.until, termUntil)
+      const until = Math.min(k.currentUntil, termUntil)
       const sent = proxy.sent.get(key) ?? 0
       list.push({ key, turn: k.value.turn, until, ...(sent < k.value.turn ? { body: fedBody(key, k.value) } : {}) })
       proxy.sent.set(key, k.value.turn)
@@ -664,7 +675,7 @@
     }
     const triesList: [string, number, number][] = []
     for (const [g, [a, b]] of tries) triesList.push([g, a, b])
-    const word: Feed = {
+    const word: AgentFeed = {
       t: 'feed',
       node: set.node,
       area: set.area,
@@ -676,7 +687,7 @@
       live: proxies(),
     }
     proxy.link.tell(word)
-    numbers.add('claynotch_agent_feeds_total')
+    metrics.add('claynotch_agent_feeds_total')
   }
   function serveProxy(peer: Hello, link: Link) {
     if (peer.kind !== 'proxy') throw new Error(`a ${peer.kind} dialled the proxy's link`)
@@ -684,13 +695,13 @@
     proxy = { link, sent: new Map(), note: undefined, at: 0 }
     world.log.info('proxy-linked', { node: set.node })
     function take(msg: unknown): undefined {
-      const got = readAs(Note, msg)
+      const got = readAs(ProxyReport, msg)
       if (got.err) {
-        numbers.add('claynotch_link_garbage_total')
+        metrics.add('claynotch_link_garbage_total')
         throw new Error('unknown word from the proxy')
       }
       if (proxy?.link !== link) return undefined
-      numbers.add('claynotch_agent_notes_total')
+      metrics.add('claynotch_agent_notes_total')
       const first = proxy.note === undefined
       const before = proxy.note?.bad ?? []
       proxy.note = got.val
@@ -704,7 +715,7 @@
         for (const [old] of before) if (old === name) return false
         return true
       }
-      for (const [key, turn] of got.val.acks) ackAll(key, turn)
+      for (const [key, version] of got.val.acks) ackAll(key, version)
       if (first) void feed()
       return undefined
     }
@@ -722,15 +733,15 @@
   // false: not kept, as more are known here than are kept.
   function heard(a: Announcement): boolean {
     const old = sights.get(a.name)
-    numbers.add('claynotch_announcements_total')
-    if (!old && sights.size >= SIGHTS_KEPT) {
-      numbers.add('claynotch_announcements_dropped_total')
+    metrics.add('claynotch_announcements_total')
+    if (!old && sights.size >= MAX_KNOWN_INSTANCES) {
+      metrics.add('claynotch_announcements_dropped_total')
       return false
     }
     const leaving = a.leaving === true || a.gone === true
     // Whatever it said before it went comes before that.
     const sequence = a.gone === true ? LAST_SEQUENCE : a.sequence
-    const next: Sight = {
+    const next: InstanceStatus = {
       name: a.name,
       group: a.group,
       addr: a.addr,
@@ -743,14 +754,14 @@
     }
     const now = world.now()
     const mine = own.get(a.name)
-    const mineNow = laterSight(mine, next, now)
+    const mineNow = laterStatus(mine, next, now)
     own.set(a.name, mineNow)
     // That it leaves is told by whoever acknowledges it: what one core told us may be known to that core alone.
     if (mineNow.sight.leaving && mine?.sight.leaving !== true) {
-      telling.news(a.name)
-      linked.ring()
+      telling.changed(a.name)
+      linked.notify()
     }
-    const got = laterSight(old, next, now)
+    const got = laterStatus(old, next, now)
     sights.set(a.name, { ...got, alive: now })
     if (got.sight.leaving && !old?.sight.leaving)
       world.log.info('instance-leaving', { instance: a.name, group: a.group })
@@ -761,8 +772,8 @@
       got.sight.addr !== old.sight.addr ||
       got.sight.group !== old.sight.group
     ) {
-      telling.news(a.name)
-      linked.ring()
+      telling.changed(a.name)
+      linked.notify()
       duty.ring()
       void feed()
     }
@@ -772,7 +783,7 @@
   async function untold(name: string): Promise<string | undefined> {
     const why = ready()
     if (why !== undefined) return why
-    if (!(await telling.told(name, CHANGE_ANSWER))) return 'no majority of cores could be told of it'
+    if (!(await telling.acknowledged(name, CHANGE_ANSWER_TIMEOUT_MS))) return 'no majority of cores could be told of it'
     return ready()
   }
   // An instance's last word, of which it tells nothing but its name. false: nobody here knows it.
@@ -798,7 +809,7 @@
   function ofLeaders(list: [string, number][]): [string, number][] {
     const names = new Set<string>()
     for (const g of groups()) {
-      const rec = cell(groupKey(g))?.body as GroupRecord | undefined
+      const rec = registerValue(groupKey(g))?.body as GroupRecord | undefined
       for (const name of [rec?.leader, rec?.old, rec?.candidate]) if (name !== undefined) names.add(name)
     }
     const age = world.now() - (proxy?.at ?? 0)
@@ -820,13 +831,13 @@
     const note = proxy?.note
     const moving: [string, number][] = [...(note?.moving ?? [])]
     for (const g of groups()) {
-      const rec = cell(groupKey(g))?.body as GroupRecord | undefined
+      const rec = registerValue(groupKey(g))?.body as GroupRecord | undefined
       if (rec && rec.phase !== 'steady') moving.push([g, rec.epoch])
     }
     // Without a term what is known of leaders and instances may have been passed long ago; what the proxy measured stands.
     const current = world.now() < termUntil
     return {
-      v: SUMMARY_EPOCH,
+      v: SUMMARY_VERSION,
       node: set.node,
       area: set.area,
       num: ++sumNum,
@@ -855,8 +866,8 @@
   }
   async function askMembers(): Promise<{ members: Member[]; sure: boolean } | undefined> {
     const enough = quorum()
-    async function ask(held: Held): Promise<MembersAnswer | undefined> {
-      const got = readAs(MembersAnswer, await held.ask({ t: 'members', epoch: enough.epoch }, RENEW_WAIT))
+    async function ask(held: PersistentLink): Promise<MembersAnswer | undefined> {
+      const got = readAs(MembersAnswer, await held.ask({ t: 'members', epoch: enough.epoch }, LEASE_RENEWAL_TIMEOUT_MS))
       return got.ok && got.val.ok ? got.val : undefined
     }
     function isOk(a: MembersAnswer | undefined): boolean {
@@ -866,7 +877,7 @@
     for (const [id, { held }] of cores) asks.push({ id, got: ask(held) })
     const good = new Set<string>()
     const got: MembersAnswer[] = []
-    for (const { id, val } of await gather(world, asks, enough, isOk, RENEW_WAIT)) {
+    for (const { id, val } of await gatherQuorum(world, asks, enough, isOk, LEASE_RENEWAL_TIMEOUT_MS)) {
       if (!val) continue
       good.add(id)
       got.push(val)
@@ -884,7 +895,7 @@
         }
         // An acknowledgement counted by any core is one; it was told to all and may have reached only some.
         const acks = new Map(old.acks)
-        for (const [key, turn] of m.acks) acks.set(key, Math.max(turn, acks.get(key) ?? 0))
+        for (const [key, version] of m.acks) acks.set(key, Math.max(version, acks.get(key) ?? 0))
         byNode.set(m.node, { ...m, acks: [...acks], highs: [...old.highs, ...m.highs] })
       }
     }
@@ -901,12 +912,12 @@
     for (const m of members) if (m.proxy) count++
     return Math.max(1, count)
   }
-  function reports(): Report[] {
-    const out: Report[] = []
-    for (const h of peers.hints()) out.push({ good: new Map(h.seen), bad: new Map(h.bad ?? []) })
+  function reports(): InstanceObservations[] {
+    const out: InstanceObservations[] = []
+    for (const h of peers.hints()) out.push({ goodAgeMs: new Map(h.seen), badAgeMs: new Map(h.bad ?? []) })
     if (!proxy?.note) return out
     const age = world.now() - proxy.at
-    out.push({ good: aged(proxy.note.seen, age), bad: aged(proxy.note.bad ?? [], age) })
+    out.push({ goodAgeMs: aged(proxy.note.seen, age), badAgeMs: aged(proxy.note.bad ?? [], age) })
     return out
   }
   function aged(list: [string, number][], by: number): Map<string, number> {
@@ -921,7 +932,7 @@
     const now = new Set<string>()
     for (const [name] of sum.bad ?? []) now.add(name)
     // Names come from the network: never more than a fleet has.
-    if (failing.size > SIGHTS_KEPT) failing.clear()
+    if (failing.size > MAX_KNOWN_INSTANCES) failing.clear()
     if (now.size > 0) failing.set(sum.node, now)
     else failing.delete(sum.node)
     for (const name of now) if (!before?.has(name)) return duty.ring()
@@ -933,34 +944,34 @@
   function dutyUntil(): number {
     return current ? termUntil : 0
   }
-  function platformNow(): Addr | undefined {
+  function platformNow(): Address | undefined {
     return platform
   }
   const view = {
     node: set.node,
-    suspect: set.suspect ?? SUSPECT,
+    suspect: set.suspect ?? SUSPICION_TIMEOUT_MS,
     instance: edges.instance,
     promotion: edges.promotion,
     platform: platformNow,
     proposer,
-    termUntil: dutyUntil,
+    leaseExpiresAt: dutyUntil,
     live,
     groups,
-    cell,
-    learned,
-    sightsOf: allSights,
+    register: registerValue,
+    learn,
+    instancesOf: allSights,
     reports,
     askMembers,
     body: config,
-    numbers,
+    metrics: metrics,
   }
   // Only a node that serves operators is ever live() and so holds duties; on any other, a task for each group would only look.
   const mayHoldDuties = set.http !== undefined
-  const duty = mayHoldDuties ? startDuty(world, view, stop) : { ring: nothing }
-  const mover = mayHoldDuties ? startMover(world, view, stop) : { ring: nothing }
-  function coreNow(id: string): { held: Held; heard: number } | undefined {
+  const duty = mayHoldDuties ? startFailover(world, view, stop) : { ring: noop }
+  const mover = mayHoldDuties ? startRouteMoves(world, view, stop) : { ring: noop }
+  function coreNow(id: string): { held: PersistentLink; heard: number } | undefined {
     const c = cores.get(id)
-    return c ? { held: c.held, heard: Math.max(pictures.get(id)?.heard() ?? 0, c.since) } : undefined
+    return c ? { held: c.held, heard: Math.max(coreViews.get(id)?.heard() ?? 0, c.since) } : undefined
   }
   // Core machines that are no voters, with the token under which they may become one.
   function spares(): CorePlace[] {
@@ -974,16 +985,16 @@
   const coreSetView = {
     node: set.node,
     proposer,
-    termUntil: dutyUntil,
+    leaseExpiresAt: dutyUntil,
     live,
-    learned,
+    learn,
     coreSet: coreSetOf,
     core: coreNow,
     spares,
-    mostVoters: set.mostVoters ?? VOTERS_MOST,
+    mostVoters: set.mostVoters ?? MAX_VOTERS,
   }
   if (mayHoldDuties) startCoreSetDuty(world, coreSetView, stop)
-  const peers = await startPeers(world, set.peer, stop, peerList, { all: sayAll, seenFor }, numbers, heardPeer)
+  const peers = await startPeers(world, set.peer, stop, peerList, { all: sayAll, seenFor }, metrics, heardPeer)
 
   // Undefined: no majority of cores answered.
   async function readMembers(): Promise<unknown> {
@@ -1018,7 +1029,7 @@
           age: Math.round(s.age),
           lag: lags.get(s.name),
         })
-      out.push({ name: g, record: cell(groupKey(g))?.body ?? null, instances })
+      out.push({ name: g, record: registerValue(groupKey(g))?.body ?? null, instances })
     }
     return out
   }
@@ -1026,7 +1037,7 @@
     if (!groups().includes(group)) return { ok: false, why: `no group is named ${group}` }
     const tag = `${set.node}~wish~${world.now()}`
     let why = ''
-    function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+    function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       if (now?.tag === tag) return undefined
       const rec = now?.body as GroupRecord | undefined
       why = !rec
@@ -1041,7 +1052,7 @@
     }
     const got = await proposer.change(groupKey(group), edit)
     if (!got.done) return { ok: false, why: 'unclear: no majority of cores settled it in time' }
-    if (got.value) learned(groupKey(group), got.value, got.ballot)
+    if (got.value) learn(groupKey(group), got.value, got.ballot)
     return { ok: why === '', why }
   }
   // A move needs a target that is led and, unless an operator will say so, tells itself what it holds of the source.
@@ -1069,13 +1080,17 @@
           (x.value as { name?: unknown } | null)?.name === e.to
         )
       }
-      const rec = cell(groupKey(e.to))?.body as GroupRecord | undefined
+      const rec = registerValue(groupKey(e.to))?.body as GroupRecord | undefined
       if (rec?.leader === undefined || rec.addr === undefined) {
         out.push({ place: `/edits/${k}/to`, what: `the group ${e.to} has no leader` })
         continue
       }
       if (e.proof === 'confirmed') continue
-      const got = await edges.instance.status(world, { name: rec.leader, group: e.to, addr: rec.addr }, SAMPLE_LIMIT)
+      const got = await edges.instance.status(
+        world,
+        { name: rec.leader, group: e.to, addr: rec.addr },
+        SAMPLE_TIMEOUT_MS,
+      )
       const from = new Set<string>()
       for (const lane of meantBy(e, config()?.config)) from.add(lane.group)
       if (got.err) out.push({ place: `/edits/${k}/to`, what: `the leader of ${e.to} can't be asked: ${got.val}` })
@@ -1098,7 +1113,7 @@
     world,
     proposer,
     { members: readMembers, cores: readCores, groups: readGroups, replace, hinders, body: config, news },
-    numbers,
+    metrics,
     credentials,
   )
   function ready(): string | undefined {
@@ -1117,12 +1132,16 @@
   async function change(stream: string, one: Change): Promise<Verdict> {
     const order = { stream, change: one }
     const verdict = isCutOff() ? unclear(order, 'this machine reaches no majority of cores') : await decideOn(order)
-    numbers.add('claynotch_decisions_total', [['decision', verdict.decision]])
+    metrics.add('claynotch_decisions_total', [['decision', verdict.decision]])
     return verdict
   }
   async function decideOn(order: Order): Promise<Verdict> {
-    const got = await within(world, CHANGE_ANSWER, makeDecision(proposer, order, CHANGE_ANSWER))
-    return got === LATE ? unclear(order, 'no majority of cores settled it in time') : got
+    const got = await withTimeout(
+      world,
+      CHANGE_ANSWER_TIMEOUT_MS,
+      makeDecision(proposer, order, CHANGE_ANSWER_TIMEOUT_MS),
+    )
+    return got === TIMED_OUT ? unclear(order, 'no majority of cores settled it in time') : got
   }
   // Whoever asks while a look runs shares the next, which starts after all of them asked, so that a crowd of readers
   // makes no more than one at a time.
@@ -1131,24 +1150,24 @@
   function startRead(): Promise<Body | undefined> {
     shared = undefined
     const got = readOnce()
-    reading = got.catch(nothing)
+    reading = got.catch(noop)
     return got
   }
   async function readOnce(): Promise<Body | undefined> {
-    const got = await proposer.look(CONFIG_KEY, CHANGE_ANSWER)
+    const got = await proposer.look(CONFIG_KEY, CHANGE_ANSWER_TIMEOUT_MS)
     return got.done ? ((got.value?.body as Body | undefined) ?? emptyBody()) : undefined
   }
   async function readBody(): Promise<Body | undefined> {
     if (isCutOff()) return undefined
     shared ??= reading.then(startRead)
-    const got = await within(world, CHANGE_ANSWER, shared)
-    return got === LATE ? undefined : got
-  }
-  const desk: Desk = {
-    numbers,
-    heard,
-    left,
-    untold,
+    const got = await withTimeout(world, CHANGE_ANSWER_TIMEOUT_MS, shared)
+    return got === TIMED_OUT ? undefined : got
+  }
+  const desk: ControlService = {
+    metrics: metrics,
+    heardInstance: heard,
+    instanceLeft: left,
+    reportFailure: untold,
     change,
     read: readBody,
     body: config,
@@ -1158,23 +1177,23 @@
   }
   const http = set.http !== undefined ? await edges.control(world, set.http, desk) : undefined
   const listener =
-    set.link !== undefined ? await world.listen(set.link, answerLinks(world, mine, serveProxy, lostProxy)) : undefined
+    set.link !== undefined ? await world.listen(set.link, acceptLinks(world, mine, serveProxy, lostProxy)) : undefined
 
-  void loop(world, 'renew', TERM_BEAT, stop, renew, linked)
+  void loop(world, 'renew', LEASE_RENEWAL_INTERVAL_MS, stop, renew, linked)
   // A ring of the bell between two beats must not be lost: the loop looks at what is wanted, not at the ring.
-  void loop(world, 'catch-up', TERM_BEAT / 4, stop, catchUpIfNeeded, lag)
+  void loop(world, 'catch-up', LEASE_RENEWAL_INTERVAL_MS / 4, stop, catchUpIfNeeded, lag)
   async function catchUpIfNeeded(): Promise<void> {
-    if (registers.wants()) await catchUp()
+    if (registers.isBehind()) await catchUp()
   }
-  void loop(world, 'feed', TERM_BEAT, stop, feedIfDue, news)
-  void loop(world, 'slot', TERM_BEAT, stop, holdSlot, news)
+  void loop(world, 'feed', LEASE_RENEWAL_INTERVAL_MS, stop, feedIfDue, news)
+  void loop(world, 'slot', LEASE_RENEWAL_INTERVAL_MS, stop, holdSlot, news)
   world.log.info('agent-started', { node: set.node, area: set.area, http: set.http ?? 'none' })
 
   async function end(): Promise<void> {
     // A proxy of this machine that is told to stop as well has calls to end under this machine's term.
-    const until = world.now() + LEAVE_LIMIT
-    if (proxy) await pause(world, NOTE_BEAT)
-    while (proxy?.note?.leaving === true && world.now() < until) await pause(world, NOTE_BEAT / 6)
+    const until = world.now() + SHUTDOWN_TIMEOUT_MS
+    if (proxy) await pause(world, PROXY_REPORT_INTERVAL_MS)
+    while (proxy?.note?.leaving === true && world.now() < until) await pause(world, PROXY_REPORT_INTERVAL_MS / 6)
     // The term is given up only when no proxy can be working under it; else it runs out by itself.
     if (!proxy && world.now() > given)
       for (const { held } of cores.values()) held.tell({ t: 'leave', node: set.node, life })
@@ -1184,10 +1203,10 @@
     await Promise.all([http?.close(), listener?.close(), peers.close()])
   }
   // What a changed settings file may change while we run.
-  function apply(next: { seeds: Addr[]; platform: Addr | undefined; operators: Credential[] | undefined }): void {
+  function apply(next: { seeds: Address[]; platform: Address | undefined; operators: Credential[] | undefined }): void {
     operators = next.operators
     seeds = next.seeds
     platform = next.platform
   }
-  return { stop: end, numbers, termUntil: termNow, cell, apply }
+  return { stop: end, metrics: metrics, leaseExpiresAt: termNow, register: registerValue, apply }
 }
--- a/packages/agent/src/coreset.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -1,35 +1,35 @@
 import {
-  CORE_JOIN,
-  CORESET_BEAT,
-  JOIN_RETRY,
-  JOIN_TOGETHER,
+  CORE_JOIN_TIMEOUT_MS,
+  CORE_SET_INTERVAL_MS,
+  JOIN_RETRY_DELAY_MS,
+  JOIN_BATCH_WINDOW_MS,
   loop,
-  MARGIN_BEAT,
+  QUORUM_MARGIN_INTERVAL_MS,
   readAs,
-  REFILL_BATCH,
-  ROUND_LIFE,
-  VOTER_GONE,
-  VOTER_SILENT,
+  REFILL_BATCH_SIZE,
+  ROUND_TIMEOUT_MS,
+  VOTER_GONE_MS,
+  VOTER_SILENCE_MS,
   type Flag,
-  type Held,
+  type PersistentLink,
   type World,
 } from '@claynotch/base'
 import { holderOf } from '@claynotch/duty'
 import {
   CoreSet,
   CORESET_KEY,
-  gather,
+  gatherQuorum,
   hasCore,
   quorumOf,
   votersOf,
   type CorePlace,
   type Proposer,
-  type Settled,
-  type State,
-  type Value,
+  type Committed,
+  type CoreState,
+  type RegisterValue,
 } from '@claynotch/register'
-import { askCores, makeMarginWatch } from './corestatus.js'
-import { planVoters } from './voterplan.js'
+import { askCores, makeMarginWatch } from './core-status.js'
+import { planVoters } from './voter-plan.js'
 
 // The duty for the core set: docs/design/coreset.md. The set follows the core machines that are there, in two changes of the
 // register CORESET_KEY with a sweep between them. Each step goes by what the register says, so another holder goes on from there.
@@ -38,11 +38,11 @@
 export type CoreSetView = {
   node: string
   proposer: Proposer
-  termUntil: () => number
+  leaseExpiresAt: () => number
   live: () => string[]
-  learned: (key: string, value: Value, ballot: [number, string]) => void
+  learn: (key: string, value: RegisterValue, ballot: [number, string]) => void
   coreSet: () => { set: CoreSet; since: number }
-  core: (id: string) => { held: Held; heard: number } | undefined
+  core: (id: string) => { held: PersistentLink; heard: number } | undefined
   spares: () => CorePlace[]
   mostVoters: number
 }
@@ -60,20 +60,20 @@
   let seen = new Map<string, number>()
 
   // What these cores say of themselves under this very set.
-  async function askStates(set: CoreSet, places: CorePlace[]): Promise<Map<string, State>> {
+  async function askStates(set: CoreSet, places: CorePlace[]): Promise<Map<string, CoreState>> {
     const states = await askCores(places, view.core)
     for (const [id, state] of states) if (state.set.epoch !== set.epoch) states.delete(id)
     return states
   }
   // Under the set it comes from, and nothing where that is no longer the last one.
-  async function propose(from: CoreSet, next: CoreSet): Promise<Settled> {
-    function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+  async function propose(from: CoreSet, next: CoreSet): Promise<Committed> {
+    function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       const last = now ? readAs(CoreSet, now.body) : undefined
       const epoch = last?.ok ? last.val.epoch : 0
       return epoch === from.epoch ? { body: next, tag: `${view.node}~${next.epoch}~${world.now()}` } : undefined
     }
     const got = await view.proposer.change(CORESET_KEY, edit)
-    if (got.done && got.value) view.learned(CORESET_KEY, got.value, got.ballot)
+    if (got.done && got.value) view.learn(CORESET_KEY, got.value, got.ballot)
     return got
   }
 
@@ -89,10 +89,10 @@
       const token = `${place.id} ${place.token}`
       seen.set(token, before.get(token) ?? now)
       const givenUp = tried.get(place.id)
-      if (givenUp === undefined || now - givenUp > JOIN_RETRY) out.push(place)
+      if (givenUp === undefined || now - givenUp > JOIN_RETRY_DELAY_MS) out.push(place)
     }
     function isRecent(at: number): boolean {
-      return now - at < JOIN_TOGETHER
+      return now - at < JOIN_BATCH_WINDOW_MS
     }
     if ([...seen.values()].some(isRecent)) return []
     function byTried(a: CorePlace, b: CorePlace): number {
@@ -107,8 +107,8 @@
   function couldChange(set: CoreSet, fresh: number): boolean {
     let longest = 0
     for (const voter of set.cores) longest = Math.max(longest, silence(voter.id))
-    if (fresh === 0) return set.cores.length % 2 === 0 && longest > VOTER_GONE
-    return longest > VOTER_SILENT || set.cores.length < view.mostVoters
+    if (fresh === 0) return set.cores.length % 2 === 0 && longest > VOTER_GONE_MS
+    return longest > VOTER_SILENCE_MS || set.cores.length < view.mostVoters
   }
   async function change(set: CoreSet): Promise<void> {
     const fresh = freshMachines()
@@ -142,11 +142,14 @@
     for (const voter of votersOf(set)) {
       const held = view.core(voter.id)?.held
       if (!held) continue
-      asks.push({ id: voter.id, got: held.ask({ t: 'keys', epoch: set.epoch }, ROUND_LIFE) as Promise<KeysAnswer> })
+      asks.push({
+        id: voter.id,
+        got: held.ask({ t: 'keys', epoch: set.epoch }, ROUND_TIMEOUT_MS) as Promise<KeysAnswer>,
+      })
     }
     const good = new Set<string>()
     const keys = new Set<string>()
-    for (const { id, val } of await gather(world, asks, quorum, hasKeys, ROUND_LIFE)) {
+    for (const { id, val } of await gatherQuorum(world, asks, quorum, hasKeys, ROUND_TIMEOUT_MS)) {
       if (!hasKeys(val)) continue
       good.add(id)
       for (const key of val.keys) keys.add(key)
@@ -156,8 +159,8 @@
       return (await view.proposer.look(key)).done
     }
     const list = [...keys]
-    for (let from = 0; from < list.length; from += REFILL_BATCH) {
-      const done = await Promise.all(list.slice(from, from + REFILL_BATCH).map(settle))
+    for (let from = 0; from < list.length; from += REFILL_BATCH_SIZE) {
+      const done = await Promise.all(list.slice(from, from + REFILL_BATCH_SIZE).map(settle))
       if (done.includes(false)) return false
     }
     return true
@@ -175,7 +178,7 @@
     const missing = newcomers.filter(isMissing)
     const waited = world.now() - since
     function isGone(place: CorePlace): boolean {
-      return waited > (states.has(place.id) ? CORE_JOIN : VOTER_SILENT)
+      return waited > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
     }
     const gone = missing.filter(isGone)
     if (missing.length > 0 && gone.length === 0) return
@@ -196,11 +199,11 @@
   let nextWatch = 0
   async function watch(set: CoreSet): Promise<void> {
     if (world.now() < nextWatch) return
-    nextWatch = world.now() + MARGIN_BEAT
+    nextWatch = world.now() + QUORUM_MARGIN_INTERVAL_MS
     watchMargin(set, await askCores(votersOf(set), view.core))
   }
   async function look(): Promise<void> {
-    if (world.now() >= view.termUntil() || holderOf(CORESET_KEY, view.live()) !== view.node) return
+    if (world.now() >= view.leaseExpiresAt() || holderOf(CORESET_KEY, view.live()) !== view.node) return
     const { set, since } = view.coreSet()
     if (set.cores.length === 0) return
     if (set.next) await finish(set, set.next, since)
@@ -209,7 +212,7 @@
       await watch(set)
     }
   }
-  void loop(world, 'core-set-duty', CORESET_BEAT, stop, look)
+  void loop(world, 'core-set-duty', CORE_SET_INTERVAL_MS, stop, look)
 }
 
 /** The ids of the first list that the second lacks. */
--- a/packages/agent/src/corestatus.ts
+++ b/packages/agent/src/core-status.ts
@@ -1,24 +1,32 @@
-import { RENEW_WAIT, type Held, type World } from '@claynotch/base'
+import { LEASE_RENEWAL_TIMEOUT_MS, type PersistentLink, type World } from '@claynotch/base'
 import type { CoreLine, CoreStatus } from '@claynotch/operator'
-import { hasCore, lossesBorne, quorumOf, votersOf, type CorePlace, type CoreSet, type State } from '@claynotch/register'
+import {
+  hasCore,
+  lossesBorne,
+  quorumOf,
+  votersOf,
+  type CorePlace,
+  type CoreSet,
+  type CoreState,
+} from '@claynotch/register'
 
 // The core set as it is now: who of it votes, and how many more losses it bears. For operators, and for the log.
 
 // core: a voter's link and when it was last heard. spares: core machines that don't vote.
 export type CoreStatusView = {
   coreSet: () => CoreSet
-  core: (id: string) => { held: Held; heard: number } | undefined
+  core: (id: string) => { held: PersistentLink; heard: number } | undefined
   spares: () => CorePlace[]
 }
 
 /** What each of these cores says of itself; whoever didn't answer isn't there. */
 export async function askCores(
   places: CorePlace[],
-  core: (id: string) => { held: Held } | undefined,
-): Promise<Map<string, State>> {
-  const out = new Map<string, State>()
+  core: (id: string) => { held: PersistentLink } | undefined,
+): Promise<Map<string, CoreState>> {
+  const out = new Map<string, CoreState>()
   async function ask(id: string): Promise<void> {
-    const state = (await core(id)?.held.ask({ t: 'state' }, RENEW_WAIT)) as State | undefined
+    const state = (await core(id)?.held.ask({ t: 'state' }, LEASE_RENEWAL_TIMEOUT_MS)) as CoreState | undefined
     if (state) out.set(id, state)
   }
   const asks: Promise<void>[] = []
@@ -28,12 +36,12 @@
 }
 
 // Those that vote under this very set.
-export function votingOf(set: CoreSet, states: Map<string, State>): Set<string> {
+export function votingOf(set: CoreSet, states: Map<string, CoreState>): Set<string> {
   const out = new Set<string>()
   for (const [id, s] of states) if (stateOf(set, s) === 'voting') out.add(id)
   return out
 }
-function stateOf(set: CoreSet, state: State | undefined): CoreLine['state'] {
+function stateOf(set: CoreSet, state: CoreState | undefined): CoreLine['state'] {
   if (!state) return 'silent'
   if (state.set.epoch !== set.epoch) return 'behind'
   return state.serving ? 'voting' : 'refilling'
@@ -77,9 +85,9 @@
 
 // Says in the log, once per change of state, that the next loss leaves no quorum, and that it is borne again. The duty for
 // the core set calls it with what its voters answered.
-export function makeMarginWatch(world: World, node: string): (set: CoreSet, states: Map<string, State>) => void {
+export function makeMarginWatch(world: World, node: string): (set: CoreSet, states: Map<string, CoreState>) => void {
   let short = false
-  function watch(set: CoreSet, states: Map<string, State>): void {
+  function watch(set: CoreSet, states: Map<string, CoreState>): void {
     const voting = votingOf(set, states)
     const borne = lossesBorne(set, voting)
     // Without a quorum it stays as it was said last: the next loss has come.
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,3 +1,3 @@
 export * from './agent.js'
-export * from './seam.js'
-export * from './corestatus.js'
+export * from './adapter.js'
+export * from './core-status.js'
--- a/packages/agent/src/telling.ts
+++ b/packages/agent/src/instance-reports.ts
@@ -10,20 +10,20 @@
  * Invariants: a name is in untold exactly while no good round has begun after its last news; rounds follow one another, each
  * begun and ended once.
  */
-export type Telling = {
+export type InstanceReports = {
   /** A round begins, with all that was heard until now; its number. */
-  begin: () => number
+  beginRound: () => number
   /** It ended. good: a majority has what it told. */
-  end: (round: number, good: boolean) => void
+  endRound: (round: number, good: boolean) => void
   /** Something that nobody has been told yet was heard of an instance. */
-  news: (name: string) => void
+  changed: (name: string) => void
   /** Whether news came that no good round has told. */
-  waiting: () => boolean
+  isPending: () => boolean
   /** True once a majority has the last news of an instance; false where it can't be told within so many ms. */
-  told: (name: string, ms: number) => Promise<boolean>
+  acknowledged: (name: string, ms: number) => Promise<boolean>
 }
 
-export function makeTelling(world: World): Telling {
+export function makeInstanceReports(world: World): InstanceReports {
   let begun = 0
   let reached = true
   // untold: for each instance, the round begun last when its news came.
@@ -36,7 +36,7 @@
   function end(round: number, good: boolean): void {
     reached = good
     if (good) for (const [name, at] of untold) if (at < round) untold.delete(name)
-    ended.ring()
+    ended.notify()
   }
   function news(name: string): void {
     untold.set(name, begun)
@@ -54,5 +54,5 @@
       await ended.wait(world, left)
     }
   }
-  return { begin, end, news, waiting, told }
+  return { beginRound: begin, endRound: end, changed: news, isPending: waiting, acknowledged: told }
 }
--- a/packages/agent/src/member-sources.ts
+++ b/packages/agent/src/member-sources.ts
@@ -1,4 +1,4 @@
-import { MEMBER_SOURCE_QUIET, type World } from '@claynotch/base'
+import { MEMBER_SOURCE_SILENCE_MS, type World } from '@claynotch/base'
 import { spread } from './spread.js'
 
 /** A core as it may be chosen. heard: when it answered last, at the earliest when it became known here. */
@@ -20,7 +20,7 @@
   let chosen = new Set<string>()
 
   function isFit(candidate: Candidate): boolean {
-    return candidate.isUp && world.now() - candidate.heard <= MEMBER_SOURCE_QUIET
+    return candidate.isUp && world.now() - candidate.heard <= MEMBER_SOURCE_SILENCE_MS
   }
   function isKept(candidate: Candidate): boolean {
     return chosen.has(candidate.id) && isFit(candidate)
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -1,14 +1,14 @@
 import {
-  DELTA_EPOCH,
-  RENEW_WAIT,
-  SUBSCRIBE_PAUSE,
-  SUBSCRIBED_BEHIND,
-  SUBSCRIBED_LAG,
-  SUBSCRIBED_QUIET,
-  type Held,
+  DELTA_LINK_VERSION,
+  LEASE_RENEWAL_TIMEOUT_MS,
+  RESUBSCRIBE_DELAY_MS,
+  MAX_SUBSCRIPTION_LAGS,
+  SUBSCRIPTION_LAG_MS,
+  SUBSCRIPTION_SILENCE_MS,
+  type PersistentLink,
   type World,
 } from '@claynotch/base'
-import { compareBallots, type Ballot, type KeyLine } from '@claynotch/register'
+import { compareBallots, type Ballot, type RegisterSummary } from '@claynotch/register'
 import { spread } from './spread.js'
 
 /**
@@ -20,17 +20,17 @@
  */
 
 /** A core as this node sees it now. heard: when it last answered, with these lines of the registers. */
-export type Source = {
+export type SubscriptionSource = {
   id: string
-  held: Held
+  held: PersistentLink
   heard: number
   area: string | undefined
-  lines: Map<string, KeyLine>
+  lines: Map<string, RegisterSummary>
 }
 
 export type Subscription = {
   /** Looks, after a renewal, whether another core should be subscribed at. */
-  choose: (sources: Source[], epoch: number) => Promise<void>
+  choose: (sources: SubscriptionSource[], epoch: number) => Promise<void>
   /** The link to this core was dialled anew: it knows of no subscription. */
   linkedAnew: (id: string) => void
   at: () => string | undefined
@@ -51,46 +51,46 @@
   const shunned = new Map<string, number>()
   let asking = false
 
-  function isFit(s: Source): boolean {
+  function isFit(s: SubscriptionSource): boolean {
     const now = world.now()
     return (
       s.held.up() &&
-      (s.held.peer()?.epoch ?? 0) >= DELTA_EPOCH &&
-      now - s.heard <= SUBSCRIBED_QUIET &&
+      (s.held.peer()?.epoch ?? 0) >= DELTA_LINK_VERSION &&
+      now - s.heard <= SUBSCRIPTION_SILENCE_MS &&
       now >= (shunned.get(s.id) ?? 0)
     )
   }
   // Fewer is better.
-  function compare(a: Source, b: Source): number {
+  function compare(a: SubscriptionSource, b: SubscriptionSource): number {
     const near = Number(b.area === area) - Number(a.area === area)
     return near !== 0 ? near : spread(node, a.id) - spread(node, b.id)
   }
-  function best(sources: Source[]): Source | undefined {
+  function best(sources: SubscriptionSource[]): SubscriptionSource | undefined {
     const fit = sources.filter(isFit)
     fit.sort(compare)
     return fit[0]
   }
   function shun(id: string): void {
-    shunned.set(id, world.now() + SUBSCRIBE_PAUSE)
+    shunned.set(id, world.now() + RESUBSCRIBE_DELAY_MS)
     if (current === id) current = undefined
   }
   // Asked at one moment, cores differ by what is on its way; so what it told later is held against what was known earlier.
-  function lacks(s: Source, known: [string, Ballot][]): boolean {
+  function lacks(s: SubscriptionSource, known: [string, Ballot][]): boolean {
     for (const [key, ballot] of known) {
       const line = s.lines.get(key)
       if (!line || compareBallots(line.ballot, ballot) < 0) return true
     }
     return false
   }
-  function look(now: Source): void {
+  function look(now: SubscriptionSource): void {
     const at = world.now()
-    if (before && at - before.at < SUBSCRIBED_LAG) return
+    if (before && at - before.at < SUBSCRIPTION_LAG_MS) return
     if (before && now.heard > before.at) behind = lacks(now, before.ballots) ? behind + 1 : 0
     before = { at, ballots: ballots() }
   }
-  function judgeCurrent(sources: Source[]): void {
+  function judgeCurrent(sources: SubscriptionSource[]): void {
     const now = sources.find(isCurrent)
-    function isCurrent(s: Source): boolean {
+    function isCurrent(s: SubscriptionSource): boolean {
       return s.id === current
     }
     if (!now?.held.up()) {
@@ -98,20 +98,20 @@
       return
     }
     look(now)
-    if (behind < SUBSCRIBED_BEHIND && world.now() - now.heard <= SUBSCRIBED_QUIET) return
+    if (behind < MAX_SUBSCRIPTION_LAGS && world.now() - now.heard <= SUBSCRIPTION_SILENCE_MS) return
     leave(now)
     shun(now.id)
   }
-  function leave(s: Source): void {
+  function leave(s: SubscriptionSource): void {
     s.held.tell({ t: 'subscribe', on: false, have: [] })
   }
-  async function choose(sources: Source[], epoch: number): Promise<void> {
+  async function choose(sources: SubscriptionSource[], epoch: number): Promise<void> {
     judgeCurrent(sources)
     const next = best(sources)
     if (asking || !next || next.id === current) return
     asking = true
     const word = { t: 'subscribe', epoch, on: true, have: ballots() }
-    const got = (await next.held.ask(word, RENEW_WAIT)) as { ok?: boolean } | undefined
+    const got = (await next.held.ask(word, LEASE_RENEWAL_TIMEOUT_MS)) as { ok?: boolean } | undefined
     asking = false
     if (got?.ok !== true) {
       // One that refuses stands in another set, and will soon stand in this one; one that is silent is left alone.
--- a/packages/agent/src/voterplan.ts
+++ b/packages/agent/src/voter-plan.ts
@@ -1,4 +1,4 @@
-import { CORE_GONE, VOTER_DOUBT, VOTER_GONE, VOTER_SILENT } from '@claynotch/base'
+import { CORE_GONE_MS, VOTER_DOUBT_MS, VOTER_GONE_MS, VOTER_SILENCE_MS } from '@claynotch/base'
 import { quorumOf, type CorePlace, type CoreSet } from '@claynotch/register'
 
 // Which set of voters is to follow the present one: a pure function of what the holder of the duty sees.
@@ -58,9 +58,9 @@
   const { set, fresh, well } = view
   const voters = set.cores
   const isFull = voters.length >= view.mostVoters
-  const gone = goneFor(view, isFull ? CORE_GONE : VOTER_SILENT)
+  const gone = goneFor(view, isFull ? CORE_GONE_MS : VOTER_SILENCE_MS)
   function isInDoubt(voter: CorePlace): boolean {
-    return view.silence(voter.id) > VOTER_DOUBT && !gone.includes(voter)
+    return view.silence(voter.id) > VOTER_DOUBT_MS && !gone.includes(voter)
   }
   const candidates = swapsAndJoins(view, gone, voters.some(isInDoubt))
   if (fresh.length === 0) candidates.push(...smaller(view))
@@ -93,7 +93,7 @@
 function smaller(view: VoterView): CorePlace[][] {
   const voters = view.set.cores
   if (voters.length % 2 !== 0 || voters.length <= FEWEST_VOTERS) return []
-  const gone = goneFor(view, VOTER_GONE)
+  const gone = goneFor(view, VOTER_GONE_MS)
   if (gone.length === 0) return []
   function stays(voter: CorePlace): boolean {
     return voter !== gone[0]
--- a/packages/base/src/file.ts
+++ b/packages/base/src/data-file.ts
@@ -1,7 +1,7 @@
 import { crc32 } from 'node:zlib'
-import { encode, decode } from './code.js'
-import { REWRITE_FLOOR, REWRITE_RATIO } from './constants.js'
-import { makeTurnstile } from './time.js'
+import { encode, decode } from './cbor.js'
+import { REWRITE_FLOOR_BYTES, REWRITE_RATIO } from './constants.js'
+import { makeSerialQueue } from './waiting.js'
 import type { World } from './world.js'
 
 // Append-only data file. A record is: mark (4 bytes), length (4), crc32 of the body (4), body (CBOR).
@@ -61,11 +61,11 @@
   size: () => number
 }
 
-export function makeFile(world: World, path: string): DataFile {
+export function makeDataFile(world: World, path: string): DataFile {
   // size: bytes in the file; least: its size just after the last rewrite.
   let size = 0
   let least = 0
-  const enter = makeTurnstile()
+  const enter = makeSerialQueue()
 
   async function open(): Promise<Opened> {
     const bytes = await world.disk.read(path)
@@ -98,7 +98,7 @@
   }
   function trim(live: () => unknown[]): Promise<boolean> {
     async function run(): Promise<boolean> {
-      if (size < REWRITE_FLOOR || size < least * REWRITE_RATIO) return false
+      if (size < REWRITE_FLOOR_BYTES || size < least * REWRITE_RATIO) return false
       await write(live())
       return true
     }
--- a/packages/base/src/httpclient.ts
+++ b/packages/base/src/http-client.ts
@@ -1,27 +1,27 @@
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http'
 import type { Duplex } from 'node:stream'
-import { DIAL_LIMIT } from './constants.js'
+import { DIAL_TIMEOUT_MS } from './constants.js'
 import { Err, Ok, type Result } from './result.js'
-import { type Flag, makeFlag, nothing } from './time.js'
-import type { Addr, World } from './world.js'
+import { type Flag, makeFlag, noop } from './waiting.js'
+import type { Address, World } from './world.js'
 
 // HTTP/1.1 as a client, over the connections of the world: a line is one connection that asks one request after another.
 
 // How far a failed call got. none: nothing of it was handed to a connection; maybe: it may have reached.
 export type Reach = 'none' | 'maybe'
 
-export type Fail = { reach: Reach; why: string }
+export type HttpFailure = { reach: Reach; why: string }
 
-export type Answer = { status: number; body: unknown; after?: number }
+export type HttpAnswer = { status: number; body: unknown; after?: number }
 
-export type Line = {
+export type HttpConnection = {
   ask: (
     method: string,
     path: string,
     body: unknown,
     ms: number,
     headers?: [string, string][],
-  ) => Promise<Result<Answer, Fail>>
+  ) => Promise<Result<HttpAnswer, HttpFailure>>
   close: () => void
   alive: () => boolean
   closed: Flag
@@ -29,7 +29,11 @@
 
 // One HTTP connection that stays the same for its life: once it broke, it is never dialled again,
 // so that what was set up on it can't be taken for what isn't there any more.
-export async function openLine(world: World, addr: Addr, ms: number = DIAL_LIMIT): Promise<Result<Line, Fail>> {
+export async function openHttpConnection(
+  world: World,
+  addr: Address,
+  ms: number = DIAL_TIMEOUT_MS,
+): Promise<Result<HttpConnection, HttpFailure>> {
   let stream: Duplex
   try {
     stream = await world.dial(addr, ms)
@@ -77,16 +81,16 @@
     body: unknown,
     limit: number,
     headers: [string, string][] = [],
-  ): Promise<Result<Answer, Fail>> {
-    function start(ok: (r: Result<Answer, Fail>) => void): void {
+  ): Promise<Result<HttpAnswer, HttpFailure>> {
+    function start(ok: (r: Result<HttpAnswer, HttpFailure>) => void): void {
       if (closed.fired() || asked) {
         ok(Err({ reach: 'none', why: closed.fired() ? 'connection closed' : 'another request is under way' }))
         return
       }
       asked = true
       let over = false
-      let unwatch = nothing
-      function end(r: Result<Answer, Fail>): void {
+      let unwatch = noop
+      function end(r: Result<HttpAnswer, HttpFailure>): void {
         if (over) return
         over = true
         asked = false
@@ -170,17 +174,17 @@
 
 // One call on a connection of its own. may: asked once the connection stands, with no wait between it and the write: a
 // dial takes up to a second, or as long as the process was frozen, and what allowed the call may have ended meanwhile.
-export async function callOnce(
+export async function requestOnce(
   world: World,
-  addr: Addr,
+  addr: Address,
   method: string,
   path: string,
   body: unknown,
   ms: number,
   headers: [string, string][] = [],
   may?: () => boolean,
-): Promise<Result<Answer, Fail>> {
-  const line = await openLine(world, addr, Math.min(ms, DIAL_LIMIT))
+): Promise<Result<HttpAnswer, HttpFailure>> {
+  const line = await openHttpConnection(world, addr, Math.min(ms, DIAL_TIMEOUT_MS))
   if (line.err) return line
   if (may && !may()) {
     line.val.close()
--- a/packages/base/src/http.ts
+++ b/packages/base/src/http-server.ts
@@ -1,12 +1,19 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { Duplex } from 'node:stream'
-import { AFTER_LOAD, BODY_LIMIT, BODY_WAIT, DRAIN_TAIL, LINE_GRACE, LINES } from './constants.js'
-import { type Flag, LATE, makeFlag, nothing, pause, within } from './time.js'
-import type { Addr, World } from './world.js'
+import {
+  RETRY_AFTER_OVERLOAD_S,
+  BODY_LIMIT_BYTES,
+  BODY_TIMEOUT_MS,
+  DRAIN_TAIL_MS,
+  CONNECTION_GRACE_MS,
+  MAX_EDGE_CONNECTIONS,
+} from './constants.js'
+import { type Flag, TIMED_OUT, makeFlag, noop, pause, withTimeout } from './waiting.js'
+import type { Address, World } from './world.js'
 
 // HTTP/1.1 as a server: requests with JSON bodies, bounded in size, number and time, and an end in which no answer is dropped.
 
-export type Ask = {
+export type HttpRequest = {
   method: string
   path: string
   query: URLSearchParams
@@ -19,13 +26,13 @@
   raw: { req: IncomingMessage; res: ServerResponse }
 }
 
-export type Reply = { status: number; body: unknown; type?: string; after?: number }
+export type HttpResponse = { status: number; body: unknown; type?: string; after?: number }
 
 // undefined: the handler wrote the answer itself through raw.
-export type Handle = (ask: Ask) => Promise<Reply | undefined> | Reply | undefined
+export type HttpHandler = (ask: HttpRequest) => Promise<HttpResponse | undefined> | HttpResponse | undefined
 
 // drain: goes on answering, and asks each caller with its answer to go elsewhere. lines: connections open now.
-export type Serving = {
+export type HttpListener = {
   drain: () => void
   close: (ms?: number) => Promise<void>
   busy: () => number
@@ -54,7 +61,7 @@
   return size > most ? 'long' : Buffer.concat(parts)
 }
 
-export function sendReply(res: ServerResponse, reply: Reply): void {
+export function sendResponse(res: ServerResponse, reply: HttpResponse): void {
   if (res.destroyed || res.writableEnded) return
   const text = reply.type ? String(reply.body) : JSON.stringify(reply.body ?? null)
   res.statusCode = reply.status
@@ -64,7 +71,7 @@
   res.end(text)
 }
 
-export function badInput(status: number, why: string, findings: unknown[] = []): Reply {
+export function badInput(status: number, why: string, findings: unknown[] = []): HttpResponse {
   return {
     status,
     body: { outcome: 'refused', class: 'INVALID_ARGUMENT', kept: 'nothing', again: false, why, findings },
@@ -73,7 +80,7 @@
 
 // limit: bytes of a body, for all paths or by path. held: bytes of all bodies that are read or answered now. lines: connections at most. quiet: ms after which a connection that
 // asked nothing whole is closed, and BODY_WAIT later one whose answer isn't taken; without it, never.
-export type Serve = {
+export type HttpServerOptions = {
   limit?: number | ((path: string) => number)
   held?: number
   lines?: number
@@ -82,7 +89,12 @@
   raw?: (path: string) => boolean
 }
 
-export async function serve(world: World, addr: Addr, handle: Handle, opt: Serve = {}): Promise<Serving> {
+export async function serveHttp(
+  world: World,
+  addr: Address,
+  handle: HttpHandler,
+  opt: HttpServerOptions = {},
+): Promise<HttpListener> {
   const lines = new Map<Duplex, { closed: Flag; busy: number; last: number }>()
   let busy = 0
   let ending = false
@@ -112,21 +124,21 @@
       url = new URL(req.url ?? '/', 'http://x')
     } catch {
       res.setHeader('connection', 'close')
-      sendReply(res, badInput(400, 'malformed path'))
+      sendResponse(res, badInput(400, 'malformed path'))
       return
     }
-    const most = typeof opt.limit === 'function' ? opt.limit(url.pathname) : (opt.limit ?? BODY_LIMIT)
+    const most = typeof opt.limit === 'function' ? opt.limit(url.pathname) : (opt.limit ?? BODY_LIMIT_BYTES)
     let body: unknown
     if (!(opt.raw && opt.raw(url.pathname))) {
-      const bytes = await within(world, BODY_WAIT, readBody(req, most, hold))
-      if (bytes === LATE) {
+      const bytes = await withTimeout(world, BODY_TIMEOUT_MS, readBody(req, most, hold))
+      if (bytes === TIMED_OUT) {
         res.setHeader('connection', 'close')
-        sendReply(res, badInput(408, `body not whole within ${BODY_WAIT} ms`))
+        sendResponse(res, badInput(408, `body not whole within ${BODY_TIMEOUT_MS} ms`))
         return
       }
       if (bytes === 'full') {
         res.setHeader('connection', 'close')
-        sendReply(res, {
+        sendResponse(res, {
           status: 503,
           body: {
             outcome: 'refused',
@@ -135,20 +147,20 @@
             again: true,
             why: 'too much to read at once',
           },
-          after: AFTER_LOAD,
+          after: RETRY_AFTER_OVERLOAD_S,
         })
         return
       }
       if (bytes === 'long') {
         res.setHeader('connection', 'close')
-        sendReply(res, badInput(413, `body over ${most} bytes`))
+        sendResponse(res, badInput(413, `body over ${most} bytes`))
         return
       }
       if (bytes.length > 0) {
         try {
           body = JSON.parse(bytes.toString('utf8'))
         } catch (e) {
-          sendReply(res, badInput(400, `malformed JSON: ${(e as Error).message}`))
+          sendResponse(res, badInput(400, `malformed JSON: ${(e as Error).message}`))
           return
         }
       }
@@ -173,7 +185,7 @@
       raw: { req, res },
     })
     if (ending && !res.headersSent) res.setHeader('connection', 'close')
-    if (reply) sendReply(res, reply)
+    if (reply) sendResponse(res, reply)
   }
   async function take(req: IncomingMessage, res: ServerResponse): Promise<void> {
     busy++
@@ -200,7 +212,7 @@
     } catch (e) {
       if (!req.destroyed) world.log.error('request-fault', { path: req.url, why: (e as Error).stack ?? String(e) })
       if (!res.headersSent)
-        sendReply(res, {
+        sendResponse(res, {
           status: 500,
           body: { outcome: 'unknown', class: 'INTERNAL', kept: 'unknown', again: false, why: 'internal fault' },
         })
@@ -219,8 +231,8 @@
   server.on('clientError', clientError)
 
   function line(sock: Duplex): void {
-    if (lines.size >= (opt.lines ?? LINES)) {
-      sock.on('error', nothing)
+    if (lines.size >= (opt.lines ?? MAX_EDGE_CONNECTIONS)) {
+      sock.on('error', noop)
       sock.destroy()
       return
     }
@@ -230,7 +242,7 @@
       lines.delete(sock)
       closed.fire()
     }
-    sock.on('error', nothing)
+    sock.on('error', noop)
     sock.on('close', end)
     opt.onLine?.(sock, closed)
     watchQuiet()
@@ -246,7 +258,8 @@
   function endQuiet(): void {
     watching = false
     const now = world.now()
-    for (const [sock, one] of lines) if (now - one.last >= opt.quiet! + (one.busy > 0 ? BODY_WAIT : 0)) sock.destroy()
+    for (const [sock, one] of lines)
+      if (now - one.last >= opt.quiet! + (one.busy > 0 ? BODY_TIMEOUT_MS : 0)) sock.destroy()
     if (lines.size > 0) watchQuiet()
   }
   const listener = await world.listen(addr, line)
@@ -263,15 +276,15 @@
   // Takes no new connections, so that a caller's dial fails with nothing sent; then ends each connection once it
   // is idle and has been for LINE_GRACE. A request on its way to one idle for longer is lost with it, so drain()
   // comes well before. Whoever is not done by then (a reader who follows, say) is ended all the same.
-  async function close(ms = DRAIN_TAIL): Promise<void> {
+  async function close(ms = DRAIN_TAIL_MS): Promise<void> {
     ending = true
     const done = listener.close()
     const until = world.now() + ms
     while (lines.size > 0) {
       const now = world.now()
       for (const [sock, one] of lines)
-        if (now >= until || (one.busy === 0 && now - one.last >= LINE_GRACE)) sock.destroy()
-      if (lines.size > 0) await pause(world, LINE_GRACE / 5)
+        if (now >= until || (one.busy === 0 && now - one.last >= CONNECTION_GRACE_MS)) sock.destroy()
+      if (lines.size > 0) await pause(world, CONNECTION_GRACE_MS / 5)
     }
     await done
   }
--- a/packages/base/src/link.ts
+++ b/packages/base/src/link.ts
@@ -1,7 +1,7 @@
 import type { Duplex } from 'node:stream'
-import { encode, decode } from './code.js'
-import { FRAME_LIMIT } from './constants.js'
-import { makeFlag, type Flag } from './time.js'
+import { encode, decode } from './cbor.js'
+import { FRAME_LIMIT_BYTES } from './constants.js'
+import { makeFlag, type Flag } from './waiting.js'
 import type { World } from './world.js'
 
 // A held connection between two of our processes: frames of a 4-byte length and a CBOR body
@@ -18,9 +18,9 @@
   said: () => number
 }
 
-export type Take = (msg: unknown, link: Link) => unknown
+export type MessageHandler = (msg: unknown, link: Link) => unknown
 
-export function makeLink(world: World, stream: Duplex, take: Take): Link {
+export function makeLink(world: World, stream: Duplex, take: MessageHandler): Link {
   const closed = makeFlag()
   const pending = new Map<number, (answer: unknown) => void>()
   let next = 1
@@ -103,7 +103,7 @@
     rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk])
     while (rest.length >= 4 && !closed.fired()) {
       const size = rest.readUInt32BE(0)
-      if (size > FRAME_LIMIT) {
+      if (size > FRAME_LIMIT_BYTES) {
         close('frame too long')
         return
       }
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -1,7 +1,7 @@
 import type * as t from 'io-ts'
-import { readAs, readStrict, type Finding } from './check.js'
-import { SETTINGS_BEAT } from './constants.js'
-import { loop, type Signal, type Flag } from './time.js'
+import { readAs, readStrict, type Finding } from './validation.js'
+import { SETTINGS_INTERVAL_MS } from './constants.js'
+import { loop, type Signal, type Flag } from './waiting.js'
 import type { World } from './world.js'
 import { Ok, Err, type Result } from './result.js'
 
@@ -97,7 +97,7 @@
     world.log.info('settings-read', { path })
     apply(got.val)
   }
-  void loop(world, 'settings', SETTINGS_BEAT, stop, look, signal)
+  void loop(world, 'settings', SETTINGS_INTERVAL_MS, stop, look, signal)
 }
 
 export function showFindings(findings: Finding[]): string {
--- a/packages/base/src/streams.ts
+++ b/packages/base/src/streams.ts
@@ -1,22 +1,22 @@
 import type { Duplex } from 'node:stream'
-import { DRAIN_TAIL, LINES, LINE_GRACE } from './constants.js'
-import type { Serving } from './http.js'
-import { makeFlag, nothing, pause } from './time.js'
-import type { Addr, World } from './world.js'
+import { DRAIN_TAIL_MS, MAX_EDGE_CONNECTIONS, CONNECTION_GRACE_MS } from './constants.js'
+import type { HttpListener } from './http-server.js'
+import { makeFlag, noop, pause } from './waiting.js'
+import type { Address, World } from './world.js'
 
 // A listener for connections that each are one long talk, with the same planned end as the HTTP edge's.
 // resting: nothing is asked and nothing is open, so that an end harms nobody; late: though it may have come to ask. end: says its last and closes.
-export type Talk = { resting: (late?: boolean) => boolean; end: () => void; gone: () => void }
+export type ConnectionHandler = { resting: (late?: boolean) => boolean; end: () => void; gone: () => void }
 // answered: to be called after each answer, so that a planned end can come right then. busy: by how many more questions.
-export type Seat = { busy: (by: number) => void; answered: () => void }
+export type ConnectionSlot = { busy: (by: number) => void; answered: () => void }
 
 export async function serveStreams(
   world: World,
-  addr: Addr,
-  open: (stream: Duplex, seat: Seat) => Talk,
-  most: number = LINES,
-): Promise<Serving> {
-  const talks = new Map<Duplex, Talk>()
+  addr: Address,
+  open: (stream: Duplex, seat: ConnectionSlot) => ConnectionHandler,
+  most: number = MAX_EDGE_CONNECTIONS,
+): Promise<HttpListener> {
+  const talks = new Map<Duplex, ConnectionHandler>()
   let busy = 0
   let ending = false
   let quiet = makeFlag()
@@ -28,7 +28,7 @@
     quiet = makeFlag()
   }
   function accept(stream: Duplex): void {
-    stream.on('error', nothing)
+    stream.on('error', noop)
     if (talks.size >= most) {
       stream.destroy()
       return
@@ -53,12 +53,12 @@
     ending = true
     for (const talk of [...talks.values()]) if (talk.resting()) talk.end()
   }
-  async function close(ms = DRAIN_TAIL): Promise<void> {
+  async function close(ms = DRAIN_TAIL_MS): Promise<void> {
     drain()
     const done = listener.close()
     for (const talk of [...talks.values()]) if (talk.resting(true)) talk.end()
     const until = world.now() + ms
-    while (talks.size > 0 && world.now() < until) await pause(world, LINE_GRACE / 5)
+    while (talks.size > 0 && world.now() < until) await pause(world, CONNECTION_GRACE_MS / 5)
     for (const stream of [...talks.keys()]) stream.destroy()
     await done
   }
--- a/packages/base/src/check.ts
+++ b/packages/base/src/validation.ts
@@ -48,16 +48,16 @@
 }
 
 // Fields that the codec does not know, at any depth of plain objects that it describes.
-export function strange(shape: t.Mixed, value: unknown, place = ''): Finding[] {
+export function unknownFields(shape: t.Mixed, value: unknown, place = ''): Finding[] {
   const tag = (shape as unknown as { _tag: string })._tag
   if (value === null || typeof value !== 'object') return []
   if (tag === 'RefinementType' || tag === 'ReadonlyType')
-    return strange((shape as unknown as { type: t.Mixed }).type, value, place)
+    return unknownFields((shape as unknown as { type: t.Mixed }).type, value, place)
   const out: Finding[] = []
   if (tag === 'ArrayType') {
     if (Array.isArray(value))
       for (const [k, one] of value.entries())
-        out.push(...strange((shape as unknown as { type: t.Mixed }).type, one, `${place}/${k}`))
+        out.push(...unknownFields((shape as unknown as { type: t.Mixed }).type, one, `${place}/${k}`))
     return out
   }
   const props = propsOf(shape)
@@ -66,7 +66,7 @@
   for (const [name, one] of Object.entries(value)) {
     const inner = props.get(name)
     if (!inner) out.push({ place: `${place}/${name}`, what: 'unknown field' })
-    else out.push(...strange(inner, one, `${place}/${name}`))
+    else out.push(...unknownFields(inner, one, `${place}/${name}`))
   }
   return out
 }
@@ -88,7 +88,7 @@
 
 export function readStrict<T>(codec: t.Type<T, unknown, unknown>, value: unknown): Result<T, Finding[]> {
   const got = readAs(codec, value)
-  const extra = strange(codec as unknown as t.Mixed, value)
+  const extra = unknownFields(codec as unknown as t.Mixed, value)
   if (got.err) return Err([...got.val, ...extra])
   return extra.length > 0 ? Err(extra) : got
 }
@@ -111,7 +111,7 @@
   for (let k = 1; k <= 4; k++) if (Number(m[k]) > 255) return false
   return Number(m[5]) > 0 && Number(m[5]) < 65536
 }
-export const Address = refine('an address like 10.0.0.1:7000 (IP number and port)', isAddr)
+export const AddressCodec = refine('an address like 10.0.0.1:7000 (IP number and port)', isAddr)
 
 function isCount(x: unknown): x is number {
   return Number.isInteger(x) && (x as number) >= 1 && (x as number) <= 1e6
--- a/packages/base/src/time.ts
+++ b/packages/base/src/waiting.ts
@@ -27,7 +27,7 @@
   function watch(run: () => void): Cancel {
     if (done) {
       run()
-      return nothing
+      return noop
     }
     watchers.add(run)
     function cancel(): void {
@@ -44,12 +44,12 @@
   return { fire, fired, wait, watch }
 }
 
-export function nothing(): void {}
+export function noop(): void {}
 
 /** Waits so many milliseconds, or until the flag fires, whichever is first. */
 export function pause(world: World, ms: number, stop?: Flag): Promise<void> {
   function start(resolve: () => void): void {
-    let unwatch: Cancel = nothing
+    let unwatch: Cancel = noop
     function elapsed(): void {
       unwatch()
       resolve()
@@ -65,13 +65,13 @@
 }
 
 /** What within() gives where the promise was not settled in time. */
-export const LATE = Symbol('late')
+export const TIMED_OUT = Symbol('late')
 
 /** The promise's value, or LATE after so many milliseconds. A rejection passes through. */
-export function within<T>(world: World, ms: number, promise: Promise<T>): Promise<T | typeof LATE> {
-  function start(resolve: (value: T | typeof LATE) => void, reject: (reason: unknown) => void): void {
+export function withTimeout<T>(world: World, ms: number, promise: Promise<T>): Promise<T | typeof TIMED_OUT> {
+  function start(resolve: (value: T | typeof TIMED_OUT) => void, reject: (reason: unknown) => void): void {
     function late(): void {
-      resolve(LATE)
+      resolve(TIMED_OUT)
     }
     const cancel = world.later(ms, late)
     function fulfilled(value: T): void {
@@ -89,7 +89,7 @@
 
 /** A signal wakes all who wait for it; unlike a flag it can be given again. */
 export type Signal = {
-  ring: () => void
+  notify: () => void
   /** Waits for the next signal, for so many milliseconds, or until the flag fires. */
   wait: (world: World, ms: number, stop?: Flag) => Promise<void>
   /** Runs at each signal until cancelled. */
@@ -117,12 +117,12 @@
     if (stop?.fired()) return
     const woken = makeFlag()
     const unwatchSignal = next.watch(woken.fire)
-    const unwatchStop = stop ? stop.watch(woken.fire) : nothing
+    const unwatchStop = stop ? stop.watch(woken.fire) : noop
     await pause(world, ms, woken)
     unwatchSignal()
     unwatchStop()
   }
-  return { ring, wait, watch }
+  return { notify: ring, wait, watch }
 }
 
 /**
@@ -150,11 +150,11 @@
 }
 
 /** A queue of one: tasks run one after another in the order asked, whether those before succeeded or not. */
-export function makeTurnstile(): <T>(run: () => Promise<T>) => Promise<T> {
+export function makeSerialQueue(): <T>(run: () => Promise<T>) => Promise<T> {
   let tail: Promise<unknown> = Promise.resolve()
   function enter<T>(run: () => Promise<T>): Promise<T> {
     const mine = tail.then(run, run)
-    tail = mine.catch(nothing)
+    tail = mine.catch(noop)
     return mine
   }
   return enter
--- a/packages/base/src/world.ts
+++ b/packages/base/src/world.ts
@@ -6,10 +6,10 @@
 import { makeLog, type Log } from './log.js'
 
 export type Cancel = () => void
-export type Addr = string
+export type Address = string
 
 export type Listener = { close: () => Promise<void> }
-export type Wire = { cast: (addr: Addr, bytes: Uint8Array) => void; close: () => void }
+export type DatagramSocket = { cast: (addr: Address, bytes: Uint8Array) => void; close: () => void }
 
 // All reach to the outside. Real processes get realWorld; the simulator gives each of
 // its processes one of its own on virtual time.
@@ -19,9 +19,9 @@
   later: (ms: number, run: () => void) => Cancel
   random: () => number
   log: Log
-  listen: (addr: Addr, take: (s: Duplex) => void) => Promise<Listener>
-  dial: (addr: Addr, ms: number) => Promise<Duplex>
-  wire: (addr: Addr, take: (bytes: Uint8Array) => void) => Promise<Wire>
+  listen: (addr: Address, take: (s: Duplex) => void) => Promise<Listener>
+  dial: (addr: Address, ms: number) => Promise<Duplex>
+  wire: (addr: Address, take: (bytes: Uint8Array) => void) => Promise<DatagramSocket>
   // Disk: a write is done only once it, and the folder where it is new, are synced.
   disk: Disk
 }
@@ -33,7 +33,7 @@
   cut: (path: string, size: number) => Promise<void>
 }
 
-export function parseAddr(addr: Addr): { host: string; port: number } {
+export function parseAddr(addr: Address): { host: string; port: number } {
   const cut = addr.lastIndexOf(':')
   return { host: addr.slice(0, cut), port: Number(addr.slice(cut + 1)) }
 }
@@ -128,7 +128,7 @@
     return cancel
   }
 
-  function listen(addr: Addr, take: (s: Duplex) => void): Promise<Listener> {
+  function listen(addr: Address, take: (s: Duplex) => void): Promise<Listener> {
     const { host, port } = parseAddr(addr)
     function start(done: (l: Listener) => void, fail: (e: Error) => void): void {
       const server = createServer({ noDelay: true }, take)
@@ -150,7 +150,7 @@
     return new Promise(start)
   }
 
-  function dial(addr: Addr, ms: number): Promise<Duplex> {
+  function dial(addr: Address, ms: number): Promise<Duplex> {
     const { host, port } = parseAddr(addr)
     function start(done: (s: Duplex) => void, fail: (e: Error) => void): void {
       const sock: Socket = connect({ host, port, noDelay: true })
@@ -174,11 +174,11 @@
     return new Promise(start)
   }
 
-  function wire(addr: Addr, take: (bytes: Uint8Array) => void): Promise<Wire> {
+  function wire(addr: Address, take: (bytes: Uint8Array) => void): Promise<DatagramSocket> {
     const { host, port } = parseAddr(addr)
-    function start(done: (w: Wire) => void, fail: (e: Error) => void): void {
+    function start(done: (w: DatagramSocket) => void, fail: (e: Error) => void): void {
       const sock = createSocket('udp4')
-      function cast(to: Addr, bytes: Uint8Array): void {
+      function cast(to: Address, bytes: Uint8Array): void {
         const at = parseAddr(to)
         sock.send(bytes, at.port, at.host, ignore)
       }
--- a/packages/claynotch/src/daemons.ts
+++ b/packages/claynotch/src/daemons.ts
@@ -1,4 +1,4 @@
-import { serve, type Ask, type Flags, type Reply, type World } from '@claynotch/base'
+import { serveHttp, type HttpRequest, type Flags, type HttpResponse, type World } from '@claynotch/base'
 import { startAgent } from '@claynotch/agent'
 import { takeProbe } from '@claynotch/host'
 import { startProxy } from '@claynotch/proxy'
@@ -13,11 +13,11 @@
     function ready(): string | undefined {
       return core.serving() ? undefined : `not serving: ${core.state()}`
     }
-    function handle(ask: Ask): Reply {
+    function handle(ask: HttpRequest): HttpResponse {
       if (ask.path === '/seeds') return { status: 200, body: { cores: set.cores } }
-      return takeProbe(ask, { ready, numbers: core.numbers }) ?? { status: 404, body: { why: 'no such path' } }
+      return takeProbe(ask, { ready, metrics: core.metrics }) ?? { status: 404, body: { why: 'no such path' } }
     }
-    const http = await serve(world, set.http, handle)
+    const http = await serveHttp(world, set.http, handle)
     async function stop(): Promise<void> {
       await core.stop()
       await http.close()
--- a/packages/claynotch/src/machine.ts
+++ b/packages/claynotch/src/machine.ts
@@ -1,5 +1,5 @@
-import { parseAddr, type Addr, type World } from '@claynotch/base'
-import { ownEdges, startAgent, type Agent, type AgentEdges, type AgentSettings } from '@claynotch/agent'
+import { parseAddr, type Address, type World } from '@claynotch/base'
+import { ownAdapters, startAgent, type Agent, type AgentAdapters, type AgentSettings } from '@claynotch/agent'
 import { foundersOf, startCore, type Core, type CoreSet } from '@claynotch/register'
 import { BUILD } from './build.js'
 
@@ -8,19 +8,19 @@
 export type CoreMachineSettings = {
   node: string
   area: string
-  link: Addr
-  peer: Addr
-  http: Addr
-  seeds: Addr[]
+  link: Address
+  peer: Address
+  http: Address
+  seeds: Address[]
   first: boolean
   data: string
-  platform?: Addr
+  platform?: Address
   mostVoters?: number
 }
 export type CoreMachine = {
   core: Core
   agent: Agent
-  apply: (next: { seeds: Addr[]; platform: Addr | undefined }) => void
+  apply: (next: { seeds: Address[]; platform: Address | undefined }) => void
   stop: () => Promise<void>
 }
 
@@ -28,10 +28,10 @@
 export async function startCoreMachine(
   world: World,
   set: CoreMachineSettings,
-  edges: AgentEdges = ownEdges,
+  edges: AgentAdapters = ownAdapters,
 ): Promise<CoreMachine> {
   let { seeds } = set
-  function seedsNow(): Addr[] {
+  function seedsNow(): Address[] {
     return seeds
   }
   const { host, port } = parseAddr(set.link)
@@ -59,7 +59,7 @@
     },
     edges,
   )
-  function apply(next: { seeds: Addr[]; platform: Addr | undefined }): void {
+  function apply(next: { seeds: Address[]; platform: Address | undefined }): void {
     seeds = next.seeds
     agent.apply({ ...next, operators: undefined })
   }
@@ -78,7 +78,7 @@
 export async function startFrontAgent(
   world: World,
   set: FrontAgentSettings,
-  edges: AgentEdges = ownEdges,
+  edges: AgentAdapters = ownAdapters,
 ): Promise<Agent> {
   const { corePort, first, ...rest } = set
   const founders = first ? foundersOf(set.seeds, corePort) : []
--- a/packages/claynotch/src/run.ts
+++ b/packages/claynotch/src/run.ts
@@ -25,7 +25,7 @@
   const reread = makeSignal()
   process.on('SIGTERM', stop.fire)
   process.on('SIGINT', stop.fire)
-  process.on('SIGHUP', reread.ring)
+  process.on('SIGHUP', reread.notify)
   const world = realWorld(makeLog({ program: kind }))
   const got = await readSettings(world, codec, from)
   if (got.err) {
--- a/packages/claynotch/src/settings.ts
+++ b/packages/claynotch/src/settings.ts
@@ -1,22 +1,29 @@
 import * as t from 'io-ts'
-import { Address, Name, type Finding } from '@claynotch/base'
+import { AddressCodec, Name, type Finding } from '@claynotch/base'
 import { checkCredentials, Credential } from '@claynotch/operator'
 
 // Settings of the daemons. docs/operators/settings.md tells what each means.
 
 export const CoreShape = t.intersection([
-  t.type({ id: Name, cores: t.array(t.type({ id: Name, addr: Address })), data: t.string, http: Address }),
+  t.type({ id: Name, cores: t.array(t.type({ id: Name, addr: AddressCodec })), data: t.string, http: AddressCodec }),
   t.partial({ foundAnew: t.boolean }),
 ])
 export type CoreShape = t.TypeOf<typeof CoreShape>
 
 export const AgentShape = t.intersection([
-  t.type({ node: Name, area: Name, link: Address, peer: Address, http: Address, seeds: t.array(Address) }),
-  t.partial({ platform: Address, operators: t.array(Credential) }),
+  t.type({
+    node: Name,
+    area: Name,
+    link: AddressCodec,
+    peer: AddressCodec,
+    http: AddressCodec,
+    seeds: t.array(AddressCodec),
+  }),
+  t.partial({ platform: AddressCodec, operators: t.array(Credential) }),
 ])
 export type AgentShape = t.TypeOf<typeof AgentShape>
 
-export const ProxyShape = t.type({ listen: Address, admin: Address, agent: Address })
+export const ProxyShape = t.type({ listen: AddressCodec, admin: AddressCodec, agent: AddressCodec })
 export type ProxyShape = t.TypeOf<typeof ProxyShape>
 
 // What a shape alone can't tell.
--- a/packages/claynotch/src/verbs.ts
+++ b/packages/claynotch/src/verbs.ts
@@ -13,7 +13,7 @@
   type Edit,
   type Fleet,
 } from '@claynotch/operator'
-import { Address, callOnce, realWorld, showFindings, type Answer, type Finding } from '@claynotch/base'
+import { AddressCodec, requestOnce, realWorld, showFindings, type HttpAnswer, type Finding } from '@claynotch/base'
 
 // Operator verbs. Exit codes: 0 done, 1 refused, 2 bad input, 3 unclear or no answer.
 const LIMIT = 15000
@@ -22,11 +22,11 @@
   process.stderr.write(text.endsWith('\n') ? text : `${text}\n`)
   process.exit(code)
 }
-async function call(to: string, method: string, path: string, body?: unknown): Promise<Answer> {
-  if (!Address.is(to)) stopWith(2, `--to: expected ${Address.name}`)
+async function call(to: string, method: string, path: string, body?: unknown): Promise<HttpAnswer> {
+  if (!AddressCodec.is(to)) stopWith(2, `--to: expected ${AddressCodec.name}`)
   // NAME:TOKEN of an operator, where the fleet asks for one.
   const token = process.env.CLAYNOTCH_TOKEN
-  const got = await callOnce(
+  const got = await requestOnce(
     realWorld(),
     to,
     method,
--- a/packages/duty/src/index.ts
+++ b/packages/duty/src/index.ts
@@ -1,3 +1,3 @@
-export * from './calls.js'
+export * from './promotion-calls.js'
 export * from './duty.js'
-export * from './move.js'
+export * from './route-moves.js'
--- a/packages/duty/src/calls.ts
+++ b/packages/duty/src/promotion-calls.ts
@@ -1,4 +1,4 @@
-import type { Addr, World } from '@claynotch/base'
+import type { Address, World } from '@claynotch/base'
 import type { Promotion, PromotionEdge, PromotionEnd } from '@claynotch/host'
 
 /**
@@ -10,7 +10,7 @@
  */
 export function onePerGroup(call: PromotionEdge): PromotionEdge {
   const underWay = new Set<string>()
-  async function promote(world: World, at: Addr | undefined, what: Promotion): Promise<PromotionEnd> {
+  async function promote(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
     const { group } = what
     if (underWay.has(group)) return { end: 'unclear', why: 'a call of this group is on its way' }
     underWay.add(group)
--- a/packages/fleet/src/capacity/breaks.ts
+++ b/packages/fleet/src/capacity/breaks.ts
@@ -1,4 +1,9 @@
-import { FRAME_LIMIT, HISTORY_KEPT, SIGHTS_KEPT, VALUE_LIMIT } from '@claynotch/base'
+import {
+  FRAME_LIMIT_BYTES,
+  MAX_HISTORY_ENTRIES,
+  MAX_KNOWN_INSTANCES,
+  REGISTER_VALUE_LIMIT_BYTES,
+} from '@claynotch/base'
 import { KEPT_BACK } from '@claynotch/operator'
 import type { Model } from './model.js'
 import { type Bounds, type Size, SUMMARY_HINTS } from './size.js'
@@ -48,12 +53,12 @@
     ],
     [
       "the configuration's register, over which changes are refused",
-      { bound: VALUE_LIMIT, at: s.value, unit: 'bytes' },
+      { bound: REGISTER_VALUE_LIMIT_BYTES, at: s.value, unit: 'bytes' },
     ],
-    ['a frame of a link: the first answer to a renewal', { bound: FRAME_LIMIT, at: s.answer, unit: 'bytes' }],
+    ['a frame of a link: the first answer to a renewal', { bound: FRAME_LIMIT_BYTES, at: s.answer, unit: 'bytes' }],
     [
       'instances that a node keeps in mind',
-      { bound: SIGHTS_KEPT, at: size.groups * share * size.instances, unit: 'instances' },
+      { bound: MAX_KNOWN_INSTANCES, at: size.groups * share * size.instances, unit: 'instances' },
     ],
     [
       'one change pushed to all nodes by one core, at 1 Gbit/s',
@@ -72,7 +77,10 @@
       { bound: SUMMARY_HINTS, at: (size.groups * size.instances) / size.nodes, unit: 'instances' },
     ],
     ['summaries held by a node', { bound: 256, at: n, unit: 'nodes' }],
-    ['a day of accepted changes kept', { bound: HISTORY_KEPT, at: size.changes * 86400 * share, unit: 'changes' }],
+    [
+      'a day of accepted changes kept',
+      { bound: MAX_HISTORY_ENTRIES, at: size.changes * 86400 * share, unit: 'changes' },
+    ],
   ])
 }
 
--- a/packages/fleet/src/capacity/features.ts
+++ b/packages/fleet/src/capacity/features.ts
@@ -1,4 +1,4 @@
-import { DECISIONS_KEPT, HISTORY_KEPT } from '@claynotch/base'
+import { MAX_DECISIONS_PER_STREAM, MAX_HISTORY_ENTRIES } from '@claynotch/base'
 import type { Size } from './size.js'
 
 // The terms that a cost may grow with, by name: each a function of the size of a fleet.
@@ -114,11 +114,11 @@
 }
 
 function decisions(e: Env): number {
-  return Math.min(e.history, DECISIONS_KEPT)
+  return Math.min(e.history, MAX_DECISIONS_PER_STREAM)
 }
 
 function history(e: Env): number {
-  return Math.min(e.history, HISTORY_KEPT)
+  return Math.min(e.history, MAX_HISTORY_ENTRIES)
 }
 
 export function featureOf(name: string, env: Env): number {
--- a/packages/fleet/src/capacity/size.ts
+++ b/packages/fleet/src/capacity/size.ts
@@ -1,4 +1,4 @@
-import { SUMMARY_LIMIT } from '@claynotch/base'
+import { SUMMARY_LIMIT_BYTES } from '@claynotch/base'
 
 // The sizes that sums are made for, and the bounds that they are held against.
 
@@ -32,4 +32,4 @@
 export const bounds: Bounds = { core: 0.011, memory: 32e6, bytes: 6000, machines: 31, inForce: 8 }
 
 // count. Instances that fit a summary of the hollow fleet: about 9 bytes for each (names of 4 to 7 letters) beside some 60 for the rest.
-export const SUMMARY_HINTS = Math.floor((SUMMARY_LIMIT - 60) / 9)
+export const SUMMARY_HINTS = Math.floor((SUMMARY_LIMIT_BYTES - 60) / 9)
--- a/packages/fleet/src/control/census.ts
+++ b/packages/fleet/src/control/census.ts
@@ -2,7 +2,17 @@
  * The census: under every core set that ever was, whoever still answers under it is asked for the members. No quorum of cores
  * that are all sure may miss a node that holds a valid lease by its own clock.
  */
-import { hello, holdLink, makeFlag, nothing, pause, readAs, type Addr, type Held, type World } from '@claynotch/base'
+import {
+  makeHello,
+  makePersistentLink,
+  makeFlag,
+  noop,
+  pause,
+  readAs,
+  type Address,
+  type PersistentLink,
+  type World,
+} from '@claynotch/base'
 import { MembersAnswer } from '@claynotch/register'
 import type { ControlFleet } from './fleet.js'
 import { quorumOf, votersOf, type CoreSet } from './sets.js'
@@ -24,7 +34,7 @@
   const now = fleet.sim.now()
   const out: Holder[] = []
   for (const life of fleet.lives()) {
-    const one = { node: life.node, termUntil: life.agent.termUntil(), machine: life.machine, proc: life.proc }
+    const one = { node: life.node, termUntil: life.agent.leaseExpiresAt(), machine: life.machine, proc: life.proc }
     if (!life.ending() && stands(one, now)) out.push(one)
   }
   return out
@@ -62,9 +72,9 @@
     }
   }
   async function run(world: World): Promise<void> {
-    const links = new Map<string, Held>()
-    async function ask(addr: Addr, epoch: number): Promise<MembersAnswer | undefined> {
-      const held = links.get(addr) ?? holdLink(world, addr, hello('test', 'census'), nothing, makeFlag())
+    const links = new Map<string, PersistentLink>()
+    async function ask(addr: Address, epoch: number): Promise<MembersAnswer | undefined> {
+      const held = links.get(addr) ?? makePersistentLink(world, addr, makeHello('test', 'census'), noop, makeFlag())
       links.set(addr, held)
       const got = readAs(MembersAnswer, await held.ask({ t: 'members', epoch }, CENSUS_WAIT))
       return got.ok && got.val.ok && got.val.sure ? got.val : undefined
--- a/packages/fleet/src/control/fleet.ts
+++ b/packages/fleet/src/control/fleet.ts
@@ -4,8 +4,17 @@
  * A box is one core machine (a core and its agent, as `startCoreMachine` makes them); a front is one agent without a core.
  * Orders are taken through the same desk that the platform's operator edge uses.
  */
-import { ownEdges, takeSeeds, type Agent, type AgentEdges, type Desk } from '@claynotch/agent'
-import { readAs, serve, VOTERS_MOST, type Addr, type Ask, type Reply, type Serving, type World } from '@claynotch/base'
+import { ownAdapters, answerSeeds, type Agent, type AgentAdapters, type ControlService } from '@claynotch/agent'
+import {
+  readAs,
+  serveHttp,
+  MAX_VOTERS,
+  type Address,
+  type HttpRequest,
+  type HttpResponse,
+  type HttpListener,
+  type World,
+} from '@claynotch/base'
 import { startCoreMachine, startFrontAgent, type CoreMachine } from '@claynotch/claynotch'
 import { Change } from '@claynotch/operator'
 import { quorumOf, readCoreSet, votersOf, type CoreSet } from './sets.js'
@@ -64,8 +73,8 @@
 }
 
 /** What a box answers to operators. */
-async function answer(ask: Ask, desk: Desk): Promise<Reply | undefined> {
-  const seeds = takeSeeds(ask, desk.coreSet())
+async function answer(ask: HttpRequest, desk: ControlService): Promise<HttpResponse | undefined> {
+  const seeds = answerSeeds(ask, desk.coreSet())
   if (seeds) return seeds
   if (ask.path === '/read') {
     const body = await desk.read()
@@ -81,16 +90,16 @@
   for (const c of votersOf(set)) if (c.id === box.ip) return true
   return false
 }
-function control(world: World, addr: Addr, desk: Desk): Promise<Serving> {
-  function handle(ask: Ask): Promise<Reply | undefined> {
+function control(world: World, addr: Address, desk: ControlService): Promise<HttpListener> {
+  function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
     return answer(ask, desk)
   }
-  return serve(world, addr, handle, { limit: 4 * 1024 * 1024 })
+  return serveHttp(world, addr, handle, { limit: 4 * 1024 * 1024 })
 }
-const edges: AgentEdges = { ...ownEdges, control }
+const edges: AgentAdapters = { ...ownAdapters, control }
 
 /** The http address of a box. */
-export function httpOf(box: Box): Addr {
+export function httpOf(box: Box): Address {
   return `${box.ip}:8000`
 }
 
@@ -103,23 +112,23 @@
   const lastSeen = new Map<Box, CoreSet>()
   let living: Life[] = []
 
-  function firstSeeds(): Addr[] {
-    const out: Addr[] = []
+  function firstSeeds(): Address[] {
+    const out: Address[] = []
     for (let k = 0; k < founders; k++) out.push(`10.0.1.${k + 1}:8000`)
     return out
   }
   /** Three processes that are there, as whoever starts a machine would name them; not the machine itself. */
-  function someSeeds(but: Box | undefined): Addr[] {
+  function someSeeds(but: Box | undefined): Address[] {
     const list = boxes.filter(isOther)
     function isOther(b: Box): boolean {
       return b !== but && !b.gone
     }
-    const out: Addr[] = []
+    const out: Address[] = []
     while (out.length < 3 && list.length > 0)
       out.push(httpOf(list.splice(Math.floor(sim.random() * list.length), 1)[0]))
     return out
   }
-  function begin(box: Box, seeds: Addr[], first: boolean): void {
+  function begin(box: Box, seeds: Address[], first: boolean): void {
     async function run(world: World): Promise<void> {
       const got = await startCoreMachine(
         world,
@@ -279,14 +288,14 @@
     let removed = 0
     for (const b of present()) if (!hasBox(set, b)) outside++
     for (const b of boxes) if (b.gone && hasBox(set, b)) removed++
-    return outside === 0 || (set.cores.length >= VOTERS_MOST && removed === 0)
+    return outside === 0 || (set.cores.length >= MAX_VOTERS && removed === 0)
   }
   /** The latest set that is known, and every later one that a core has accepted, chosen or not. */
   function mayDecide(): CoreSet[] {
     const last = latest()
     const out = [last]
     for (const b of boxes) {
-      const set = readCoreSet(b.run?.core.store.cells().get('coreset')?.value?.body)
+      const set = readCoreSet(b.run?.core.store.entries().get('coreset')?.value?.body)
       if (set && set.epoch > last.epoch) out.push(set)
     }
     return out
--- a/packages/fleet/src/control/model.ts
+++ b/packages/fleet/src/control/model.ts
@@ -10,9 +10,9 @@
  * - a read sees what was told accepted before it began;
  * - of each change of a register there is one value, whoever learned it.
  */
-import { NAMED_KEPT } from '@claynotch/base'
+import { MAX_NAMED_CHANGES } from '@claynotch/base'
 import type { Body, Decision } from '@claynotch/operator'
-import type { Value } from '@claynotch/register'
+import type { RegisterValue } from '@claynotch/register'
 
 /** `epoch`: the one that it makes. `acceptedAt`: the epoch told, where it was told accepted. */
 export type Order = {
@@ -33,7 +33,7 @@
   /** A body that was chosen, as someone holds it. */
   saw: (body: Body, where: string) => void
   /** A value that someone learned to be chosen. */
-  learned: (key: string, value: Value, where: string) => void
+  learned: (key: string, value: RegisterValue, where: string) => void
   /** The highest epoch told accepted so far. */
   acknowledged: () => number
   /** The highest epoch seen in force. */
@@ -99,7 +99,7 @@
     else if (one.refused !== undefined) broken(`${name} was refused (${one.refused}) and is in force by ${where}`)
   }
   function saw(body: Body, where: string): void {
-    let prior: number | undefined = body.history.length < NAMED_KEPT ? 0 : undefined
+    let prior: number | undefined = body.history.length < MAX_NAMED_CHANGES ? 0 : undefined
     for (const h of body.history) {
       force(h.epoch, h.stream, where)
       const expect = orders.get(h.stream)?.expect
@@ -112,7 +112,7 @@
     if (label !== undefined && label !== inForce.get(body.epoch))
       broken(`epoch ${body.epoch} holds the document of ${label}, not ${inForce.get(body.epoch)}, by ${where}`)
   }
-  function learned(key: string, value: Value, where: string): void {
+  function learned(key: string, value: RegisterValue, where: string): void {
     const at = `${key} ${value.turn}`
     const old = tags.get(at)
     if (old === undefined) tags.set(at, value.tag)
@@ -120,7 +120,7 @@
   }
   function judge(last: Body): void {
     saw(last, 'the last read')
-    const least = last.history.length < NAMED_KEPT ? 0 : last.history[0].epoch
+    const least = last.history.length < MAX_NAMED_CHANGES ? 0 : last.history[0].epoch
     const kept = new Set<string>()
     for (const h of last.history) kept.add(h.stream)
     for (const one of orders.values()) {
--- a/packages/fleet/src/control/operators.ts
+++ b/packages/fleet/src/control/operators.ts
@@ -2,7 +2,7 @@
  * Operators that send orders as the platform's does: each order names the epoch that it expects and the one that it makes,
  * and is sent again, the same, to another machine where no clear answer came within a second.
  */
-import { callOnce, pause, type World } from '@claynotch/base'
+import { requestOnce, pause, type World } from '@claynotch/base'
 import type { Body, Change, Decision } from '@claynotch/operator'
 import { httpOf, type Box, type ControlFleet } from './fleet.js'
 import type { Model, Order } from './model.js'
@@ -38,7 +38,7 @@
   }
   async function sendOnce(order: Order, at: Box): Promise<Decision | undefined> {
     if (!world) return undefined
-    const got = await callOnce(world, httpOf(at), 'POST', `/order/${order.name}`, changeOf(order), ANSWER_WAIT)
+    const got = await requestOnce(world, httpOf(at), 'POST', `/order/${order.name}`, changeOf(order), ANSWER_WAIT)
     const decision = got.ok && got.val.status === 200 ? (got.val.body as Decision) : undefined
     if (got.ok && got.val.status !== 200 && got.val.status !== 503)
       fleet.broken(`${order.name}: status ${got.val.status} from ${at.name}`)
@@ -57,7 +57,7 @@
   async function read(at: Box): Promise<Body | undefined> {
     if (!world) return undefined
     const before = model.acknowledged()
-    const got = await callOnce(world, httpOf(at), 'GET', '/read', undefined, ANSWER_WAIT)
+    const got = await requestOnce(world, httpOf(at), 'GET', '/read', undefined, ANSWER_WAIT)
     if (!got.ok || got.val.status !== 200) return undefined
     const body = got.val.body as Body
     model.saw(body, `a read at ${at.name}`)
--- a/packages/fleet/src/control/watch.ts
+++ b/packages/fleet/src/control/watch.ts
@@ -4,7 +4,7 @@
  */
 import type { Agent } from '@claynotch/agent'
 import { CONFIG_KEY, type Body } from '@claynotch/operator'
-import { CORESET_KEY, groupKey, type Value } from '@claynotch/register'
+import { CORESET_KEY, groupKey, type RegisterValue } from '@claynotch/register'
 import type { ControlFleet } from './fleet.js'
 import type { Model } from './model.js'
 
@@ -15,13 +15,13 @@
 export function startWatch(fleet: ControlFleet, model: Model, over: () => boolean): void {
   const { sim } = fleet
   // What each life of an agent knew last, by register.
-  const last = new Map<Agent, Map<string, Value>>()
+  const last = new Map<Agent, Map<string, RegisterValue>>()
 
   function lookAt(agent: Agent, where: string): void {
-    const known = last.get(agent) ?? new Map<string, Value>()
+    const known = last.get(agent) ?? new Map<string, RegisterValue>()
     last.set(agent, known)
     for (const key of KEYS) {
-      const value = agent.cell(key)
+      const value = agent.register(key)
       const old = known.get(key)
       if (!value) {
         if (old) fleet.broken(`${where} forgot ${key}`)
@@ -43,7 +43,7 @@
   function lookAtLeases(): void {
     const holders = new Map<string, number>()
     for (const life of fleet.lives())
-      if (life.agent.termUntil() > sim.now() + life.machine.skew)
+      if (life.agent.leaseExpiresAt() > sim.now() + life.machine.skew)
         holders.set(life.node, (holders.get(life.node) ?? 0) + 1)
     for (const [node, count] of holders) if (count > 1) fleet.broken(`${count} lives of ${node} hold leases`)
   }
--- a/packages/fleet/src/corefleet.ts
+++ b/packages/fleet/src/corefleet.ts
@@ -1,5 +1,13 @@
 import { startCoreMachine, type CoreMachine } from '@claynotch/claynotch'
-import { hello, holdLink, makeFlag, pause, type Addr, type Held, type World } from '@claynotch/base'
+import {
+  makeHello,
+  makePersistentLink,
+  makeFlag,
+  pause,
+  type Address,
+  type PersistentLink,
+  type World,
+} from '@claynotch/base'
 import {
   askSeeds,
   makeProposer,
@@ -49,7 +57,7 @@
 export function idOf(k: number): string {
   return `10.0.1.${k + 1}`
 }
-export function httpAt(k: number): Addr {
+export function httpAt(k: number): Address {
   return `${idOf(k)}:8000`
 }
 export function makeCoreFleet(seed: number, mostVoters: number): CoreFleet {
@@ -59,7 +67,7 @@
   const seen = new Map<number, string>()
   function begin(k: number, seeds: number[], first: boolean): void {
     const b = boxes[k]
-    const list: Addr[] = []
+    const list: Address[] = []
     for (const s of seeds) list.push(`${idOf(s)}:8000`)
     async function run(world: World): Promise<void> {
       b.run = await startCoreMachine(world, {
@@ -151,18 +159,18 @@
   world: World,
   name: string,
   first: CoreSet,
-  seeds: () => Addr[],
+  seeds: () => Address[],
   follow: boolean,
 ): Promise<Proposer> {
   let set = first
-  const links = new Map<string, Held>()
+  const links = new Map<string, PersistentLink>()
   function adopt(next: CoreSet): void {
     if (follow && next.epoch > set.epoch) set = next
   }
   function voters(): Voter[] {
     const out: Voter[] = []
     for (const c of votersOf(set)) {
-      const held = links.get(c.id) ?? holdLink(world, c.addr, hello('test', name), nothing, makeFlag())
+      const held = links.get(c.id) ?? makePersistentLink(world, c.addr, makeHello('test', name), nothing, makeFlag())
       links.set(c.id, held)
       out.push({ id: c.id, ask: held.ask, tell: held.tell })
     }
--- a/packages/fleet/src/detection.ts
+++ b/packages/fleet/src/detection.ts
@@ -9,7 +9,7 @@
 
 function recordOf(f: SimFleet): GroupRecord | undefined {
   for (const x of f.fronts) {
-    const rec = x.agent?.cell('group/g1')?.body as GroupRecord | undefined
+    const rec = x.agent?.register('group/g1')?.body as GroupRecord | undefined
     if (rec) return rec
   }
   return undefined
--- a/packages/fleet/src/harm.ts
+++ b/packages/fleet/src/harm.ts
@@ -44,7 +44,7 @@
 export function newestOf(f: SimFleet, key: string): unknown {
   let best: { turn: number; body: unknown } | undefined
   for (const x of f.fronts) {
-    const cell = x.agentProc.state === 'up' ? x.agent?.cell(key) : undefined
+    const cell = x.agentProc.state === 'up' ? x.agent?.register(key) : undefined
     if (cell && (!best || cell.turn > best.turn)) best = cell
   }
   return best?.body
--- a/packages/fleet/src/hollow.ts
+++ b/packages/fleet/src/hollow.ts
@@ -1,7 +1,7 @@
 import { mkdirSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { type Addr, callOnce, logTo, nothing, pause, realWorld } from '@claynotch/base'
+import { type Address, requestOnce, logTo, noop, pause, realWorld } from '@claynotch/base'
 import { changeOf, type HollowShape, planHollow } from './hollownode.js'
 import type { Reading, State } from './hollowpart.js'
 import { type Part, slice, startPart } from './hollowprocess.js'
@@ -30,12 +30,12 @@
 const SIZES = ['configuration', 'slots', 'group/g1', 'renewal', 'answer to a renewal']
 
 export async function runHollow(opt: HollowOptions): Promise<HollowReport> {
-  const world = realWorld(logTo(nothing))
+  const world = realWorld(logTo(noop))
   const data = join(tmpdir(), `claynotch-hollow-${process.pid}`)
   mkdirSync(data, { recursive: true })
   // A stretch of loopback addresses of its own for each run, so that runs beside each other don't meet.
   const net = 16 + (process.pid % 200)
-  function where(kind: 'core' | 'node' | 'instance', k: number, port: number): Addr {
+  function where(kind: 'core' | 'node' | 'instance', k: number, port: number): Address {
     const far = k + (kind === 'core' ? 1 : kind === 'node' ? 256 : 20000)
     return `127.${net}.${far >> 8}.${far & 255}:${port}`
   }
@@ -142,7 +142,7 @@
     async function post(change: object): Promise<boolean> {
       const at = world.now()
       const node = plan.nodes[number % plan.nodes.length]
-      const got = await callOnce(world, node.http, 'POST', '/streams/hollow', change, 15000)
+      const got = await requestOnce(world, node.http, 'POST', '/streams/hollow', change, 15000)
       const body = got.ok
         ? ((typeof got.val.body === 'string' ? JSON.parse(got.val.body) : got.val.body) as {
             decision?: string
@@ -276,7 +276,7 @@
     await again.order('begin')
     await pause(world, 2500)
     report.repair = await readWindow()
-    await all(parts, 'end').catch(nothing)
+    await all(parts, 'end').catch(noop)
     const { nodes, groups, lanes, cores, instances, areas, changes, mute, history, seed, shares } = opt
     return {
       ...report,
--- a/packages/fleet/src/hollownode.ts
+++ b/packages/fleet/src/hollownode.ts
@@ -1,44 +1,51 @@
 import { startAgent, type Agent } from '@claynotch/agent'
 import {
-  callOnce,
-  hello,
-  holdLink,
+  requestOnce,
+  makeHello,
+  makePersistentLink,
   loop,
   makeFlag,
   makeMetrics,
-  NOTE_BEAT,
+  PROXY_REPORT_INTERVAL_MS,
   pause,
   readAs,
-  serve,
-  type Addr,
-  type Ask,
+  serveHttp,
+  type Address,
+  type HttpRequest,
   type Flag,
-  type Reply,
+  type HttpResponse,
   type World,
 } from '@claynotch/base'
 import { httpInstance } from '@claynotch/instance'
 import type { Config } from '@claynotch/operator'
 import { makeState, startWatch, type State } from '@claynotch/proxy'
-import { Feed, groupOf, startCore, type Core, type CorePlace, type Note } from '@claynotch/register'
+import { AgentFeed, groupOf, startCore, type Core, type CorePlace, type ProxyReport } from '@claynotch/register'
 
 // The tasks of a hollow fleet: the product's cores and agents, and instances and proxies that carry no requests. Each is
 // a task of a World, so it runs in real processes, many to one, and in the simulator.
-export type NodePlace = { node: string; area: string; link: Addr; peer: Addr; http: Addr }
-export type InstancePlace = { name: string; group: string; area: string; addr: Addr; leader: boolean; agents: Addr[] }
+export type NodePlace = { node: string; area: string; link: Address; peer: Address; http: Address }
+export type InstancePlace = {
+  name: string
+  group: string
+  area: string
+  addr: Address
+  leader: boolean
+  agents: Address[]
+}
 
 export async function startHollowCore(
   world: World,
-  set: { id: string; cores: CorePlace[]; data: string; http: Addr },
+  set: { id: string; cores: CorePlace[]; data: string; http: Address },
 ): Promise<Core> {
   const core = await startCore(world, { id: set.id, cores: set.cores, data: set.data })
-  function handle(ask: Ask): Reply {
+  function handle(ask: HttpRequest): HttpResponse {
     return ask.path === '/seeds' ? { status: 200, body: { cores: set.cores } } : { status: 404, body: {} }
   }
-  await serve(world, set.http, handle)
+  await serveHttp(world, set.http, handle)
   return core
 }
 
-export async function startHollowAgent(world: World, place: NodePlace, seeds: Addr[]): Promise<Agent> {
+export async function startHollowAgent(world: World, place: NodePlace, seeds: Address[]): Promise<Agent> {
   return await startAgent(world, {
     node: place.node,
     area: place.area,
@@ -59,9 +66,9 @@
   stopAll.watch(stop.fire)
   const state = makeState(world)
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
-  const numbers = makeMetrics()
+  const metrics = makeMetrics()
   const epochAt = new Map<number, number>()
-  const seen = watch ? startWatch(world, state, httpInstance, stop, numbers) : undefined
+  const seen = watch ? startWatch(world, state, httpInstance, stop, metrics) : undefined
   let fed = 0
   function note(): void {
     const now = world.now()
@@ -75,7 +82,7 @@
       const rec = group === undefined ? undefined : state.group(group)?.record
       if (group !== undefined && rec && rec.phase !== 'steady') moving.push([group, rec.epoch])
     }
-    const word: Note = {
+    const word: ProxyReport = {
       t: 'note',
       life,
       acks: [...state.turns()],
@@ -90,7 +97,7 @@
     agent.tell(word)
   }
   function take(msg: unknown): undefined {
-    const got = readAs(Feed, msg)
+    const got = readAs(AgentFeed, msg)
     if (got.err) throw new Error('unknown word from the agent')
     state.take(got.val)
     fed = world.now()
@@ -99,8 +106,8 @@
     note()
     return undefined
   }
-  const agent = holdLink(world, place.link, hello('proxy', life), take, stop, note)
-  void loop(world, 'note', NOTE_BEAT, stop, note)
+  const agent = makePersistentLink(world, place.link, makeHello('proxy', life), take, stop, note)
+  void loop(world, 'note', PROXY_REPORT_INTERVAL_MS, stop, note)
   function fedAt(): number {
     return fed
   }
@@ -111,7 +118,7 @@
 export async function startHollowInstance(world: World, set: InstancePlace, stop: Flag): Promise<void> {
   let role: 'leader' | 'follower' = set.leader ? 'leader' : 'follower'
   let epoch = 1
-  function handle(ask: Ask): Reply {
+  function handle(ask: HttpRequest): HttpResponse {
     if (ask.path === '/promotion') {
       const wish = (ask.body as { epoch?: number } | undefined)?.epoch ?? 0
       if (wish < epoch || (wish === epoch && role === 'follower')) return { status: 409, body: {} }
@@ -128,12 +135,12 @@
     ]
     return ask.path === '/status' ? { status: 200, body: { rows } } : { status: 404, body: {} }
   }
-  await serve(world, set.addr, handle)
+  await serveHttp(world, set.addr, handle)
   let turn = Math.floor(world.random() * set.agents.length)
   async function announce(): Promise<void> {
     for (let k = 0; k < set.agents.length; k++) {
       const to = set.agents[(turn + k) % set.agents.length]
-      const got = await callOnce(
+      const got = await requestOnce(
         world,
         to,
         'POST',
@@ -168,11 +175,11 @@
   shares: 'slots' | 'live'
 }
 // place: an address of its own for each thing, by kind and number.
-export type Where = (kind: 'core' | 'node' | 'instance', k: number, port: number) => Addr
+export type Where = (kind: 'core' | 'node' | 'instance', k: number, port: number) => Address
 export type HollowPlan = {
-  cores: { id: string; addr: Addr; http: Addr }[]
+  cores: { id: string; addr: Address; http: Address }[]
   set: CorePlace[]
-  seeds: Addr[]
+  seeds: Address[]
   nodes: NodePlace[]
   instances: InstancePlace[]
   config: Config
@@ -183,7 +190,7 @@
   for (let k = 0; k < shape.cores; k++)
     cores.push({ id: `core${k + 1}`, addr: where('core', k, 7000), http: where('core', k, 7001) })
   const set: CorePlace[] = []
-  const seeds: Addr[] = []
+  const seeds: Address[] = []
   for (const c of cores) {
     set.push({ id: c.id, addr: c.addr })
     if (seeds.length < 3) seeds.push(c.http)
@@ -204,7 +211,7 @@
     groups.push({ name: `g${g + 1}`, connections: 4 * shape.nodes })
     for (let k = 0; k < shape.instances; k++) {
       const num = g * shape.instances + k
-      const agents: Addr[] = []
+      const agents: Address[] = []
       for (let n = 0; n < 3; n++) agents.push(nodes[(num + n * 7) % nodes.length].http)
       instances.push({
         name: `g${g + 1}-${k + 1}`,
--- a/packages/fleet/src/hollowpart.ts
+++ b/packages/fleet/src/hollowpart.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs'
-import { makeFlag, nothing, parseAddr, pause, realWorld, type Addr, type World } from '@claynotch/base'
+import { makeFlag, noop, parseAddr, pause, realWorld, type Address, type World } from '@claynotch/base'
 import type { Agent } from '@claynotch/agent'
 import type { Core, CorePlace } from '@claynotch/register'
 import {
@@ -19,8 +19,8 @@
 process.env.UV_USE_IO_URING = '0'
 
 export type PartSpec =
-  | { role: 'core'; id: string; cores: CorePlace[]; data: string; http: Addr }
-  | { role: 'agent'; nodes: NodePlace[]; seeds: Addr[]; mute: boolean }
+  | { role: 'core'; id: string; cores: CorePlace[]; data: string; http: Address }
+  | { role: 'agent'; nodes: NodePlace[]; seeds: Address[]; mute: boolean }
   | { role: 'proxy'; nodes: NodePlace[]; watch: boolean }
   | { role: 'instance'; list: InstancePlace[] }
 // spent: processor time by mechanism, in samples. cpu: s of user and system time since the last mark,
@@ -44,7 +44,7 @@
 const tally = makeTally()
 
 // What goes over a stream follows from the port, as the plan has one for each purpose.
-function carried(_way: 'dial' | 'listen', addr: Addr): Carried {
+function carried(_way: 'dial' | 'listen', addr: Address): Carried {
   switch (parseAddr(addr).port) {
     case 7000:
       return { name: 'links', frames: true }
@@ -68,7 +68,7 @@
 const quiet: typeof world = spec.role === 'agent' && spec.mute ? { ...world, wire: muteWire } : world
 async function muteWire(...args: Parameters<typeof world.wire>): ReturnType<typeof world.wire> {
   const w = await world.wire(...args)
-  return { cast: nothing, close: w.close }
+  return { cast: noop, close: w.close }
 }
 
 async function startAgents(): Promise<void> {
@@ -151,7 +151,7 @@
   let up = 0
   let steady = 0
   if (core?.serving()) up = 1
-  for (const a of agents) if (a.termUntil() > now) up++
+  for (const a of agents) if (a.leaseExpiresAt() > now) up++
   const epochs = new Map<number, [number, number]>()
   const fed: number[] = []
   let shares = 0
--- a/packages/fleet/src/hollowvirtual.ts
+++ b/packages/fleet/src/hollowvirtual.ts
@@ -1,5 +1,5 @@
 import type { Agent } from '@claynotch/agent'
-import { type Addr, callOnce, makeFlag, parseAddr, type World } from '@claynotch/base'
+import { type Address, requestOnce, makeFlag, parseAddr, type World } from '@claynotch/base'
 import type { Core } from '@claynotch/register'
 import {
   type HollowPlan,
@@ -24,7 +24,7 @@
 ): Promise<{ stood: boolean; seconds: number; core: Line[]; agent: Line[]; proxy: Line[]; instance: Line[] }> {
   const sim = makeSim(seed)
   const random = makeRandom(seed)
-  function where(kind: 'core' | 'node' | 'instance', k: number, port: number): Addr {
+  function where(kind: 'core' | 'node' | 'instance', k: number, port: number): Address {
     const far = k + 1
     return `10.${kind === 'core' ? 1 : kind === 'node' ? 2 : 3}.${far >> 8}.${far & 255}:${port}`
   }
@@ -37,7 +37,7 @@
   ])
   const stop = makeFlag()
   function tapped(role: string, world: World): World {
-    function carried(_way: 'dial' | 'listen', addr: Addr): Carried {
+    function carried(_way: 'dial' | 'listen', addr: Address): Carried {
       const { port } = parseAddr(addr)
       return {
         name: port === 7001 ? 'discovery' : port === 7080 ? 'announcements' : 'probes',
@@ -78,7 +78,7 @@
   await sim.until(termed, 10000)
   await sim.run(sim.now() + 5000)
   async function operate(world: World): Promise<void> {
-    await callOnce(
+    await requestOnce(
       world,
       plan.nodes[Math.floor(random() * plan.nodes.length)].http,
       'POST',
--- a/packages/fleet/src/instance.ts
+++ b/packages/fleet/src/instance.ts
@@ -1,16 +1,16 @@
 import {
-  type Addr,
-  type Ask,
-  callOnce,
+  type Address,
+  type HttpRequest,
+  requestOnce,
   type Flag,
-  type Line,
+  type HttpConnection,
   loop,
-  makeFile,
+  makeDataFile,
   makeFlag,
-  makeTurnstile,
-  openLine,
-  type Reply,
-  serve,
+  makeSerialQueue,
+  openHttpConnection,
+  type HttpResponse,
+  serveHttp,
   type World,
 } from '@claynotch/base'
 import type { Entry, Faults, Instance, InstanceRecord, InstanceSettings, Ran, Took } from './instancetypes.js'
@@ -35,7 +35,7 @@
 
 export async function startInstance(world: World, set: InstanceSettings): Promise<Instance> {
   const stop = makeFlag()
-  const file = makeFile(world, `${set.data}/log`)
+  const file = makeDataFile(world, `${set.data}/log`)
   const faults: Faults = {
     dark: false,
     lose: [],
@@ -59,7 +59,7 @@
   const ran: Ran[] = []
   const took: Took[] = []
   const sessions = new Map<object, Session>()
-  const enter = makeTurnstile()
+  const enter = makeSerialQueue()
   let unsaved: Entry[] = []
   let unsavedRan: Ran[] = []
 
@@ -103,10 +103,10 @@
     await file.append({ k: 'role', role, epoch, base })
   }
 
-  function error(code: string, message: string): Reply {
+  function error(code: string, message: string): HttpResponse {
     return { status: code === 'BUSY' ? 503 : 409, body: { code, message } }
   }
-  function good(rows: unknown[], position = log.length): Reply {
+  function good(rows: unknown[], position = log.length): HttpResponse {
     return { status: 200, body: { rows, epoch, position } }
   }
   function sessionOf(line: object): Session {
@@ -117,7 +117,7 @@
     }
     return s
   }
-  async function write(ops: [string, string][]): Promise<Reply> {
+  async function write(ops: [string, string][]): Promise<HttpResponse> {
     const e: Entry = { epoch, ops }
     put(e)
     const position = log.length
@@ -131,7 +131,7 @@
   async function statement(
     s: Session,
     body: { text?: string; shape?: string; args?: unknown[]; mode?: string },
-  ): Promise<Reply> {
+  ): Promise<HttpResponse> {
     if (leftAt !== undefined && world.now() - leftAt > 7000) lateWork++
     if (faults.sick > 0 && !s.open && world.random() < faults.sick)
       return error('ELECTION', 'an election is in progress')
@@ -168,7 +168,7 @@
     }
     return error('SYNTAX', `unknown statement ${text.slice(0, 40)}`)
   }
-  async function answer(ask: Ask): Promise<Reply> {
+  async function answer(ask: HttpRequest): Promise<HttpResponse> {
     const body = (ask.body ?? {}) as {
       text?: string
       mode?: string
@@ -262,7 +262,7 @@
     }
     return { status: 404, body: { code: 'SYNTAX', message: 'no such path' } }
   }
-  async function handle(ask: Ask): Promise<Reply | undefined> {
+  async function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
     if (faults.dark && ask.path !== '/fault' && ask.path !== '/record') {
       await makeFlag().wait()
       return undefined
@@ -288,14 +288,14 @@
     }
     closed.watch(over)
   }
-  const http = await serve(world, set.addr, handle, { onLine, limit: 4 * 1024 * 1024 })
+  const http = await serveHttp(world, set.addr, handle, { onLine, limit: 4 * 1024 * 1024 })
 
   // --- replication: a follower fetches from the leader of the highest epoch ---
-  let from: { addr: Addr; line: Line } | undefined
-  async function findLeader(peers = set.peers): Promise<{ addr: Addr; epoch: number } | undefined> {
-    let best: { addr: Addr; epoch: number } | undefined
+  let from: { addr: Address; line: HttpConnection } | undefined
+  async function findLeader(peers = set.peers): Promise<{ addr: Address; epoch: number } | undefined> {
+    let best: { addr: Address; epoch: number } | undefined
     for (const addr of peers) {
-      const got = await callOnce(world, addr, 'GET', '/status', undefined, 500)
+      const got = await requestOnce(world, addr, 'GET', '/status', undefined, 500)
       if (got.err || got.val.status !== 200) continue
       const rows = new Map<string, unknown>()
       for (const r of (got.val.body as { rows: { field: string; value: unknown }[] }).rows) rows.set(r.field, r.value)
@@ -317,7 +317,7 @@
     if (!from || !from.line.alive()) {
       const found = await findLeader()
       if (!found || found.epoch < epoch) return
-      const line = await openLine(world, found.addr, 500)
+      const line = await openHttpConnection(world, found.addr, 500)
       if (line.err) return
       from = { addr: found.addr, line: line.val }
     }
@@ -358,10 +358,10 @@
   // --- copying from another group: a leader's own entries, so its followers get them like any other ---
   // copied: what STATUS reports; of this life of this leader only, and gone where the source's history was cut under it.
   let copied: { epoch: number; position: number } | undefined
-  let there: Line | undefined
+  let there: HttpConnection | undefined
   // place: how far the source was read, with the epoch of its entry there; found again in the log by a new leader.
   let place: { at: number; last: number } | undefined
-  async function copy(source: { group: string; peers: Addr[] }): Promise<void> {
+  async function copy(source: { group: string; peers: Address[] }): Promise<void> {
     if (role !== 'leader' || faults.dark || faults.uncopied) {
       copied = undefined
       place = undefined
@@ -369,7 +369,7 @@
     }
     if (!there?.alive()) {
       const found = await findLeader(source.peers)
-      const line = found ? await openLine(world, found.addr, 500) : undefined
+      const line = found ? await openHttpConnection(world, found.addr, 500) : undefined
       if (!line?.ok) return
       there = line.val
     }
@@ -402,7 +402,7 @@
     await save()
     copied = { epoch: body.epoch, position: body.from + body.entries.length }
   }
-  async function copies(source: { group: string; peers: Addr[] }): Promise<void> {
+  async function copies(source: { group: string; peers: Address[] }): Promise<void> {
     while (!stop.fired()) {
       await copy(source)
       await pauseFor(set.lag / 2)
@@ -427,9 +427,9 @@
   // --- announcements ---
   async function announce(): Promise<void> {
     if (faults.dark) return
-    async function one(addr: Addr): Promise<void> {
+    async function one(addr: Address): Promise<void> {
       const leaving = faults.left
-      const got = await callOnce(
+      const got = await requestOnce(
         world,
         addr,
         'POST',
--- a/packages/fleet/src/instancetypes.ts
+++ b/packages/fleet/src/instancetypes.ts
@@ -1,4 +1,4 @@
-import type { Addr } from '@claynotch/base'
+import type { Address } from '@claynotch/base'
 
 // The settings, faults and records of a stand-in instance.
 
@@ -25,16 +25,16 @@
   name: string
   group: string
   area: string
-  addr: Addr
-  peers: Addr[]
-  agents: Addr[]
+  addr: Address
+  peers: Address[]
+  agents: Address[]
   leader: boolean
   connections: number
   lag: number
   data: string
   leaves?: boolean
   // A leader copies all that this group has, by its leader's log.
-  source?: { group: string; peers: Addr[] }
+  source?: { group: string; peers: Address[] }
 }
 
 export type Instance = {
--- a/packages/fleet/src/local.ts
+++ b/packages/fleet/src/local.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
-import { callOnce, logTo, makeFlag, pause, realWorld, type Addr, type World } from '@claynotch/base'
+import { requestOnce, logTo, makeFlag, pause, realWorld, type Address, type World } from '@claynotch/base'
 import type { InstanceRecord } from './instance.js'
 import { judge, type Judgement } from './judge.js'
 import type { Profile } from './profile.js'
@@ -39,7 +39,7 @@
   return new Promise(start)
 }
 
-export async function freeAddr(): Promise<Addr> {
+export async function freeAddr(): Promise<Address> {
   return `127.0.0.1:${await freePort()}`
 }
 
@@ -60,7 +60,7 @@
   const stop = makeFlag()
   const used = new Set<number>()
 
-  async function addr(): Promise<Addr> {
+  async function addr(): Promise<Address> {
     for (;;) {
       const port = await freePort()
       if (used.has(port)) continue
@@ -89,11 +89,11 @@
     }
     return world.now() - from
   }
-  async function get(at: Addr, path: string): Promise<unknown> {
-    const got = await callOnce(world, at, 'GET', path, undefined, 2000)
+  async function get(at: Address, path: string): Promise<unknown> {
+    const got = await requestOnce(world, at, 'GET', path, undefined, 2000)
     return got.ok && got.val.status === 200 ? got.val.body : undefined
   }
-  async function isReady(at: Addr): Promise<boolean> {
+  async function isReady(at: Address): Promise<boolean> {
     return (await get(at, '/ready')) !== undefined
   }
   function stopAll(): void {
@@ -103,9 +103,9 @@
 
   try {
     // --- cores ---
-    const cores: { id: string; addr: Addr; http: Addr }[] = []
+    const cores: { id: string; addr: Address; http: Address }[] = []
     for (let k = 0; k < profile.cores; k++) cores.push({ id: `core${k + 1}`, addr: await addr(), http: await addr() })
-    const set: { id: string; addr: Addr }[] = []
+    const set: { id: string; addr: Address }[] = []
     for (const c of cores) set.push({ id: c.id, addr: c.addr })
     for (const c of cores)
       start(c.id, claynotchPath, [
@@ -116,7 +116,7 @@
     const seeds = [cores[0].http, cores[1].http, cores[2].http]
     // --- fronts and platform ---
     const platform = await addr()
-    const fronts: { node: string; http: Addr; listen: Addr; admin: Addr }[] = []
+    const fronts: { node: string; http: Address; listen: Address; admin: Address }[] = []
     for (let k = 0; k < profile.fronts; k++) {
       const f = { node: `front${k + 1}`, http: await addr(), listen: await addr(), admin: await addr() }
       const link = await addr()
@@ -141,13 +141,13 @@
       ])
     }
     // --- instances ---
-    const boxes: { name: string; group: string; addr: Addr; path: string }[] = []
+    const boxes: { name: string; group: string; addr: Address; path: string }[] = []
     for (const group of profile.groups) {
-      const addrs: Addr[] = []
+      const addrs: Address[] = []
       for (let k = 0; k < profile.instances; k++) addrs.push(await addr())
       for (let k = 0; k < profile.instances; k++) {
         const name = `${group}${k + 1}`
-        const peers: Addr[] = []
+        const peers: Address[] = []
         for (const a of addrs) if (a !== addrs[k]) peers.push(a)
         const agents = [
           fronts[k % fronts.length].http,
@@ -170,7 +170,7 @@
         start(name, mainPath, ['instance', '--settings', path])
       }
     }
-    const platformMap: { name: string; addr: Addr }[] = []
+    const platformMap: { name: string; addr: Address }[] = []
     for (const b of boxes) platformMap.push({ name: b.name, addr: b.addr })
     start('platform', mainPath, [
       'platform',
@@ -188,7 +188,7 @@
 
     // --- configuration ---
     const sentAt = world.now()
-    const made = await callOnce(
+    const made = await requestOnce(
       world,
       fronts[0].http,
       'POST',
@@ -226,7 +226,7 @@
     function never(): boolean {
       return false
     }
-    const nodes: Addr[] = []
+    const nodes: Address[] = []
     for (const f of fronts) nodes.push(f.listen)
     const sessions = profile.sessions
     // Open loop enough: think time is set so that all sessions together make the profile's rate.
@@ -285,7 +285,7 @@
       const other = profile.groups[1]
       const was = await leaderOf(other)
       const askedAt = world.now()
-      await callOnce(world, fronts[fronts.length - 1].http, 'POST', `/groups/${other}/replacement`, {}, 5000)
+      await requestOnce(world, fronts[fronts.length - 1].http, 'POST', `/groups/${other}/replacement`, {}, 5000)
       async function moved(): Promise<boolean> {
         next = await leaderOf(other)
         return next !== undefined && next.epoch > was!.epoch
@@ -298,7 +298,7 @@
     }
     // A small change in the middle of the run, timed to the last member's acknowledgement.
     const changeAt = world.now()
-    const change = await callOnce(
+    const change = await requestOnce(
       world,
       fronts[fronts.length - 1].http,
       'POST',
@@ -334,7 +334,7 @@
     // --- what the instances recorded, and the metrics ---
     const records: InstanceRecord[] = []
     for (const b of boxes) {
-      const got = (await callOnce(world, b.addr, 'GET', '/record', undefined, 20000)).unwrap()
+      const got = (await requestOnce(world, b.addr, 'GET', '/record', undefined, 20000)).unwrap()
       records.push(got.body as InstanceRecord)
     }
     const sums = new Map<string, number>()
--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -1,7 +1,15 @@
 #!/usr/bin/env node
 import { readFileSync, writeFileSync } from 'node:fs'
 import { defineCommand, runMain } from 'citty'
-import { callOnce, makeLog, realWorld, serve, type Addr, type Ask, type Reply } from '@claynotch/base'
+import {
+  requestOnce,
+  makeLog,
+  realWorld,
+  serveHttp,
+  type Address,
+  type HttpRequest,
+  type HttpResponse,
+} from '@claynotch/base'
 import { pageWith, tableText } from './capacity.js'
 import { runWeek, weekText } from './controlmodel.js'
 import { measureDetection } from './detection.js'
@@ -72,20 +80,20 @@
 
 async function platform({ args }: { args: { settings: string } }): Promise<void> {
   const set = JSON.parse(readFileSync(args.settings, 'utf8')) as {
-    addr: Addr
-    instances: { name: string; addr: Addr }[]
+    addr: Address
+    instances: { name: string; addr: Address }[]
   }
   const world = realWorld()
-  async function handle(ask: Ask): Promise<Reply> {
+  async function handle(ask: HttpRequest): Promise<HttpResponse> {
     const body = ask.body as { instance?: string } | undefined
     for (const one of set.instances) {
       if (one.name !== body?.instance || ask.path !== '/promotion') continue
-      const got = await callOnce(world, one.addr, 'POST', '/promotion', body, 2000)
+      const got = await requestOnce(world, one.addr, 'POST', '/promotion', body, 2000)
       return got.ok ? { status: got.val.status, body: got.val.body } : { status: 502, body: {} }
     }
     return { status: 404, body: {} }
   }
-  await serve(world, set.addr, handle)
+  await serveHttp(world, set.addr, handle)
 }
 
 // Many seeds of every scenario; long, so not part of the tests.
--- a/packages/fleet/src/requester.ts
+++ b/packages/fleet/src/requester.ts
@@ -1,4 +1,4 @@
-import { openLine, pause, type Addr, type Flag, type Line, type World } from '@claynotch/base'
+import { openHttpConnection, pause, type Address, type Flag, type HttpConnection, type World } from '@claynotch/base'
 
 // Stand-in requesters. Each holds one session, works through a mix of operations, and moves to another
 // node with its token when its own doesn't serve. All that it was told goes into the history.
@@ -41,7 +41,7 @@
 
 export type RequesterSettings = {
   id: number
-  nodes: Addr[]
+  nodes: Address[]
   mixes: Mix[]
   think: number
   keys: number
@@ -64,7 +64,7 @@
 
 export async function runRequester(world: World, set: RequesterSettings, stop: Flag): Promise<void> {
   let node = set.id % set.nodes.length
-  let line: Line | undefined
+  let line: HttpConnection | undefined
   const tokens = new Map<string, string>()
   const sessions = new Map<string, string>()
   const shaped = new Set<string>()
@@ -72,7 +72,7 @@
 
   async function call(method: string, path: string, body: unknown): Promise<Told> {
     if (!line?.alive()) {
-      const got = await openLine(world, set.nodes[node], 1000)
+      const got = await openHttpConnection(world, set.nodes[node], 1000)
       if (got.err) return { outcome: 'none', class: 'DIAL', kept: 'nothing' }
       line = got.val
     }
--- a/packages/fleet/src/scenarios/cores.ts
+++ b/packages/fleet/src/scenarios/cores.ts
@@ -118,7 +118,7 @@
   const from = f.sim.now()
   function turns(k: number): string {
     const out: string[] = []
-    for (const [key, c] of f.cores[k].core?.store.cells() ?? []) out.push(`${key}:${c.value?.turn ?? 0}`)
+    for (const [key, c] of f.cores[k].core?.store.entries() ?? []) out.push(`${key}:${c.value?.turn ?? 0}`)
     return out.sort().join()
   }
   function same(): boolean {
--- a/packages/fleet/src/scenarios/instances.ts
+++ b/packages/fleet/src/scenarios/instances.ts
@@ -73,7 +73,7 @@
     let own = 0
     let all = 0
     for (const x of f.fronts) {
-      for (const line of (x.proxy?.numbers.text() ?? '').split('\n')) {
+      for (const line of (x.proxy?.metrics.text() ?? '').split('\n')) {
         const m = /^claynotch_reads_total\{.*area="(own|other)",role="follower"\} (\d+)/.exec(line)
         if (!m) continue
         all += Number(m[2])
--- a/packages/fleet/src/scenarios/leaders.ts
+++ b/packages/fleet/src/scenarios/leaders.ts
@@ -222,7 +222,7 @@
   let firsts = 0
   let again = 0
   for (const x of f.fronts) {
-    for (const line of (x.proxy?.numbers.text() ?? '').split('\n')) {
+    for (const line of (x.proxy?.metrics.text() ?? '').split('\n')) {
       const m = /^claynotch_retry_attempt_total\{.*send="(\d)"\} (\d+)/.exec(line)
       if (m && m[1] === '1') firsts += Number(m[2])
       else if (m) again += Number(m[2])
--- a/packages/fleet/src/simdisk.ts
+++ b/packages/fleet/src/simdisk.ts
@@ -1,4 +1,4 @@
-import { nothing, type Disk } from '@claynotch/base'
+import { noop, type Disk } from '@claynotch/base'
 import type { Clock } from './simclock.js'
 import type { Proc, Writing } from './simparts.js'
 
@@ -25,7 +25,7 @@
     return new Promise(start)
   }
   async function read(path: string): Promise<Uint8Array | undefined> {
-    await spend(nothing)
+    await spend(noop)
     const got = machine.files.get(path)
     return got ? Buffer.from(got) : undefined
   }
--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -1,6 +1,14 @@
-import { type AgentEdges, startAgent } from '@claynotch/agent'
-import { type Addr, type Ask, callOnce, makeFlag, type Reply, serve, type World } from '@claynotch/base'
-import { type ProxyEdges, startProxy } from '@claynotch/proxy'
+import { type AgentAdapters, startAgent } from '@claynotch/agent'
+import {
+  type Address,
+  type HttpRequest,
+  requestOnce,
+  makeFlag,
+  type HttpResponse,
+  serveHttp,
+  type World,
+} from '@claynotch/base'
+import { type ProxyAdapters, startProxy } from '@claynotch/proxy'
 import { type CorePlace, startCore } from '@claynotch/register'
 import { type InstanceRecord, startInstance } from './instance.js'
 import { type Breach, judge, type Judgement, type Law } from './judge.js'
@@ -17,7 +25,7 @@
 export function makeSimFleet(
   seed: number,
   shape: Shape,
-  opt: { keepLines?: boolean; agentEdges?: AgentEdges; proxyEdges?: ProxyEdges } = {},
+  opt: { keepLines?: boolean; agentEdges?: AgentAdapters; proxyEdges?: ProxyAdapters } = {},
 ): SimFleet {
   const sim = makeSim(seed, { ...opt, ...(shape.latency !== undefined ? { latency: shape.latency } : {}) })
   const events: Event[] = []
@@ -31,7 +39,7 @@
   const stop = makeFlag()
   const places: CorePlace[] = []
   for (let k = 0; k < shape.cores; k++) places.push({ id: `core${k + 1}`, addr: `10.0.1.${k + 1}:7000` })
-  const seeds: Addr[] = []
+  const seeds: Address[] = []
   for (let k = 0; k < Math.min(3, shape.cores); k++) seeds.push(`10.0.1.${k + 1}:7001`)
   const platform = sim.machine('platform', '10.0.9.1')
   const crowd = sim.machine('crowd', '10.0.8.1')
@@ -52,11 +60,11 @@
           core: { place: core.place, adopt: core.adopt },
           build: 'sim',
         })
-      function handle(ask: Ask): Reply {
+      function handle(ask: HttpRequest): HttpResponse {
         if (ask.path === '/seeds') return { status: 200, body: { cores: places } }
         return { status: 404, body: {} }
       }
-      await serve(world, box.http, handle)
+      await serveHttp(world, box.http, handle)
     }
     box.core = undefined
     box.proc = sim.spawn(box.machine, box.id, start)
@@ -115,19 +123,19 @@
   }
   function startBoxAt(k: number): void {
     const b = boxes[k]
-    const peers: Addr[] = []
+    const peers: Address[] = []
     for (const o of boxes) if (o.group === b.group && o !== b) peers.push(o.addr)
     const first = boxes.find(isSameGroup) === b
     function isSameGroup(o: Box): boolean {
       return o.group === b.group
     }
-    const agents: Addr[] = []
+    const agents: Address[] = []
     for (let n = 0; n < Math.min(3, fronts.length); n++) agents.push(fronts[(k + n) % fronts.length].http)
     const from = (shape.copies ?? []).find(isTarget)?.[0]
     function isTarget(c: [string, string]): boolean {
       return c[1] === b.group
     }
-    const sources: Addr[] = []
+    const sources: Address[] = []
     for (const o of boxes) if (o.group === from) sources.push(o.addr)
     async function start(world: World): Promise<void> {
       b.instance = await startInstance(world, {
@@ -156,7 +164,7 @@
 
   // --- the platform: forwards the single promotion call ---
   async function startPlatform(world: World): Promise<void> {
-    async function handle(ask: Ask): Promise<Reply> {
+    async function handle(ask: HttpRequest): Promise<HttpResponse> {
       const body = ask.body as { group: string; instance: string; epoch: number }
       const box = boxes.find(isIt)
       function isIt(b: Box): boolean {
@@ -164,10 +172,10 @@
       }
       if (!box) return { status: 404, body: {} }
       promotions.push({ ...body, at: sim.now() })
-      const got = await callOnce(world, box.addr, 'POST', '/promotion', body, 2000)
+      const got = await requestOnce(world, box.addr, 'POST', '/promotion', body, 2000)
       return got.ok ? { status: got.val.status, body: got.val.body } : { status: 502, body: {} }
     }
-    await serve(world, `${platform.ip}:80`, handle)
+    await serveHttp(world, `${platform.ip}:80`, handle)
   }
 
   for (let k = 0; k < shape.cores; k++) {
@@ -207,7 +215,7 @@
     let out: Decided[] = []
     async function start(world: World): Promise<void> {
       for (const line of lines) {
-        const got = await callOnce(world, fronts[front].http, 'POST', `/streams/${stream}`, line, 12000)
+        const got = await requestOnce(world, fronts[front].http, 'POST', `/streams/${stream}`, line, 12000)
         if (got.err) out = [...out, { decision: 'no answer', why: got.val.why }]
         else if (typeof got.val.body === 'string') out = [...out, JSON.parse(got.val.body) as Decided]
         else out = [...out, got.val.body as Decided]
@@ -235,7 +243,7 @@
     let got: unknown
     let status = 0
     async function start(world: World): Promise<void> {
-      const one = await callOnce(world, fronts[front].http, method, path, body, 12000)
+      const one = await requestOnce(world, fronts[front].http, method, path, body, 12000)
       if (one.ok) ({ body: got, status } = one.val)
       over = true
     }
@@ -262,7 +270,7 @@
   async function begin(): Promise<boolean> {
     function up(): boolean {
       for (const c of cores) if (!c.core?.serving()) return false
-      for (const f of fronts) if (!f.agent || f.agent.termUntil() === 0) return false
+      for (const f of fronts) if (!f.agent || f.agent.leaseExpiresAt() === 0) return false
       return true
     }
     if (!(await sim.until(up, 20000))) return false
@@ -283,7 +291,7 @@
   }
   let people = 0
   function crowdIn(mixes: Mix[], count: number, think: number): void {
-    const nodes: Addr[] = []
+    const nodes: Address[] = []
     for (const f of fronts) nodes.push(f.listen)
     for (let k = 0; k < count; k++) {
       const id = people++
--- a/packages/fleet/src/simfleettypes.ts
+++ b/packages/fleet/src/simfleettypes.ts
@@ -1,5 +1,5 @@
 import type { Agent } from '@claynotch/agent'
-import type { Addr } from '@claynotch/base'
+import type { Address } from '@claynotch/base'
 import type { Proxy } from '@claynotch/proxy'
 import type { Core } from '@claynotch/register'
 import type { Instance, InstanceRecord } from './instance.js'
@@ -17,11 +17,11 @@
   agent: Agent | undefined
   proxy: Proxy | undefined
   node: string
-  http: Addr
-  listen: Addr
+  http: Address
+  listen: Address
 }
 
-export type CoreBox = { machine: Machine; proc: Proc; core: Core | undefined; id: string; http: Addr }
+export type CoreBox = { machine: Machine; proc: Proc; core: Core | undefined; id: string; http: Address }
 
 export type Box = {
   machine: Machine
@@ -29,7 +29,7 @@
   instance: Instance | undefined
   name: string
   group: string
-  addr: Addr
+  addr: Address
   records: InstanceRecord[]
 }
 
--- a/packages/fleet/src/simnetwork.ts
+++ b/packages/fleet/src/simnetwork.ts
@@ -1,5 +1,5 @@
 import { Duplex } from 'node:stream'
-import { nothing } from '@claynotch/base'
+import { noop } from '@claynotch/base'
 import type { Clock } from './simclock.js'
 import type { End, Machine, Proc } from './simparts.js'
 
@@ -63,7 +63,7 @@
       }
       ok(null)
     }
-    const end = new Duplex({ read: nothing, write, final, destroy, autoDestroy: true, allowHalfOpen: false }) as End
+    const end = new Duplex({ read: noop, write, final, destroy, autoDestroy: true, allowHalfOpen: false }) as End
     end.proc = proc
     end.shut = false
     end.lastAt = 0
--- a/packages/fleet/src/simwatch.ts
+++ b/packages/fleet/src/simwatch.ts
@@ -23,7 +23,7 @@
     for (const g of shape.groups) {
       let fence = 0
       for (const x of fronts)
-        fence = Math.max(fence, (x.agent?.cell(`group/${g}`)?.body as { fence?: number } | undefined)?.fence ?? 0)
+        fence = Math.max(fence, (x.agent?.register(`group/${g}`)?.body as { fence?: number } | undefined)?.fence ?? 0)
       const old = holders.get(g)
       if (old && fence > old.fence + 4)
         watched.push({
--- a/packages/fleet/src/simworld.ts
+++ b/packages/fleet/src/simworld.ts
@@ -1,5 +1,13 @@
 import type { Duplex } from 'node:stream'
-import { logTo, parseAddr, type Addr, type Cancel, type Listener, type Wire, type World } from '@claynotch/base'
+import {
+  logTo,
+  parseAddr,
+  type Address,
+  type Cancel,
+  type Listener,
+  type DatagramSocket,
+  type World,
+} from '@claynotch/base'
 import type { Clock } from './simclock.js'
 import { makeDisk } from './simdisk.js'
 import type { Network } from './simnetwork.js'
@@ -26,17 +34,17 @@
   const listeners = new Map<string, Accept>()
   const wires = new Map<string, Receive>()
 
-  function spot(machine: Machine, addr: Addr): string {
+  function spot(machine: Machine, addr: Address): string {
     const { host, port } = parseAddr(addr)
     return host.startsWith('127.') ? `${machine.name}|${port}` : `${host}|${port}`
   }
-  function machineOf(from: Machine, addr: Addr): Machine | undefined {
+  function machineOf(from: Machine, addr: Address): Machine | undefined {
     const { host } = parseAddr(addr)
     return host.startsWith('127.') ? from : machines.get(host)
   }
 
   // A connection is knocked at, taken by the process that listens there, and up once that news is back.
-  function dialFrom(proc: Proc, addr: Addr, ms: number): Promise<Duplex> {
+  function dialFrom(proc: Proc, addr: Address, ms: number): Promise<Duplex> {
     const { machine } = proc
     function start(ok: (s: Duplex) => void, fail: (e: Error) => void): void {
       let over = false
@@ -82,7 +90,7 @@
     }
     return new Promise(start)
   }
-  async function listenOn(proc: Proc, addr: Addr, take: (s: Duplex) => void): Promise<Listener> {
+  async function listenOn(proc: Proc, addr: Address, take: (s: Duplex) => void): Promise<Listener> {
     const { machine } = proc
     const at = spot(machine, addr)
     const old = listeners.get(at)
@@ -94,11 +102,11 @@
     }
     return { close }
   }
-  async function wireOn(proc: Proc, addr: Addr, take: (b: Uint8Array) => void): Promise<Wire> {
+  async function wireOn(proc: Proc, addr: Address, take: (b: Uint8Array) => void): Promise<DatagramSocket> {
     const { machine } = proc
     const at = spot(machine, addr)
     wires.set(at, { proc, take })
-    function cast(to: Addr, bytes: Uint8Array): void {
+    function cast(to: Address, bytes: Uint8Array): void {
       const there = machineOf(machine, to)
       if (!there || network.isCut(machine, there) || random() < network.lossShare()) return
       const w = wires.get(spot(machine, to))
@@ -133,13 +141,13 @@
     function later(ms: number, run: () => void): Cancel {
       return laterFor(proc, ms, run)
     }
-    function listen(addr: Addr, take: (s: Duplex) => void): Promise<Listener> {
+    function listen(addr: Address, take: (s: Duplex) => void): Promise<Listener> {
       return listenOn(proc, addr, take)
     }
-    function dial(addr: Addr, ms: number): Promise<Duplex> {
+    function dial(addr: Address, ms: number): Promise<Duplex> {
       return dialFrom(proc, addr, ms)
     }
-    function wire(addr: Addr, take: (b: Uint8Array) => void): Promise<Wire> {
+    function wire(addr: Address, take: (b: Uint8Array) => void): Promise<DatagramSocket> {
       return wireOn(proc, addr, take)
     }
     function write(_level: string, line: string): void {
--- a/packages/fleet/src/steps.ts
+++ b/packages/fleet/src/steps.ts
@@ -1,4 +1,4 @@
-import { SUSPECT_SURE } from '@claynotch/base'
+import { CONFIRMED_SUSPICION_TIMEOUT_MS } from '@claynotch/base'
 import { recordOf, wait } from './harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from './simfleet.js'
 
@@ -122,7 +122,7 @@
     return s.served
   }
   // Suspicion at its value, and at half of what several failing nodes need.
-  for (const suspect of [undefined, SUSPECT_SURE / 2]) {
+  for (const suspect of [undefined, CONFIRMED_SUSPICION_TIMEOUT_MS / 2]) {
     for (const kind of ['restart', 'reset'] as const) {
       let moves = 0
       for (let seed = 1; seed <= seeds; seed++) moves += await alarms(seed, kind, suspect)
--- a/packages/fleet/src/tap.ts
+++ b/packages/fleet/src/tap.ts
@@ -1,5 +1,5 @@
 import type { Duplex } from 'node:stream'
-import { logTo, type Addr, type Cancel, type Listener, type Wire, type World } from '@claynotch/base'
+import { logTo, type Address, type Cancel, type Listener, type DatagramSocket, type World } from '@claynotch/base'
 
 // Counts what a process says and hears, by mechanism, at its World, so that nothing is added to the paths of the product.
 // Sizes are those of our own frames, datagrams and HTTP streams; what TCP, UDP and IP add is not in them.
@@ -176,7 +176,7 @@
 export function tapWorld(
   world: World,
   tally: Tally,
-  carried: (way: 'dial' | 'listen', addr: Addr) => Carried,
+  carried: (way: 'dial' | 'listen', addr: Address) => Carried,
 ): World & { settle: () => void } {
   const open = new Map<Counted, { name: string; read: number; written: number }>()
   function bring(s: Counted): void {
@@ -218,12 +218,12 @@
     }
     s.once('close', over)
   }
-  async function dial(addr: Addr, ms: number): Promise<Duplex> {
+  async function dial(addr: Address, ms: number): Promise<Duplex> {
     const s = await world.dial(addr, ms)
     tap(s, carried('dial', addr))
     return s
   }
-  function listen(addr: Addr, take: (s: Duplex) => void): Promise<Listener> {
+  function listen(addr: Address, take: (s: Duplex) => void): Promise<Listener> {
     const what = carried('listen', addr)
     function taken(s: Duplex): void {
       tap(s, what)
@@ -231,13 +231,13 @@
     }
     return world.listen(addr, taken)
   }
-  async function wire(addr: Addr, take: (bytes: Uint8Array) => void): Promise<Wire> {
+  async function wire(addr: Address, take: (bytes: Uint8Array) => void): Promise<DatagramSocket> {
     function taken(bytes: Uint8Array): void {
       tally.add('summaries', 'in', bytes.length)
       take(bytes)
     }
     const w = await world.wire(addr, taken)
-    function cast(to: Addr, bytes: Uint8Array): void {
+    function cast(to: Address, bytes: Uint8Array): void {
       tally.add('summaries', 'out', bytes.length)
       w.cast(to, bytes)
     }
--- a/packages/fleet/src/test/answers.test.ts
+++ b/packages/fleet/src/test/answers.test.ts
@@ -2,17 +2,17 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
 import {
-  answerLinks,
+  acceptLinks,
   decode,
   encode,
-  hello,
-  holdLink,
+  makeHello,
+  makePersistentLink,
   makeFlag,
   makeLink,
-  openLine,
+  openHttpConnection,
   pause,
-  type Held,
-  type Line,
+  type PersistentLink,
+  type HttpConnection,
   type Link,
   type World,
 } from '@claynotch/base'
@@ -150,7 +150,7 @@
     if (kind !== 0) return
     if (!greeted) {
       greeted = true
-      return say(frame(1, id, hello('core', 'far')))
+      return say(frame(1, id, makeHello('core', 'far')))
     }
     if (msg.id === undefined) return say(frame(1, id, { t: 'pong' }))
     const act = next() ?? { how: 'plain', at: 0, delay: 0 }
@@ -188,7 +188,13 @@
     await world.listen('10.0.0.1:7000', open)
   }
   async function near(world: World): Promise<void> {
-    const held: Held = holdLink(world, '10.0.0.1:7000', hello('agent', 'near'), ignore, makeFlag())
+    const held: PersistentLink = makePersistentLink(
+      world,
+      '10.0.0.1:7000',
+      makeHello('agent', 'near'),
+      ignore,
+      makeFlag(),
+    )
     async function caller(who: number, count: number): Promise<void> {
       for (let k = 0; k < count; k++) {
         const id = `${who}.${k}`
@@ -246,10 +252,10 @@
       }
       return take
     }
-    await world.listen('10.0.0.1:7000', answerLinks(world, hello('core', 'far'), serveOne))
+    await world.listen('10.0.0.1:7000', acceptLinks(world, makeHello('core', 'far'), serveOne))
   }
   async function near(world: World): Promise<void> {
-    const held = holdLink(world, '10.0.0.1:7000', hello('agent', 'near'), ignore, makeFlag())
+    const held = makePersistentLink(world, '10.0.0.1:7000', makeHello('agent', 'near'), ignore, makeFlag())
     await pause(world, 100)
     async function first(): Promise<void> {
       ends.push(await held.ask({ id: 'old' }, 5000))
@@ -417,10 +423,10 @@
   }
   async function near(world: World): Promise<void> {
     async function caller(who: number, count: number): Promise<void> {
-      let line: Line | undefined
+      let line: HttpConnection | undefined
       for (let k = 0; k < count; k++) {
         const id = `${who}.${k}`
-        if (!line?.alive()) line = (await openLine(world, '10.0.0.1:80')).unwrap()
+        if (!line?.alive()) line = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
         const got = await line.ask('POST', '/ask', { id }, LIMIT)
         judge(model, id, got.ok ? got.val.body : undefined)
         if (got.err && got.val.reach === 'none' && model.came.has(id)) model.faults.push(`${id} came, told none`)
@@ -486,7 +492,7 @@
     }
     async function near(world: World): Promise<void> {
       await pause(world, 10)
-      const line = (await openLine(world, '10.0.0.1:80')).unwrap()
+      const line = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
       ends.push((await line.ask('GET', '/', undefined, LIMIT)).unwrap().body)
       ends.push(line.alive())
       await pause(world, 100)
@@ -517,7 +523,7 @@
   }
   async function near(world: World): Promise<void> {
     await pause(world, 10)
-    const line = (await openLine(world, '10.0.0.1:80')).unwrap()
+    const line = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
     const [a, b] = await Promise.all([
       line.ask('POST', '/ask', { id: 'a' }, LIMIT),
       line.ask('POST', '/ask', { id: 'b' }, LIMIT),
--- a/packages/fleet/src/test/changes.test.ts
+++ b/packages/fleet/src/test/changes.test.ts
@@ -1,5 +1,5 @@
 import t, { type Test } from 'tap'
-import { encode, LATE_CALL, NAMED_KEPT } from '@claynotch/base'
+import { encode, MAX_ANNOUNCEMENT_DELAY_MS, MAX_NAMED_CHANGES } from '@claynotch/base'
 import {
   allDecisions,
   decide,
@@ -14,7 +14,7 @@
   type Edit,
 } from '@claynotch/operator'
 import { compile } from '@claynotch/proxy'
-import { laterSight, type Sight } from '@claynotch/register'
+import { laterStatus, type InstanceStatus } from '@claynotch/register'
 import { makeRandom } from '../sim.js'
 
 // Changes that name the epoch they make, lanes with an operator's own documents, and the order of an instance's words.
@@ -127,7 +127,7 @@
   }
   for (const kind of ['again', 'raced', 'low', 'invalid', 'accepted'])
     c.ok((counts.get(kind) ?? 0) > 50, `${kind}: ${counts.get(kind)}`)
-  c.equal(body.history.length, NAMED_KEPT)
+  c.equal(body.history.length, MAX_NAMED_CHANGES)
   c.strictSame(body.streams, [], 'no stream is kept for them')
   c.equal(body.history.filter(hasConfig).length, 0)
   c.equal(body.history[body.history.length - 1].epoch, epoch)
@@ -163,13 +163,13 @@
     const got = ruled(body, mine ? 'ours' : `0123456789abcdef${k.toString(36).padStart(8, '0')}`, change)
     if (got.decision.decision !== 'accepted') c.fail(got.decision.why)
     body = got.body
-    if (k === NAMED_KEPT + 100) whenFull = encode(body).length
+    if (k === MAX_NAMED_CHANGES + 100) whenFull = encode(body).length
   }
   const size = encode(body).length
   c.ok(size < whenFull + 16384, `${whenFull} bytes once NAMED_KEPT are there, ${size} after 47,000`)
-  c.ok(size < 64 * NAMED_KEPT + 20 * 1024, `${size} bytes`)
+  c.ok(size < 64 * MAX_NAMED_CHANGES + 20 * 1024, `${size} bytes`)
   for (let n = 1; n <= own; n++) if (!findDecision(body, 'ours', n)) c.fail(`our own change ${n} was forgotten`)
-  c.ok(allDecisions(body).length >= own + NAMED_KEPT - 1)
+  c.ok(allDecisions(body).length >= own + MAX_NAMED_CHANGES - 1)
   let last = 0
   for (const h of body.history) {
     if (h.epoch <= last) c.fail('history out of order')
@@ -266,7 +266,7 @@
 
 // --- the order of an instance's words ---
 
-function sight(sequence: number | undefined, more: object = {}): Sight {
+function sight(sequence: number | undefined, more: object = {}): InstanceStatus {
   return {
     name: 'i',
     group: 'g',
@@ -282,28 +282,32 @@
 }
 function words(c: Test): void {
   const old = { sight: sight(7, { leaving: true }), at: 1000 }
-  c.equal(laterSight(old, sight(6), 1500).sight.leaving, true, 'one held up on its way takes nothing back')
-  c.equal(laterSight(old, sight(8), 1500).sight.leaving, false, 'ready again after it was leaving')
-  c.equal(laterSight(old, sight(8), 900).sight.sequence, 8, 'a later word that was heard earlier elsewhere')
+  c.equal(laterStatus(old, sight(6), 1500).sight.leaving, true, 'one held up on its way takes nothing back')
+  c.equal(laterStatus(old, sight(8), 1500).sight.leaving, false, 'ready again after it was leaving')
+  c.equal(laterStatus(old, sight(8), 900).sight.sequence, 8, 'a later word that was heard earlier elsewhere')
   c.equal(
-    laterSight(old, sight(1), 1000 + LATE_CALL).sight.sequence,
+    laterStatus(old, sight(1), 1000 + MAX_ANNOUNCEMENT_DELAY_MS).sight.sequence,
     1,
     'one that starts anew, once nothing can be on its way any more',
   )
-  c.equal(laterSight(old, sight(1, { addr: '10.0.0.2:1' }), 1500).sight.sequence, 1, 'another life, at another address')
-  c.equal(laterSight(old, sight(undefined), 1500).sight.sequence, undefined, 'without a count, by time')
-  c.equal(laterSight({ sight: sight(undefined), at: 1000 }, sight(3), 900).sight.sequence, undefined)
+  c.equal(
+    laterStatus(old, sight(1, { addr: '10.0.0.2:1' }), 1500).sight.sequence,
+    1,
+    'another life, at another address',
+  )
+  c.equal(laterStatus(old, sight(undefined), 1500).sight.sequence, undefined, 'without a count, by time')
+  c.equal(laterStatus({ sight: sight(undefined), at: 1000 }, sight(3), 900).sight.sequence, undefined)
   // Two nodes that hear the same words in whatever order come to hold the same.
   const rnd = makeRandom(3)
   for (let k = 0; k < 400; k++) {
-    const said: { s: Sight; at: number }[] = []
+    const said: { s: InstanceStatus; at: number }[] = []
     for (let n = 0; n < 6; n++)
       said.push({
         s: sight(n, { leaving: n > 3, role: n % 2 ? 'leader' : 'follower' }),
-        at: 1000 + rnd() * (LATE_CALL - 1),
+        at: 1000 + rnd() * (MAX_ANNOUNCEMENT_DELAY_MS - 1),
       })
-    let has: { sight: Sight; at: number } | undefined
-    for (const one of shuffle(said, rnd)) has = laterSight(has, one.s, one.at)
+    let has: { sight: InstanceStatus; at: number } | undefined
+    for (const one of shuffle(said, rnd)) has = laterStatus(has, one.s, one.at)
     if (has?.sight.sequence !== 5) c.fail(`held ${has?.sight.sequence} of 0 to 5`)
   }
 }
--- a/packages/fleet/src/test/controlguards.test.ts
+++ b/packages/fleet/src/test/controlguards.test.ts
@@ -3,8 +3,8 @@
  * without it (tools/mutants.list.js names the mutant of each).
  */
 import t, { type Test } from 'tap'
-import { startCoreSetDuty } from '@claynotch/agent/dist/coreset.js'
-import { hello, holdLink, makeFlag, nothing, pause, type Held, type World } from '@claynotch/base'
+import { startCoreSetDuty } from '@claynotch/agent/dist/core-set-duty.js'
+import { makeHello, makePersistentLink, makeFlag, noop, pause, type PersistentLink, type World } from '@claynotch/base'
 import {
   makeProposer,
   quorumOf,
@@ -99,7 +99,7 @@
   fleet.front.machine.dark = false
   fleet.start(away)
   function areBack(): boolean {
-    const lease = (fleet.front.agent?.termUntil() ?? 0) - fleet.front.machine.skew
+    const lease = (fleet.front.agent?.leaseExpiresAt() ?? 0) - fleet.front.machine.skew
     return lease > sim.now() && fleet.whole()
   }
   c.ok(await sim.until(areBack, 30000), `the front holds a lease and the machine votes: ${run.states()}`)
@@ -131,14 +131,14 @@
   }
   return { sim, cores, procs, places }
 }
-type Client = { asks: Map<string, Held>; proposer: (set: CoreSet, ids: string[]) => Proposer }
+type Client = { asks: Map<string, PersistentLink>; proposer: (set: CoreSet, ids: string[]) => Proposer }
 async function makeClient(bare: Bare): Promise<Client> {
-  const asks = new Map<string, Held>()
+  const asks = new Map<string, PersistentLink>()
   let world: World | undefined
   async function run(mine: World): Promise<void> {
     world = mine
     for (const { id, addr } of bare.places)
-      asks.set(id, holdLink(mine, addr, hello('test', 'client'), nothing as never, makeFlag()))
+      asks.set(id, makePersistentLink(mine, addr, makeHello('test', 'client'), noop as never, makeFlag()))
     await pause(mine, 1)
   }
   bare.sim.spawn(bare.sim.machine('client', '10.0.3.1'), 'client', run)
@@ -228,7 +228,7 @@
       return ask
     }
     function core(id: string) {
-      return { held: { ask: makeAsk(id), tell: nothing } as never, heard: world.now() }
+      return { held: { ask: makeAsk(id), tell: noop } as never, heard: world.now() }
     }
     async function look(key: string): Promise<unknown> {
       looked.push(key)
@@ -252,9 +252,9 @@
       {
         node: 'n',
         proposer: { change, look } as never,
-        termUntil: forever,
+        leaseExpiresAt: forever,
         live,
-        learned: nothing,
+        learn: noop,
         coreSet,
         core,
         spares: noSeeds as never,
--- a/packages/fleet/src/test/cores.test.ts
+++ b/packages/fleet/src/test/cores.test.ts
@@ -1,9 +1,25 @@
 import t, { type Test } from 'tap'
 import { startFrontAgent } from '@claynotch/claynotch'
 import type { Agent } from '@claynotch/agent'
-import { startCoreSetDuty } from '@claynotch/agent/dist/coreset.js'
-import { hello, holdLink, makeFlag, pause, readAs, type Addr, type Held, type World } from '@claynotch/base'
-import { MembersAnswer, quorumOf, votersOf, type CorePlace, type CoreSet, type Value } from '@claynotch/register'
+import { startCoreSetDuty } from '@claynotch/agent/dist/core-set-duty.js'
+import {
+  makeHello,
+  makePersistentLink,
+  makeFlag,
+  pause,
+  readAs,
+  type Address,
+  type PersistentLink,
+  type World,
+} from '@claynotch/base'
+import {
+  MembersAnswer,
+  quorumOf,
+  votersOf,
+  type CorePlace,
+  type CoreSet,
+  type RegisterValue,
+} from '@claynotch/register'
 import { httpAt, idOf, makeClient, makeCoreFleet, type Box, type CoreFleet } from '../corefleet.js'
 import { makeSim, type Proc } from '../sim.js'
 
@@ -22,8 +38,8 @@
   for (let k = 0; k < 5; k++) f.add(FIRST, true)
   return await f.sim.until(f.settled, 10000)
 }
-function httpOf(f: CoreFleet): Addr[] {
-  const out: Addr[] = []
+function httpOf(f: CoreFleet): Address[] {
+  const out: Address[] = []
   for (const b of f.boxes) if (!b.gone) out.push(`${b.ip}:8000`)
   return out
 }
@@ -57,17 +73,17 @@
     let list: string[] = []
     let writing = true
     async function write(world: World): Promise<void> {
-      function seeds(): Addr[] {
+      function seeds(): Address[] {
         return httpOf(f)
       }
       const proposer = await makeClient(world, 'writer', founders, seeds, true)
-      function once(now: Value | undefined): { body: unknown; tag: string } | undefined {
+      function once(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
         return now ? undefined : { body: 'kept', tag: 'once' }
       }
       await proposer.change('quiet', once)
       for (let k = 0; writing; k++) {
         const tag = `${k}`
-        function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+        function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
           const old = (now?.body ?? []) as string[]
           return old.includes(tag) ? undefined : { body: [...old, tag], tag }
         }
@@ -81,12 +97,12 @@
     }
     f.sim.spawn(f.sim.machine('writer', '10.0.3.1'), 'writer', write)
     function termed(): boolean {
-      return (front?.termUntil() ?? 0) > 0
+      return (front?.leaseExpiresAt() ?? 0) > 0
     }
     c.ok(await f.sim.until(termed, 5000), `seed ${seed}: the front has a term`)
     let lapses = 0
     function watch(): void {
-      if ((front?.termUntil() ?? 0) - desk.skew <= f.sim.now()) lapses++
+      if ((front?.leaseExpiresAt() ?? 0) - desk.skew <= f.sim.now()) lapses++
       f.sim.at(100, watch)
     }
     watch()
@@ -116,7 +132,7 @@
     c.ok(await f.sim.until(whole, 30000), `seed ${seed}: three vote again`)
     const newcomer = votes()
     function holdsQuiet(k: number): boolean {
-      return f.boxes[k].run?.core.store.cells().get('quiet')?.value?.body === 'kept'
+      return f.boxes[k].run?.core.store.entries().get('quiet')?.value?.body === 'kept'
     }
     c.ok(
       f.voters().filter(holdsQuiet).length >= 2,
@@ -140,7 +156,7 @@
     const answers: { ok?: boolean; set?: CoreSet; behind?: boolean }[] = []
     async function askOld(world: World): Promise<void> {
       const to = f.boxes[f.voters()[0]]
-      const link = holdLink(world, `${to.ip}:7000`, hello('test', 'old'), nothing, makeFlag())
+      const link = makePersistentLink(world, `${to.ip}:7000`, makeHello('test', 'old'), nothing, makeFlag())
       await pause(world, 500)
       const value = { turn: 1, tag: 'x', body: 'x' }
       for (const epoch of [0, 1, 3]) {
@@ -188,7 +204,7 @@
     }
     f.sim.spawn(f.sim.machine('late', '10.0.2.2'), 'late', runLate)
     function lateTermed(): boolean {
-      return (late?.termUntil() ?? 0) > 0
+      return (late?.leaseExpiresAt() ?? 0) > 0
     }
     c.ok(await f.sim.until(lateTermed, 5000), `seed ${seed}: whoever knows the founders alone finds the set`)
     writing = false
@@ -270,7 +286,7 @@
     let over = false
     let ended = 0
     const clients: Proc[] = []
-    function seeds(): Addr[] {
+    function seeds(): Address[] {
       return httpOf(f)
     }
     for (let w = 0; w < 4; w++) {
@@ -279,7 +295,7 @@
         const proposer = await makeClient(world, `w${w}`, founders, seeds, w < 3)
         for (let k = 0; !over; k++) {
           const tag = `w${w}.${k}`
-          function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+          function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
             const list = (now?.body ?? []) as string[]
             return list.includes(tag) ? undefined : { body: [...list, tag], tag }
           }
@@ -308,9 +324,10 @@
     const sets = new Map<number, CoreSet>()
     let counted = 0
     async function census(world: World): Promise<void> {
-      const links = new Map<string, Held>()
-      async function ask(addr: Addr, epoch: number): Promise<MembersAnswer | undefined> {
-        const held = links.get(addr) ?? holdLink(world, addr, hello('test', 'census'), nothing, makeFlag())
+      const links = new Map<string, PersistentLink>()
+      async function ask(addr: Address, epoch: number): Promise<MembersAnswer | undefined> {
+        const held =
+          links.get(addr) ?? makePersistentLink(world, addr, makeHello('test', 'census'), nothing, makeFlag())
         links.set(addr, held)
         const got = readAs(MembersAnswer, await held.ask({ t: 'members', epoch }, 200))
         return got.ok && got.val.ok && got.val.sure ? got.val : undefined
@@ -323,7 +340,7 @@
           const holders: { node: string; until: number; proc: Proc }[] = []
           for (const [k, b] of f.boxes.entries()) {
             // By the clock that all share, not the machine's own.
-            const until = (b.run?.agent.termUntil() ?? 0) - b.machine.skew
+            const until = (b.run?.agent.leaseExpiresAt() ?? 0) - b.machine.skew
             if (b.up && !b.ending && until > from) holders.push({ node: `core${k}`, until, proc: b.proc })
           }
           const list = votersOf(set)
@@ -526,7 +543,7 @@
       { id: 'c', addr: 'c:1' },
     ],
   }
-  const edits: ((now: Value | undefined) => { body: unknown } | undefined)[] = []
+  const edits: ((now: RegisterValue | undefined) => { body: unknown } | undefined)[] = []
   async function run(world: World): Promise<void> {
     const from = world.now()
     async function ask(): Promise<unknown> {
@@ -546,7 +563,7 @@
     }
     async function change(
       _key: string,
-      edit: (now: Value | undefined) => { body: unknown; tag: string } | undefined,
+      edit: (now: RegisterValue | undefined) => { body: unknown; tag: string } | undefined,
     ): Promise<never> {
       edits.push(edit)
       return { done: false, why: 'test' } as never
@@ -568,9 +585,9 @@
       {
         node: 'n',
         proposer: { change } as never,
-        termUntil: until,
+        leaseExpiresAt: until,
         live,
-        learned: nothing,
+        learn: nothing,
         coreSet,
         core,
         spares,
@@ -584,7 +601,7 @@
   c.equal(edits.length, 0, 'not before eight seconds')
   await sim.run(sim.now() + 4000)
   c.ok(edits.length > 0)
-  function at(epoch: number): Value {
+  function at(epoch: number): RegisterValue {
     return { turn: epoch, tag: 't', body: { ...set, epoch } }
   }
   c.strictSame(
--- a/packages/fleet/src/test/coreset.test.ts
+++ b/packages/fleet/src/test/coreset.test.ts
@@ -1,14 +1,29 @@
 import t, { type Test } from 'tap'
 import { startCoreMachine, startFrontAgent, type CoreMachine } from '@claynotch/claynotch'
 import type { Agent } from '@claynotch/agent'
-import { hello, holdLink, makeFlag, pause, REFILL_WAIT, type Addr, type World } from '@claynotch/base'
-import { makeProposer, quorumOf, type CorePlace, type Quorum, type Value, type Voter } from '@claynotch/register'
+import {
+  makeHello,
+  makePersistentLink,
+  makeFlag,
+  pause,
+  REFILL_DELAY_MS,
+  type Address,
+  type World,
+} from '@claynotch/base'
+import {
+  makeProposer,
+  quorumOf,
+  type CorePlace,
+  type Quorum,
+  type RegisterValue,
+  type Voter,
+} from '@claynotch/register'
 import { makeSim, type Machine, type Proc, type Sim } from '../sim.js'
 
 t.setTimeout(600000)
 
 // Core machines that are told seeds alone, as on the users' platform.
-type Box = { machine: Machine; proc: Proc; run: CoreMachine | undefined; http: Addr }
+type Box = { machine: Machine; proc: Proc; run: CoreMachine | undefined; http: Address }
 type Set = {
   sim: Sim
   boxes: Box[]
@@ -41,8 +56,8 @@
       run: undefined,
       http: `10.0.1.${k + 1}:8000`,
     })
-  function seedsOf(list: number[]): Addr[] {
-    const out: Addr[] = []
+  function seedsOf(list: number[]): Address[] {
+    const out: Address[] = []
     for (const k of list) out.push(boxes[k].http)
     return out
   }
@@ -107,7 +122,7 @@
     async function run(world: World): Promise<void> {
       const list: Voter[] = []
       for (const k of FIRST) {
-        const held = holdLink(world, `10.0.1.${k + 1}:7000`, hello('test', ip), ignore, makeFlag())
+        const held = makePersistentLink(world, `10.0.1.${k + 1}:7000`, makeHello('test', ip), ignore, makeFlag())
         list.push({ id: `10.0.1.${k + 1}`, ask: held.ask, tell: held.tell })
       }
       function voters(): Voter[] {
@@ -116,7 +131,7 @@
       function quorum(): Quorum {
         return quorumOf({ epoch: 0, cores: FIRST.map(placeOf) })
       }
-      function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+      function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
         const old = (now?.body ?? []) as string[]
         return old.includes(text) ? undefined : { body: [...old, text], tag: text }
       }
@@ -159,8 +174,8 @@
     c.ok(s.sim.now() - from < 2000, `seed ${seed}: in ${Math.round(s.sim.now() - from)} ms`)
     c.strictSame(s.states(), ['serving', 'serving', 'serving', 'aside', 'aside'])
     function terms(): boolean {
-      for (const b of s.boxes) if ((b.run?.agent.termUntil() ?? 0) === 0) return false
-      return (front()?.termUntil() ?? 0) > 0
+      for (const b of s.boxes) if ((b.run?.agent.leaseExpiresAt() ?? 0) === 0) return false
+      return (front()?.leaseExpiresAt() ?? 0) > 0
     }
     c.ok(await s.sim.until(terms, 5000), `seed ${seed}: all agents hold terms`)
     c.strictSame(await write(s, 'a'), ['a'], `seed ${seed}: a change is taken`)
@@ -205,8 +220,8 @@
     return s.votes().join() === '0,1,2'
   }
   c.ok(await s.sim.until(back, 15000), 'it votes again')
-  c.ok(s.sim.now() - from >= REFILL_WAIT, 'and not before what its lost life promised is void')
-  c.strictSame(s.boxes[2].run?.core.store.cells().get('list')?.value?.body, ['a', 'b'], 'with what was taken')
+  c.ok(s.sim.now() - from >= REFILL_DELAY_MS, 'and not before what its lost life promised is void')
+  c.strictSame(s.boxes[2].run?.core.store.entries().get('list')?.value?.body, ['a', 'b'], 'with what was taken')
   c.ok(s.sim.lines.some(isRefill))
   // The other two may now lose one of them.
   s.stop(0)
@@ -262,16 +277,16 @@
   s.start(4, false, [3, 4])
   const front = s.front([4, 3], false)
   function found(): boolean {
-    return s.states()[4] === 'aside' && (front()?.termUntil() ?? 0) > 0
+    return s.states()[4] === 'aside' && (front()?.leaseExpiresAt() ?? 0) > 0
   }
   c.ok(await s.sim.until(found, 10000), s.states().join())
   // Seeds that are all down at first and change while it looks.
   const late = s.front([], false)
   await s.sim.run(s.sim.now() + 3000)
-  c.equal(late()?.termUntil(), 0, 'nobody to ask')
+  c.equal(late()?.leaseExpiresAt(), 0, 'nobody to ask')
   late()?.apply({ seeds: [s.boxes[3].http], platform: undefined, operators: undefined })
   function termed(): boolean {
-    return (late()?.termUntil() ?? 0) > 0
+    return (late()?.leaseExpiresAt() ?? 0) > 0
   }
   c.ok(await s.sim.until(termed, 5000), 'new seeds are asked')
 }
@@ -291,7 +306,7 @@
     for (const k of ALL) s.start(k, false, [3, 4])
     const front = s.front([4, 3], false)
     function back(): boolean {
-      return s.votes().join() === '0,1,2' && (front()?.termUntil() ?? 0) > 0
+      return s.votes().join() === '0,1,2' && (front()?.leaseExpiresAt() ?? 0) > 0
     }
     c.ok(await s.sim.until(back, 10000), `seed ${seed}: ${s.states().join()}`)
     const list = await write(s, 'c')
--- a/packages/fleet/src/test/corestatus.test.ts
+++ b/packages/fleet/src/test/corestatus.test.ts
@@ -2,9 +2,9 @@
 import t, { type Test } from 'tap'
 import { startCoreMachine } from '@claynotch/claynotch'
 import { makeMarginWatch } from '@claynotch/agent'
-import { callOnce, pause, type World } from '@claynotch/base'
+import { requestOnce, pause, type World } from '@claynotch/base'
 import { checkCores, showCores, type CoreStatus } from '@claynotch/operator'
-import { lossesBorne, quorumOf, votersOf, type CorePlace, type CoreSet, type State } from '@claynotch/register'
+import { lossesBorne, quorumOf, votersOf, type CorePlace, type CoreSet, type CoreState } from '@claynotch/register'
 import { makeSim, type Machine, type Proc } from '../sim.js'
 
 t.setTimeout(600000)
@@ -51,7 +51,7 @@
   c.equal(lossesBorne(setOf(['a', 'b', 'c'], ['b', 'c', 'd']), new Set(['a', 'b', 'c'])), 0, 'the half that is joining')
 }
 
-function stateOf(id: string, set: CoreSet, serving: boolean): [string, State] {
+function stateOf(id: string, set: CoreSet, serving: boolean): [string, CoreState] {
   return [id, { t: 'state', id, phase: 'founded', serving, cores: [], set, hears: [] }]
 }
 // One line for each change of state, none for a beat that finds the same.
@@ -132,7 +132,7 @@
   let over = false
   async function run(world: World): Promise<void> {
     async function read(at: string): Promise<string> {
-      const answer = await callOnce(world, at, 'GET', '/cores', undefined, 3000)
+      const answer = await requestOnce(world, at, 'GET', '/cores', undefined, 3000)
       if (answer.err || answer.val.status !== 200) return `${answer.err ? answer.val.why : answer.val.status}`
       const s = answer.val.body as CoreStatus
       const states: string[] = []
--- a/packages/fleet/src/test/cost.test.ts
+++ b/packages/fleet/src/test/cost.test.ts
@@ -1,5 +1,11 @@
 import t, { type Test } from 'tap'
-import { NOTE_BEAT, TERM_BEAT, type Addr, type Cancel, type World } from '@claynotch/base'
+import {
+  PROXY_REPORT_INTERVAL_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
+  type Address,
+  type Cancel,
+  type World,
+} from '@claynotch/base'
 import { startAgent, type Agent } from '@claynotch/agent'
 import { startCore, type CorePlace } from '@claynotch/register'
 import { makeSim } from '../sim.js'
@@ -12,7 +18,7 @@
 
 const CALM_MS = 10000
 
-function none(): Addr[] {
+function none(): Address[] {
   return []
 }
 
@@ -22,15 +28,15 @@
   c.ok(await f.begin(), 'the fleet begins')
   f.traffic()
   await f.sim.run(f.sim.now() + 2000)
-  const metrics = f.fronts[0].agent!.numbers
+  const metrics = f.fronts[0].agent!.metrics
   const notes = metrics.get('claynotch_agent_notes_total')
   const feeds = metrics.get('claynotch_agent_feeds_total')
   await f.sim.run(f.sim.now() + CALM_MS)
   const notesBy = metrics.get('claynotch_agent_notes_total') - notes
   const feedsBy = metrics.get('claynotch_agent_feeds_total') - feeds
   c.ok(f.events.length > 200, `under traffic: ${f.events.length} calls`)
-  c.ok(notesBy > 0 && notesBy <= CALM_MS / NOTE_BEAT + 4, `${notesBy} notes in ${CALM_MS} ms`)
-  c.ok(feedsBy > 0 && feedsBy <= (1.5 * CALM_MS) / TERM_BEAT + 4, `${feedsBy} feeds in ${CALM_MS} ms`)
+  c.ok(notesBy > 0 && notesBy <= CALM_MS / PROXY_REPORT_INTERVAL_MS + 4, `${notesBy} notes in ${CALM_MS} ms`)
+  c.ok(feedsBy > 0 && feedsBy <= (1.5 * CALM_MS) / LEASE_RENEWAL_INTERVAL_MS + 4, `${feedsBy} feeds in ${CALM_MS} ms`)
 }
 
 /** A core walks its tables of members and instances only when one of them changed. */
@@ -38,12 +44,12 @@
   const f = makeSimFleet(12, smallShape())
   c.ok(await f.begin(), 'the fleet begins')
   await f.sim.run(f.sim.now() + 3000)
-  const metrics = f.cores[0].core!.numbers
+  const metrics = f.cores[0].core!.metrics
   const walks = metrics.get('claynotch_core_tallies_total')
   const renewals = metrics.get('claynotch_core_words_total', [['word', 'renew']])
   await f.sim.run(f.sim.now() + CALM_MS)
   const renewalsBy = metrics.get('claynotch_core_words_total', [['word', 'renew']]) - renewals
-  c.ok(renewalsBy > f.fronts.length * (CALM_MS / TERM_BEAT - 3), `${renewalsBy} renewals`)
+  c.ok(renewalsBy > f.fronts.length * (CALM_MS / LEASE_RENEWAL_INTERVAL_MS - 3), `${renewalsBy} renewals`)
   c.equal(metrics.get('claynotch_core_tallies_total') - walks, 0, 'no walk while nothing changes')
   f.killBox(0)
   await f.sim.run(f.sim.now() + 5000)
@@ -83,7 +89,7 @@
   }
   sim.spawn(sim.machine('front', '10.0.2.1'), 'front', front)
   function hasLease(): boolean {
-    return (agent?.termUntil() ?? 0) > 0
+    return (agent?.leaseExpiresAt() ?? 0) > 0
   }
   c.ok(await sim.until(hasLease, 20000), 'it holds a lease')
   const before = timersSet
