--- a/packages/fleet/src/test/cutoff.test.ts
+++ b/packages/fleet/src/test/cutoff.test.ts
@@ -1,8 +1,17 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
-import { ownEdges, startAgent, type Agent, type AgentEdges } from '@claynotch/agent'
-import { makeTelling, type Telling } from '@claynotch/agent/dist/telling.js'
-import { decode, pause, readAs, serve, TERM, type Addr, type Reply, type World } from '@claynotch/base'
+import { ownAdapters, startAgent, type Agent, type AgentAdapters } from '@claynotch/agent'
+import { makeInstanceReports, type InstanceReports } from '@claynotch/agent/dist/instance-reports.js'
+import {
+  decode,
+  pause,
+  readAs,
+  serveHttp,
+  LEASE_DURATION_MS,
+  type Address,
+  type HttpResponse,
+  type World,
+} from '@claynotch/base'
 import type { Promotion, PromotionEnd } from '@claynotch/host'
 import { emptyBody, makeDecision } from '@claynotch/operator'
 import { Summary } from '@claynotch/peer'
@@ -35,12 +44,12 @@
   const called: Called[] = []
   let run: (what: Promotion) => void = ignore
   function ignore(): void {}
-  async function promotion(world: World, at: Addr | undefined, what: Promotion): Promise<PromotionEnd> {
+  async function promotion(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
     called.push({ holder: what.holder, at: f.sim.now() })
     run(what)
-    return await ownEdges.promotion(world, at, what)
+    return await ownAdapters.promotion(world, at, what)
   }
-  const edges: AgentEdges = { ...ownEdges, promotion }
+  const edges: AgentAdapters = { ...ownAdapters, promotion }
   const shape = { ...smallShape(), requesters: 4 }
   const groups = shape.config.groups.map(unsynced)
   const f = makeSimFleet(seed, { ...shape, fronts: 4, config: { ...shape.config, groups } }, { agentEdges: edges })
@@ -81,7 +90,7 @@
     f.sim.heal()
     await wait(f, 5000)
     let late = 0
-    for (const one of called) if (one.holder === holder.node && one.at > from + TERM + STEP) late++
+    for (const one of called) if (one.holder === holder.node && one.at > from + LEASE_DURATION_MS + STEP) late++
     c.equal(late, 0, `${way}: no call by a node without a term, of ${called.length}`)
     c.ok(f.promotions.length > 0 && recordOf(f)?.phase === 'steady', `${way}: another node promoted`)
     await f.quiet()
@@ -246,7 +255,7 @@
   for (const { at, sum } of heard)
     if (sum.leaving.includes('x-1') || sum.moving.length > 0) {
       told++
-      if (at > from + TERM + STEP) after++
+      if (at > from + LEASE_DURATION_MS + STEP) after++
     }
   c.ok(told > 0, 'told while it held a term')
   c.equal(after, 0, 'and not after it')
@@ -260,7 +269,7 @@
   const sim: Sim = makeSim(1)
   const faults: string[] = []
   async function run(world: World): Promise<void> {
-    const telling: Telling = makeTelling(world)
+    const reports: InstanceReports = makeInstanceReports(world)
     const past: Past = { round: 0, newsAt: new Map(), goodFrom: 0, lastGood: true }
     let open = 0
     let time = 0
@@ -269,26 +278,26 @@
       time++
       const name = `i-${step.name}`
       if (step.what === 'begin' && open === 0) {
-        open = telling.begin()
+        open = reports.beginRound()
         beganAt.set(open, time)
       } else if ((step.what === 'good' || step.what === 'bad') && open !== 0) {
         const good = step.what === 'good'
-        telling.end(open, good)
+        reports.endRound(open, good)
         past.lastGood = good
         if (good) past.goodFrom = beganAt.get(open)!
         open = 0
       } else if (step.what === 'news') {
-        telling.news(name)
+        reports.changed(name)
         past.newsAt.set(name, time)
       } else if (step.what === 'ask') {
         const news = past.newsAt.get(name)
         const want = past.lastGood && (news === undefined || past.goodFrom > news)
-        const got = await telling.told(name, 0)
+        const got = await reports.acknowledged(name, 0)
         if (got !== want) faults.push(`${name}: told ${got}, the model says ${want}`)
       }
       let waits = false
       for (const at of past.newsAt.values()) if (at > past.goodFrom) waits = true
-      if (telling.waiting() !== waits) faults.push(`waiting ${telling.waiting()}, the model says ${waits}`)
+      if (reports.isPending() !== waits) faults.push(`waiting ${reports.isPending()}, the model says ${waits}`)
     }
   }
   sim.spawn(sim.machine('m', '10.0.0.1'), 'p', run)
@@ -314,28 +323,28 @@
   const sim = makeSim(2)
   const ends: string[] = []
   async function run(world: World): Promise<void> {
-    const telling = makeTelling(world)
+    const reports = makeInstanceReports(world)
     async function ask(name: string, ms: number): Promise<void> {
       const from = world.now()
-      ends.push(`${name} ${await telling.told(name, ms)} after ${Math.round(world.now() - from)}`)
+      ends.push(`${name} ${await reports.acknowledged(name, ms)} after ${Math.round(world.now() - from)}`)
     }
-    telling.news('early')
-    const first = telling.begin()
-    telling.news('amid')
+    reports.changed('early')
+    const first = reports.beginRound()
+    reports.changed('amid')
     void ask('early', 900)
     void ask('amid', 900)
     void ask('hasty', 900)
     void ask('amid', 50)
     await pause(world, 100)
-    telling.end(first, true)
-    const second = telling.begin()
+    reports.endRound(first, true)
+    const second = reports.beginRound()
     await pause(world, 100)
-    telling.end(second, true)
-    telling.news('lost')
+    reports.endRound(second, true)
+    reports.changed('lost')
     void ask('lost', 900)
-    const third = telling.begin()
+    const third = reports.beginRound()
     await pause(world, 100)
-    telling.end(third, false)
+    reports.endRound(third, false)
   }
   sim.spawn(sim.machine('m', '10.0.0.1'), 'p', run)
   await sim.run(sim.now() + 3000)
@@ -352,23 +361,23 @@
 
 const GONE: CorePlace[] = []
 for (let k = 1; k <= 3; k++) GONE.push({ id: `10.0.4.${k}`, addr: `10.0.4.${k}:7000` })
-const OLD: Addr = '10.0.5.1:80'
-const NEW: Addr = '10.0.5.2:80'
+const OLD: Address = '10.0.5.1:80'
+const NEW: Address = '10.0.5.2:80'
 
 // Two seeds: one that was cut off tells the set before at once, the other tells the present one after so many ms.
 function startSeeds(sim: Sim, ms: number): void {
   async function old(world: World): Promise<void> {
-    function handle(): Reply {
+    function handle(): HttpResponse {
       return { status: 200, body: { cores: GONE } }
     }
-    await serve(world, OLD, handle)
+    await serveHttp(world, OLD, handle)
   }
   async function present(world: World): Promise<void> {
-    async function handle(): Promise<Reply> {
+    async function handle(): Promise<HttpResponse> {
       await pause(world, ms)
       return { status: 200, body: { epoch: 1, cores: PLACES } }
     }
-    await serve(world, NEW, handle)
+    await serveHttp(world, NEW, handle)
   }
   sim.spawn(sim.machine('old', '10.0.5.1'), 'old', old)
   sim.spawn(sim.machine('new', '10.0.5.2'), 'new', present)
@@ -394,7 +403,7 @@
   startSeeds(sim, 200)
   for (const [k, place] of PLACES.entries()) {
     async function core(world: World): Promise<void> {
-      function none(): Addr[] {
+      function none(): Address[] {
         return []
       }
       await startCore(world, { id: place.id, addr: place.addr, data: '/d', seeds: none, founders: PLACES })
@@ -408,7 +417,7 @@
   await sim.run(sim.now() + 3000)
   sim.spawn(sim.machine('front', '10.0.2.1'), 'front', front)
   function hasTerm(): boolean {
-    return (agent?.termUntil() ?? 0) > 0
+    return (agent?.leaseExpiresAt() ?? 0) > 0
   }
   const from = sim.now()
   c.ok(await sim.until(hasTerm, 20000), 'it holds a term under the present set')
--- a/packages/fleet/src/test/deltas.test.ts
+++ b/packages/fleet/src/test/deltas.test.ts
@@ -1,9 +1,19 @@
 import { deepStrictEqual } from 'node:assert'
 import t, { type Test } from 'tap'
 import fc from 'fast-check'
-import { makeRegisters, type Registers } from '@claynotch/agent/dist/registers.js'
-import { makeSubscription, type Source } from '@claynotch/agent/dist/subscription.js'
-import { hello, holdLink, makeFile, makeFlag, pause, readAs, readRecords, type Held, type World } from '@claynotch/base'
+import { makeRegisterCache, type RegisterCache } from '@claynotch/agent/dist/register-cache.js'
+import { makeSubscription, type SubscriptionSource } from '@claynotch/agent/dist/subscription.js'
+import {
+  makeHello,
+  makePersistentLink,
+  makeDataFile,
+  makeFlag,
+  pause,
+  readAs,
+  readRecords,
+  type PersistentLink,
+  type World,
+} from '@claynotch/base'
 import {
   applyDelta,
   bytesOf,
@@ -12,7 +22,7 @@
   makeDelta,
   makeProposer,
   makeStore,
-  Push,
+  RegisterPush,
   quorumOf,
   startCore,
   valueOf,
@@ -22,14 +32,14 @@
   type HeldValue,
   type Proposer,
   type Quorum,
-  type Value,
+  type RegisterValue,
   type Voter,
 } from '@claynotch/register'
 import { makeRandom, makeSim, type Machine, type Proc, type Sim } from '../sim.js'
 
 t.setTimeout(600000)
 
-// Registers through hundreds to thousands of changes: docs/design/control-safety.md, 4.
+// RegisterCache through hundreds to thousands of changes: docs/design/control-safety.md, 4.
 
 // --- deltas by themselves ---
 
@@ -132,12 +142,12 @@
 
 // --- the data file ---
 
-function wide(turn: number, at: number): Value {
+function wide(turn: number, at: number): RegisterValue {
   const list: string[] = []
   for (let k = 0; k < 300; k++) list.push(`item ${at + k}`)
   return { turn, tag: `t${turn}`, body: { list } }
 }
-function deltaOf(a: Value, b: Value): Delta {
+function deltaOf(a: RegisterValue, b: RegisterValue): Delta {
   return makeDelta(a, b) as Delta
 }
 
@@ -148,7 +158,7 @@
   async function run(world: World): Promise<void> {
     const store = makeStore(world, '/d')
     await store.open()
-    await store.mark('founded', { epoch: 0, cores: [{ id: 'a', addr: '10.0.0.1:7000' }] }, undefined)
+    await store.writeSet('founded', { epoch: 0, cores: [{ id: 'a', addr: '10.0.0.1:7000' }] }, undefined)
     await store.prepare('k', [1, 'p'])
     c.same(await store.accept('k', [1, 'p'], wide(1, 0)), { ok: true })
     const size = machine.files.get('/d')!.length
@@ -161,7 +171,7 @@
     c.ok(grown < bytesOf(wide(1, 0)) / 5, `${Math.round(grown)} bytes a change, the value has ${bytesOf(wide(1, 0))}`)
     const again = makeStore(world, '/d')
     c.same(await again.open(), [], 'the file is read without a finding')
-    c.same(again.cells().get('k'), { promise: [50, 'p'], ballot: [50, 'p'], value: wide(50, 49) })
+    c.same(again.entries().get('k'), { promise: [50, 'p'], ballot: [50, 'p'], value: wide(50, 49) })
 
     // A program that can't read deltas refuses to start on the file, as on that of another set; one of before is marked.
     function setOf(path: string): { cores: string[] } | undefined {
@@ -171,7 +181,7 @@
     }
     c.same(setOf('/d')?.cores, ['a', 'format-2'])
     c.same(again.cores(), ['a'], 'the set itself is as it was')
-    await makeFile(world, '/f').reset([{ k: 'set', phase: 'founded', cores: ['a'] }])
+    await makeDataFile(world, '/f').reset([{ k: 'set', phase: 'founded', cores: ['a'] }])
     const older = makeStore(world, '/f')
     c.same(await older.open(), [])
     c.equal(older.phase(), 'founded')
@@ -190,7 +200,7 @@
       'one that does not fit',
     )
     c.same(await again.acceptDelta('k', [59, 'p'], [50, 'p'], delta), { ok: false, promise: [60, 'p'] })
-    c.same(again.cells().get('k'), { promise: [60, 'p'], ballot: [50, 'p'], value: wide(50, 49) })
+    c.same(again.entries().get('k'), { promise: [60, 'p'], ballot: [50, 'p'], value: wide(50, 49) })
     c.ok(prepared > before && machine.files.get('/d')!.length === prepared, 'only the promise is on disk')
 
     // A record that the next one builds on is missing: everything that was read is void.
@@ -198,11 +208,11 @@
     const records = readRecords(bytes).records as { k: string; ballot?: Ballot }[]
     const cut: unknown[] = []
     for (const r of records) if (!(r.k === 'delta' && r.ballot?.[0] === 25)) cut.push(r)
-    await makeFile(world, '/e').reset(cut)
+    await makeDataFile(world, '/e').reset(cut)
     const damaged = makeStore(world, '/e')
     const findings = await damaged.open()
     c.match(findings[0]?.what, /lost its memory/, 'a delta without its base is loss')
-    c.equal(damaged.cells().size, 0, 'nothing of it counts')
+    c.equal(damaged.entries().size, 0, 'nothing of it counts')
     c.equal(damaged.phase(), 'none')
     done = true
   }
@@ -256,7 +266,7 @@
   const known = new Map<string, HeldValue>()
   const links: Voter[] = []
   for (const p of places) {
-    const link: Held = holdLink(world, p.addr, hello('test', name), ignore, makeFlag())
+    const link: PersistentLink = makePersistentLink(world, p.addr, makeHello('test', name), ignore, makeFlag())
     function ask(msg: unknown, ms: number): Promise<unknown> {
       asked.push({ id: p.id, msg: msg as Asked['msg'] })
       return link.ask(msg, ms)
@@ -294,7 +304,7 @@
     const proposer = knowing(world, 'w', s.places, asked)
     await pause(world, 500)
     function put(n: number): ReturnType<Proposer['change']> {
-      function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+      function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
         return now?.tag === `t${n}` ? undefined : { body: wide(n, n).body, tag: `t${n}` }
       }
       return proposer.change('k', edit)
@@ -324,7 +334,7 @@
   }
   c.ok(await s.sim.until(over, 60000), 'ran through')
   const cells = new Set<string>()
-  for (const b of s.boxes) cells.add(JSON.stringify([b.core!.store.cells().get('k')]))
+  for (const b of s.boxes) cells.add(JSON.stringify([b.core!.store.entries().get('k')]))
   c.equal(cells.size, 1, 'all five hold the same value at the same ballot')
   const words: string[] = []
   for (const { id, msg } of asked) if (msg.t === 'accept') words.push(`${id} ${msg.base ? 'delta' : 'whole'}`)
@@ -355,7 +365,7 @@
         await pause(world, 500)
         for (let k = 0; k < 40; k++) {
           const tag = `w${w}.${k}`
-          function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+          function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
             const list = (now?.body ?? []) as string[]
             return list.includes(tag) ? undefined : { body: [...list, tag], tag }
           }
@@ -397,7 +407,7 @@
     for (let w = 0; w < 3; w++) writers.push(machineOf(s, w))
     function look(): void {
       for (const b of s.boxes) {
-        for (const [key, cell] of b.core?.store.cells() ?? []) {
+        for (const [key, cell] of b.core?.store.entries() ?? []) {
           const id = `${key} ${cell.ballot.join(' ')}`
           const body = JSON.stringify(cell.value)
           const old = bodies.get(id)
@@ -442,7 +452,7 @@
       if (msg.base) deltas++
       else wholes++
     }
-    for (const b of s.boxes) lacked += b.core?.numbers.get('claynotch_core_bases_lacking_total') ?? 0
+    for (const b of s.boxes) lacked += b.core?.metrics.get('claynotch_core_bases_lacking_total') ?? 0
   }
   c.ok(deltas > wholes, `${deltas} accepts as deltas, ${wholes} whole, ${lacked} lacked their base`)
 }
@@ -452,16 +462,16 @@
 
 // --- pushes ---
 
-type Told = { pushes: Push[]; link: Held }
+type Told = { pushes: RegisterPush[]; link: PersistentLink }
 function listen(world: World, addr: string, name: string, epoch?: number): Told {
-  const pushes: Push[] = []
+  const pushes: RegisterPush[] = []
   function take(msg: unknown): undefined {
-    const got = readAs(Push, msg)
+    const got = readAs(RegisterPush, msg)
     if (got.ok) pushes.push(got.val)
     return undefined
   }
-  const mine = epoch === undefined ? hello('agent', name) : hello('agent', name, epoch)
-  return { pushes, link: holdLink(world, addr, mine, take, makeFlag()) }
+  const mine = epoch === undefined ? makeHello('agent', name) : makeHello('agent', name, epoch)
+  return { pushes, link: makePersistentLink(world, addr, mine, take, makeFlag()) }
 }
 
 async function versions(c: Test): Promise<void> {
@@ -475,7 +485,7 @@
     const subscribed = listen(world, s.places[0].addr, 'subscribed')
     await pause(world, 500)
     async function put(n: number): Promise<void> {
-      function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+      function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
         return now?.tag === `t${n}` ? undefined : { body: wide(n, n).body, tag: `t${n}` }
       }
       await proposer.change('k', edit)
@@ -538,21 +548,27 @@
       asked.push(msg)
       return answer
     }
-    const link: Held = { addr: '', ask, tell: ignore, up: yes, peer: ignore, close: ignore }
-    function linkTo(): Held {
+    const link: PersistentLink = { addr: '', ask, tell: ignore, up: yes, peer: ignore, close: ignore }
+    function linkTo(): PersistentLink {
       return link
     }
     function epoch(): number {
       return 0
     }
-    async function settle(): Promise<{ done: false; why: string }> {
+    async function readCommitted(): Promise<{ done: false; why: string }> {
       return { done: false, why: 'not here' }
     }
-    const r: Registers = makeRegisters(world, { epoch, link: linkTo, settle, news: ignore, behind: ignore })
+    const r: RegisterCache = makeRegisterCache(world, {
+      epoch,
+      link: linkTo,
+      readCommitted,
+      onNewer: ignore,
+      onBehind: ignore,
+    })
     function ballot(n: number): Ballot {
       return [n, 'p']
     }
-    function push(from: number, to: number): Push {
+    function push(from: number, to: number): RegisterPush {
       return {
         t: 'push',
         num: to,
@@ -562,26 +578,26 @@
         deltas: [deltaOf(wide(from, from), wide(to, to))],
       }
     }
-    r.learned('k', wide(3, 3), ballot(3))
-    await r.pushed('c', push(3, 4))
+    r.learn('k', wide(3, 3), ballot(3))
+    await r.takePush('c', push(3, 4))
     c.same(r.held('k'), { ballot: ballot(4), value: wide(4, 4) }, 'on its base it is applied')
-    await r.pushed('c', push(2, 3))
+    await r.takePush('c', push(2, 3))
     c.same(r.held('k')?.value, wide(4, 4), 'an old one changes nothing')
-    await r.pushed('c', { t: 'push', num: 1, key: 'k', ballot: ballot(2), value: wide(2, 2) })
+    await r.takePush('c', { t: 'push', num: 1, key: 'k', ballot: ballot(2), value: wide(2, 2) })
     c.same(r.held('k')?.value, wide(4, 4), 'nor does an old value')
     c.equal(asked.length, 0)
     // Its base is not what is known here: the value is asked for, and only what was chosen at that ballot is taken.
     answer = { ok: true, ballot: ballot(9), value: wide(9, 9) }
-    await r.pushed('c', push(5, 6))
+    await r.takePush('c', push(5, 6))
     c.same(asked, [{ t: 'get', epoch: 0, key: 'k', have: ballot(4) }])
     c.same(r.held('k')?.value, wide(4, 4), 'another ballot than the one pushed proves nothing')
     answer = { ok: true, ballot: ballot(6), base: ballot(5), deltas: [deltaOf(wide(5, 5), wide(6, 6))] }
-    await r.pushed('c', push(5, 6))
+    await r.takePush('c', push(5, 6))
     c.same(r.held('k')?.value, wide(4, 4), 'nor do deltas on another base')
     answer = { ok: true, ballot: ballot(6), value: wide(6, 6) }
-    await r.pushed('c', push(5, 6))
+    await r.takePush('c', push(5, 6))
     c.same(r.held('k'), { ballot: ballot(6), value: wide(6, 6) })
-    c.equal(r.all().get('k')?.until, 0, 'a push proves nothing of time')
+    c.equal(r.all().get('k')?.currentUntil, 0, 'a push proves nothing of time')
     // A renewal at a majority does, and shows what is missing.
     function lines(
       n: number,
@@ -589,16 +605,16 @@
       return new Map([['c', new Map([['k', { key: 'k', ballot: ballot(n), turn: n, chosen: true }]])]])
     }
     const enough = quorumOf({ epoch: 0, cores: [{ id: 'c', addr: '' }] })
-    r.shown(lines(6), enough, 1000)
-    c.equal(r.all().get('k')?.until, 3500)
-    r.shown(lines(7), enough, 2000)
-    c.ok(r.wants(), 'something newer is wanted')
-    c.equal(r.all().get('k')?.until, 3500, 'and nothing older is worked by for longer')
+    r.takeSummaries(lines(6), enough, 1000)
+    c.equal(r.all().get('k')?.currentUntil, 3500)
+    r.takeSummaries(lines(7), enough, 2000)
+    c.ok(r.isBehind(), 'something newer is wanted')
+    c.equal(r.all().get('k')?.currentUntil, 3500, 'and nothing older is worked by for longer')
     answer = { ok: true, ballot: ballot(7), base: ballot(6), deltas: [deltaOf(wide(6, 6), wide(7, 7))] }
     await r.catchUp()
     c.same(r.held('k'), { ballot: ballot(7), value: wide(7, 7) })
-    c.equal(r.all().get('k')?.until, 4500)
-    c.notOk(r.wants())
+    c.equal(r.all().get('k')?.currentUntil, 4500)
+    c.notOk(r.isBehind())
     done = true
   }
   sim.spawn(sim.machine('m', '10.0.0.1'), 'm', run)
@@ -613,7 +629,7 @@
   let done = false
   async function run(world: World): Promise<void> {
     // Cores as the agent sees them; told: the subscriptions each of them was sent.
-    type Fake = { source: Source; told: string[]; up: boolean; answer: unknown; epoch: number }
+    type Fake = { source: SubscriptionSource; told: string[]; up: boolean; answer: unknown; epoch: number }
     const fakes: Fake[] = []
     function add(id: string, area: string | undefined): Fake {
       const fake: Fake = { source: undefined as never, told: [], up: true, answer: { ok: true }, epoch: 3 }
@@ -627,10 +643,10 @@
       function up(): boolean {
         return fake.up
       }
-      function peer(): ReturnType<typeof hello> {
-        return hello('core', id, fake.epoch)
+      function peer(): ReturnType<typeof makeHello> {
+        return makeHello('core', id, fake.epoch)
       }
-      const held: Held = { addr: '', ask, tell, up, peer, close: ignore }
+      const held: PersistentLink = { addr: '', ask, tell, up, peer, close: ignore }
       fake.source = { id, held, heard: world.now(), area, lines: new Map() }
       fakes.push(fake)
       return fake
@@ -643,7 +659,7 @@
     const sub = makeSubscription(world, 'n', 'z', ballotsNow)
     async function beat(silent?: Fake): Promise<void> {
       await pause(world, 600)
-      const list: Source[] = []
+      const list: SubscriptionSource[] = []
       for (const f of fakes) {
         if (f !== silent) f.source.heard = world.now()
         list.push(f.source)
--- a/packages/fleet/src/test/deltastorms.test.ts
+++ b/packages/fleet/src/test/deltastorms.test.ts
@@ -248,7 +248,7 @@
     const at = f.sim.now()
     f.startCoreAt(k)
     function current(): boolean {
-      const body = b.core?.store.cells().get('configuration')?.value?.body as { epoch?: number } | undefined
+      const body = b.core?.store.entries().get('configuration')?.value?.body as { epoch?: number } | undefined
       return b.core?.serving() === true && body?.epoch === epoch
     }
     c.ok(
@@ -290,9 +290,9 @@
       const agent = one.agent
       const may =
         agent !== undefined &&
-        agent.termUntil() > f.sim.now() + one.machine.skew &&
-        agent.numbers.get('claynotch_agent_current') === 1
-      const body = agent?.cell('configuration')?.body as { epoch?: number } | undefined
+        agent.leaseExpiresAt() > f.sim.now() + one.machine.skew &&
+        agent.metrics.get('claynotch_agent_current') === 1
+      const body = agent?.register('configuration')?.body as { epoch?: number } | undefined
       if (may && body?.epoch !== epoch) early++
       if (may) held++
       if (f.sim.now() < at + 3000) f.sim.at(0.1, look)
--- a/packages/fleet/src/test/drain.test.ts
+++ b/packages/fleet/src/test/drain.test.ts
@@ -1,9 +1,19 @@
 import t, { type Test } from 'tap'
-import { answerLinks, hello, makeFlag, Ok, pause, readAs, type Link, type Result, type World } from '@claynotch/base'
-import type { Done, InstanceEdge, Port, Trouble } from '@claynotch/instance'
+import {
+  acceptLinks,
+  makeHello,
+  makeFlag,
+  Ok,
+  pause,
+  readAs,
+  type Link,
+  type Result,
+  type World,
+} from '@claynotch/base'
+import type { StatementResult, InstanceAdapter, InstanceConnection, RequestError } from '@claynotch/instance'
 import { CONFIG_KEY, emptyBody, type Config } from '@claynotch/operator'
-import { ownEdges, startProxy, type Proxy } from '@claynotch/proxy'
-import { groupKey, Note, type Feed, type GroupRecord } from '@claynotch/register'
+import { ownAdapters, startProxy, type Proxy } from '@claynotch/proxy'
+import { groupKey, ProxyReport, type AgentFeed, type GroupRecord } from '@claynotch/register'
 import type { Verdict } from '@claynotch/requester'
 import { makeSim } from '../sim.js'
 import { task } from './beside.js'
@@ -19,21 +29,21 @@
 // open: transactions open at the leader, or on their way. begins: the phase that the agent had fed last when each was sent.
 type Seen = { open: number; begins: string[]; phase: string; acked: number; wrong: string[] }
 
-function modelEdge(slow: Slow, seen: Seen): InstanceEdge {
-  async function open(world: World): Promise<Result<Port, Trouble>> {
+function modelEdge(slow: Slow, seen: Seen): InstanceAdapter {
+  async function open(world: World): Promise<Result<InstanceConnection, RequestError>> {
     await pause(world, slow.dial)
     let up = true
-    async function done(): Promise<Result<Done, Trouble>> {
+    async function done(): Promise<Result<StatementResult, RequestError>> {
       await pause(world, 1)
       return Ok({ rows: [], mark: { epoch: 1, position: 1 } })
     }
-    async function begin(): Promise<Result<Done, Trouble>> {
+    async function begin(): Promise<Result<StatementResult, RequestError>> {
       seen.begins.push(seen.phase)
       seen.open++
       await pause(world, slow.begin)
       return await done()
     }
-    async function end(): Promise<Result<Done, Trouble>> {
+    async function end(): Promise<Result<StatementResult, RequestError>> {
       const got = await done()
       seen.open--
       return got
@@ -81,7 +91,7 @@
     function serve(_peer: unknown, on: Link) {
       up = on
       function take(msg: unknown): undefined {
-        const got = readAs(Note, msg)
+        const got = readAs(ProxyReport, msg)
         if (got.err) throw new Error('no note')
         for (const [k, turn] of got.val.acks) {
           if (k !== key || turn <= seen.acked) continue
@@ -93,11 +103,11 @@
       }
       return take
     }
-    await world.listen(link, answerLinks(world, hello('agent', 'n1'), serve))
+    await world.listen(link, acceptLinks(world, makeHello('agent', 'n1'), serve))
     const proxy = await startProxy(
       world,
       { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: link },
-      { ...ownEdges, instance: modelEdge(slow, seen) },
+      { ...ownAdapters, instance: modelEdge(slow, seen) },
     )
     const config: Config = {
       proxies: 'live',
@@ -108,7 +118,7 @@
       seen.phase = phase
       const until = world.now() + 60000
       const record: GroupRecord = { epoch: 1, phase, holder: 'n1', fence: 1, leader: 'i1', addr: '10.0.0.9:1' }
-      const word: Feed = {
+      const word: AgentFeed = {
         t: 'feed',
         node: 'n1',
         area: 'x',
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -1,10 +1,10 @@
 import t, { type Test } from 'tap'
-import { ownEdges as ownAgentEdges, type AgentEdges } from '@claynotch/agent'
-import { pause, type Addr, type World } from '@claynotch/base'
-import { weigh, type Report } from '@claynotch/duty'
+import { ownAdapters as ownAgentEdges, type AgentAdapters } from '@claynotch/agent'
+import { pause, type Address, type World } from '@claynotch/base'
+import { weighEvidence, type InstanceObservations } from '@claynotch/duty'
 import type { Promotion, PromotionEnd } from '@claynotch/host'
-import { ownEdges as ownProxyEdges } from '@claynotch/proxy'
-import { httpInstance, type InstanceEdge, type Status, type Who } from '@claynotch/instance'
+import { ownAdapters as ownProxyEdges } from '@claynotch/proxy'
+import { httpInstance, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
 import { recordOf, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
 import { stepsOf } from '../steps.js'
@@ -33,36 +33,40 @@
 
 // --- what nodes tell ---
 async function weighs(c: Test): Promise<void> {
-  function node(good?: number, bad?: number): Report {
+  function node(good?: number, bad?: number): InstanceObservations {
     const g = new Map<string, number>()
     const b = new Map<string, number>()
     if (good !== undefined) g.set('x', good)
     if (bad !== undefined) b.set('x', bad)
-    return { good: g, bad: b }
+    return { goodAgeMs: g, badAgeMs: b }
   }
-  c.strictSame(weigh([node(20), node(50), node()], 'x'), { good: 2, hears: 0, bad: 0, since: 0 }, 'all is well')
+  c.strictSame(weighEvidence([node(20), node(50), node()], 'x'), { good: 2, hears: 0, bad: 0, since: 0 }, 'all is well')
   c.strictSame(
-    weigh([node(600, 500), node(550, 520), node(560)], 'x'),
+    weighEvidence([node(600, 500), node(550, 520), node(560)], 'x'),
     { good: 1, hears: 0, bad: 2, since: 500 },
     'a good answer from before the trouble says nothing',
   )
   c.strictSame(
-    weigh([node(600, 500), node(550, 520), node(30)], 'x'),
+    weighEvidence([node(600, 500), node(550, 520), node(30)], 'x'),
     { good: 1, hears: 1, bad: 2, since: 500 },
     'one from after it does',
   )
-  c.strictSame(weigh([node(9000, 700), node(10)], 'x'), { good: 1, hears: 1, bad: 1, since: 700 }, 'one against one')
-  c.strictSame(weigh([node(2000)], 'x'), { good: 0, hears: 0, bad: 0, since: 0 }, 'an old answer is none')
+  c.strictSame(
+    weighEvidence([node(9000, 700), node(10)], 'x'),
+    { good: 1, hears: 1, bad: 1, since: 700 },
+    'one against one',
+  )
+  c.strictSame(weighEvidence([node(2000)], 'x'), { good: 0, hears: 0, bad: 0, since: 0 }, 'an old answer is none')
 }
 
 // --- while all is well ---
 async function quiet(c: Test): Promise<void> {
   let asked = 0
-  function status(world: World, who: Who, ms: number): ReturnType<InstanceEdge['status']> {
+  function status(world: World, who: InstanceAddress, ms: number): ReturnType<InstanceAdapter['status']> {
     asked++
     return httpInstance.status(world, who, ms)
   }
-  const agentEdges: AgentEdges = { ...ownAgentEdges, instance: { ...httpInstance, status } }
+  const agentEdges: AgentAdapters = { ...ownAgentEdges, instance: { ...httpInstance, status } }
   // Proxies that take no samples either: only traffic and announcements tell of the leader.
   const { sampler: _, ...plain } = httpInstance
   const f = await begun(1, { agentEdges, proxyEdges: { ...ownProxyEdges, instance: plain } })
@@ -143,19 +147,24 @@
 // The stand-in takes whatever epoch it is promoted with; here it is the next one of the group, chosen as late as the
 // call takes effect, whatever the record says.
 type Odd = { ends: PromotionEnd['end'][]; after: number; calls: Promotion[]; demoted: string[] }
-function termed(f: () => SimFleet, odd: Odd): AgentEdges {
-  async function status(world: World, who: Who, ms: number): ReturnType<InstanceEdge['status']> {
+function termed(f: () => SimFleet, odd: Odd): AgentAdapters {
+  async function status(world: World, who: InstanceAddress, ms: number): ReturnType<InstanceAdapter['status']> {
     const got = await httpInstance.status(world, who, ms)
     return got.map(withTerm)
   }
   function withTerm(s: Status): Status {
     return { ...s, epoch: s.mark.epoch }
   }
-  async function demote(world: World, who: Who, _epoch: number, ms: number): ReturnType<InstanceEdge['status']> {
+  async function demote(
+    world: World,
+    who: InstanceAddress,
+    _epoch: number,
+    ms: number,
+  ): ReturnType<InstanceAdapter['status']> {
     odd.demoted.push(who.name)
     return await status(world, who, ms)
   }
-  async function promotion(world: World, _at: Addr | undefined, what: Promotion): Promise<PromotionEnd> {
+  async function promotion(world: World, _at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
     odd.calls.push(what)
     const end = odd.ends.shift() ?? 'done'
     async function carry(): Promise<void> {
--- a/packages/fleet/src/test/edges.test.ts
+++ b/packages/fleet/src/test/edges.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import { startAgent, type Agent } from '@claynotch/agent'
-import { callOnce, encode, openLine, pause, type World } from '@claynotch/base'
+import { requestOnce, encode, openHttpConnection, pause, type World } from '@claynotch/base'
 import { makeSimFleet, smallShape } from '../simfleet.js'
 import { beside } from './beside.js'
 
@@ -28,7 +28,7 @@
       body: unknown,
       headers: [string, string][] = [],
     ): Promise<{ status: number; body: Told; after: number | undefined }> {
-      const got = (await callOnce(world, at, 'POST', path, body, 20000, headers)).unwrap()
+      const got = (await requestOnce(world, at, 'POST', path, body, 20000, headers)).unwrap()
       return { status: got.status, body: got.body as Told, after: got.after }
     }
     async function raw(text: string, ms = 200): Promise<string> {
@@ -130,7 +130,7 @@
     const wrote = await post('/calls', { lane: 'dep-g1', kind: 'write', text: 'append', args: ['tok', 'w'] })
     c.match(wrote.body.token, /^g1:1:\d+$/)
     const there = (
-      await callOnce(
+      await requestOnce(
         world,
         f.fronts[1].listen,
         'POST',
@@ -141,7 +141,7 @@
     ).unwrap()
     c.strictSame(((there.body as Told).rows ?? [])[1], ['w'], "read one's write on another node")
     const future = (
-      await callOnce(
+      await requestOnce(
         world,
         f.fronts[1].listen,
         'POST',
@@ -156,7 +156,7 @@
     await post(`/sessions/${gone}/begin`, {})
     await post(`/sessions/${gone}/statement`, { kind: 'write', text: 'append', args: ['gone', 'g'] })
     box.instance!.faults.dark = true
-    const line = (await openLine(world, at)).unwrap()
+    const line = (await openHttpConnection(world, at)).unwrap()
     void line.ask('POST', `/sessions/${gone}/statement`, { kind: 'write', text: 'append', args: ['gone', 'h'] }, 100)
     await pause(world, 300)
     box.instance!.faults.dark = false
@@ -215,7 +215,7 @@
     c.strictSame(got[4], got[0], 'a repeat gets the first decision')
     c.equal(got[3].epoch, 2, 'a loser is told the present epoch')
     c.ok((got[5].findings ?? []).length >= 3, 'lanes that would lead nowhere are each named')
-    const config = (await callOnce(world, at, 'GET', '/configuration', undefined, 5000)).unwrap().body as {
+    const config = (await requestOnce(world, at, 'GET', '/configuration', undefined, 5000)).unwrap().body as {
       epoch: number
       config: { lanes: unknown[] }
     }
@@ -223,7 +223,7 @@
     c.equal(config.config.lanes.length, 4)
     c.equal(
       (
-        await callOnce(
+        await requestOnce(
           world,
           at,
           'POST',
@@ -235,7 +235,7 @@
       400,
       'an announcement that makes no sense',
     )
-    c.equal((await callOnce(world, at, 'POST', '/groups/none/replacement', {}, 5000)).unwrap().status, 409)
+    c.equal((await requestOnce(world, at, 'POST', '/groups/none/replacement', {}, 5000)).unwrap().status, 409)
     // The stream of decisions: what is kept, then each as it is taken.
     const s = await world.dial(f.fronts[2].http, 1000)
     let heard = ''
@@ -252,7 +252,7 @@
     s.destroy()
     // Members and their acknowledgements.
     await pause(world, 2000)
-    const members = (await callOnce(world, at, 'GET', '/members', undefined, 5000)).unwrap().body as {
+    const members = (await requestOnce(world, at, 'GET', '/members', undefined, 5000)).unwrap().body as {
       node: string
       behind: unknown[]
     }[]
@@ -323,9 +323,9 @@
     for (const body of [Buffer.from('junk'), encode({ v: 99, node: 'later' }), encode({ v: 1, node: 5 })])
       wire.cast('10.0.2.1:7200', body)
     await pause(world, 500)
-    const numbers = f.fronts[0].agent!.numbers
-    c.equal(numbers.get('claynotch_summary_garbage_total'), 2, 'garbage is counted')
-    c.equal(numbers.get('claynotch_summary_other_epoch_total'), 1, 'other versions are ignored, and counted')
+    const metrics = f.fronts[0].agent!.metrics
+    c.equal(metrics.get('claynotch_summary_garbage_total'), 2, 'garbage is counted')
+    c.equal(metrics.get('claynotch_summary_other_epoch_total'), 1, 'other versions are ignored, and counted')
   }
   await beside(f, run)
   c.strictSame(f.sim.lines, [], 'no process minds')
@@ -351,9 +351,9 @@
   }
   f.sim.spawn(other, 'twin', start)
   await f.sim.run(f.sim.now() + 6000)
-  c.ok((twin?.termUntil() ?? 0) > 0, 'the newer holds the term')
+  c.ok((twin?.leaseExpiresAt() ?? 0) > 0, 'the newer holds the term')
   c.equal(f.fronts[0].proxy!.state.valid(), false, "the older one's proxy takes no work")
-  c.ok(f.fronts[0].agent!.numbers.get('claynotch_renewals_total', [['end', 'replaced']]) > 0)
+  c.ok(f.fronts[0].agent!.metrics.get('claynotch_renewals_total', [['end', 'replaced']]) > 0)
   c.ok(f.sim.lines.some(isReplaced), 'and the log says why')
 }
 function isReplaced(line: string): boolean {
--- a/packages/fleet/src/test/lanes.test.ts
+++ b/packages/fleet/src/test/lanes.test.ts
@@ -1,5 +1,5 @@
 import t, { type Test } from 'tap'
-import { callOnce, pause, type World } from '@claynotch/base'
+import { requestOnce, pause, type World } from '@claynotch/base'
 import { makeSimFleet, smallShape, type SimFleet } from '../index.js'
 import { beside } from './beside.js'
 
@@ -12,13 +12,14 @@
   return makeSimFleet(5, { ...s, ...(copies ? { copies: [['g1', 'g2']] as [string, string][] } : {}) })
 }
 async function post(world: World, f: SimFleet, stream: string, change: object): Promise<Told> {
-  const got = (await callOnce(world, f.fronts[0].http, 'POST', `/streams/${stream}`, change, 12000)).unwrap().body
+  const got = (await requestOnce(world, f.fronts[0].http, 'POST', `/streams/${stream}`, change, 12000)).unwrap().body
   return (typeof got === 'string' ? JSON.parse(got) : got) as Told
 }
 function sender(world: World, f: SimFleet): (edits: unknown[], more?: object) => Promise<Told> {
   let number = 0
   async function send(edits: unknown[], more: object = {}): Promise<Told> {
-    const now = (await callOnce(world, f.fronts[0].http, 'GET', '/configuration', undefined, 5000)).unwrap().body as {
+    const now = (await requestOnce(world, f.fronts[0].http, 'GET', '/configuration', undefined, 5000)).unwrap()
+      .body as {
       epoch: number
     }
     return await post(world, f, 'desk', { number: ++number, expect: now.epoch, edits, ...more })
@@ -26,7 +27,7 @@
   return send
 }
 async function moves(world: World, f: SimFleet): Promise<{ phase: string }[]> {
-  return (await callOnce(world, f.fronts[1].http, 'GET', '/moves', undefined, 5000)).unwrap().body as {
+  return (await requestOnce(world, f.fronts[1].http, 'GET', '/moves', undefined, 5000)).unwrap().body as {
     phase: string
   }[]
 }
@@ -130,7 +131,8 @@
     c.ok(await reach(undefined), 'called off by itself')
     c.ok(world.now() - from < 10000, 'in time for those who wait')
     async function decisions(): Promise<Told[]> {
-      const text = (await callOnce(world, f.fronts[0].http, 'GET', '/decisions/system', undefined, 5000)).unwrap().body
+      const text = (await requestOnce(world, f.fronts[0].http, 'GET', '/decisions/system', undefined, 5000)).unwrap()
+        .body
       const out: Told[] = []
       if (typeof text === 'string')
         for (const line of text.split('\n')) if (line !== '') out.push(JSON.parse(line) as Told)
@@ -144,7 +146,8 @@
     const last = (await decisions())[1]
     c.equal(last.decision, 'accepted')
     c.match(last.why, /moved from g1 to g2/)
-    const now = (await callOnce(world, f.fronts[2].http, 'GET', '/configuration', undefined, 5000)).unwrap().body as {
+    const now = (await requestOnce(world, f.fronts[2].http, 'GET', '/configuration', undefined, 5000)).unwrap()
+      .body as {
       epoch: number
       config: { lanes: { name: string; group: string }[] }
     }
@@ -162,7 +165,7 @@
     async function call(
       body: object,
     ): Promise<{ status: number; body: { outcome: string; class?: string; token?: string; rows?: unknown[] } }> {
-      const got = (await callOnce(world, f.fronts[0].listen, 'POST', '/calls', body, 12000)).unwrap()
+      const got = (await requestOnce(world, f.fronts[0].listen, 'POST', '/calls', body, 12000)).unwrap()
       return got as never
     }
     await pause(world, 1500)
@@ -190,15 +193,18 @@
   async function run(world: World): Promise<void> {
     await pause(world, 1500)
     const at = f.fronts[0].listen
-    const opened = (await callOnce(world, at, 'POST', '/sessions', { lane: 'cal-g1' }, 5000)).unwrap().body as {
+    const opened = (await requestOnce(world, at, 'POST', '/sessions', { lane: 'cal-g1' }, 5000)).unwrap().body as {
       session: string
     }
     const begun = (
-      await callOnce(world, at, 'POST', `/sessions/${opened.session}/begin`, { kind: 'read' }, 5000)
+      await requestOnce(world, at, 'POST', `/sessions/${opened.session}/begin`, { kind: 'read' }, 5000)
     ).unwrap()
     c.equal(begun.status, 200)
     const from = world.now()
-    c.equal((await callOnce(world, f.fronts[0].http, 'POST', '/groups/g1/replacement', {}, 5000)).unwrap().status, 202)
+    c.equal(
+      (await requestOnce(world, f.fronts[0].http, 'POST', '/groups/g1/replacement', {}, 5000)).unwrap().status,
+      202,
+    )
     while (f.promotions.length === 0 && world.now() - from < 12000) await pause(world, 50)
     const spent = world.now() - from
     c.ok(spent > 2900 && spent < 4500, `replaced after ${Math.round(spent)} ms`)
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -1,19 +1,29 @@
 import t, { type Test } from 'tap'
 import { makeSignal, makeFlag, makeMetrics, Ok, pause, type Result, type World } from '@claynotch/base'
-import type { Done, InstanceEdge, Port, Trouble, Who } from '@claynotch/instance'
+import type {
+  StatementResult,
+  InstanceAdapter,
+  InstanceConnection,
+  RequestError,
+  InstanceAddress,
+} from '@claynotch/instance'
 import { lendable, type Config } from '@claynotch/operator'
-import { makePool, startWatch, type Instance, type Need, type State } from '@claynotch/proxy'
+import { makePool, startWatch, type Instance, type ConnectionRequirements, type State } from '@claynotch/proxy'
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
 
 // Lending on an edge that nobody samples: a plain model of an instance's connection beside the real pool and watch.
 
 type Line = { values: Map<string, string>; shapes: Map<string, string>; open: boolean; lent: boolean }
-const none: Result<Done, Trouble> = Ok({ rows: [], mark: { epoch: 0, position: 0 } })
+const none: Result<StatementResult, RequestError> = Ok({ rows: [], mark: { epoch: 0, position: 0 } })
 
 // slow: ms that opening a connection takes; an opening that is given less fails as late.
-function modelEdge(lines: Line[], slow: number): InstanceEdge {
-  async function open(world: World, _who: Who, ms: number): Promise<Result<Port, Trouble>> {
+function modelEdge(lines: Line[], slow: number): InstanceAdapter {
+  async function open(
+    world: World,
+    _who: InstanceAddress,
+    ms: number,
+  ): Promise<Result<InstanceConnection, RequestError>> {
     await pause(world, Math.min(ms, slow))
     if (ms < slow)
       return {
@@ -23,19 +33,19 @@
       } as never
     const line: Line = { values: new Map(), shapes: new Map(), open: true, lent: false }
     lines.push(line)
-    async function done(): Promise<Result<Done, Trouble>> {
+    async function done(): Promise<Result<StatementResult, RequestError>> {
       await pause(world, 1)
       return none
     }
-    async function settings(pairs: [string, string][]): Promise<Result<Done, Trouble>> {
+    async function settings(pairs: [string, string][]): Promise<Result<StatementResult, RequestError>> {
       for (const [name, value] of pairs) line.values.set(name, value)
       return await done()
     }
-    async function shape(name: string, text: string): Promise<Result<Done, Trouble>> {
+    async function shape(name: string, text: string): Promise<Result<StatementResult, RequestError>> {
       line.shapes.set(name, text)
       return await done()
     }
-    async function reset(): Promise<Result<Done, Trouble>> {
+    async function reset(): Promise<Result<StatementResult, RequestError>> {
       line.values.clear()
       line.shapes.clear()
       return await done()
@@ -46,7 +56,7 @@
     function close(): void {
       line.open = false
     }
-    const port: Port = {
+    const port: InstanceConnection = {
       statement: done,
       begin: done,
       commit: done,
@@ -65,8 +75,8 @@
   }
   return { exact: false, named: false, idle: 45000, open, status }
 }
-const ports = new Map<Port, Line>()
-const who: Who = { name: 'i1', group: 'g', addr: '10.0.0.9:1' }
+const ports = new Map<InstanceConnection, Line>()
+const who: InstanceAddress = { name: 'i1', group: 'g', addr: '10.0.0.9:1' }
 
 async function inWorld(run: (world: World) => Promise<void>): Promise<void> {
   const sim = makeSim(5)
@@ -86,7 +96,13 @@
         const settings: [string, string][] = []
         for (const name of ['a', 'b', 'c']) if (rnd() < 0.4) settings.push([name, String(Math.floor(rnd() * 2))])
         const shapes = new Map<string, string>(rnd() < 0.5 ? [['s', `READ q${Math.floor(rnd() * 4)}`]] : [])
-        const need: Need = { database: `d${Math.floor(rnd() * 3)}`, settings, shapes, team: '', share: 1 }
+        const need: ConnectionRequirements = {
+          database: `d${Math.floor(rnd() * 3)}`,
+          settings,
+          shapes,
+          team: '',
+          share: 1,
+        }
         const got = await pool.borrow(who, 4, need, { free: 200, dial: 100 }, makeFlag())
         if (got.err) continue
         served++
@@ -123,7 +139,7 @@
   async function run(world: World): Promise<void> {
     const lines: Line[] = []
     const pool = makePool(world, modelEdge(lines, 20), makeFlag(), makeMetrics())
-    const need: Need = { database: 'd', settings: [], shapes: new Map(), team: '', share: 1 }
+    const need: ConnectionRequirements = { database: 'd', settings: [], shapes: new Map(), team: '', share: 1 }
     const got = await pool.borrow(who, 4, need, { free: 1, dial: 100 }, makeFlag())
     c.ok(got.ok, 'a call that has waited long for its leader still has time to open a connection')
     if (got.ok) got.val.end(true)
--- a/packages/fleet/src/test/members.test.ts
+++ b/packages/fleet/src/test/members.test.ts
@@ -1,5 +1,5 @@
 import t, { type Test } from 'tap'
-import { TERM, type Addr, type World } from '@claynotch/base'
+import { LEASE_DURATION_MS, type Address, type World } from '@claynotch/base'
 import { startAgent, type Agent } from '@claynotch/agent'
 import { startCore, type Core, type CorePlace } from '@claynotch/register'
 import { makeSim, type Proc, type Sim } from '../sim.js'
@@ -19,7 +19,7 @@
   startCoreAt: (k: number) => void
 }
 
-function none(): Addr[] {
+function none(): Address[] {
   return []
 }
 
@@ -74,12 +74,13 @@
 
 function knowAll(cluster: Cluster): boolean {
   for (const agent of cluster.agents)
-    if (agent?.numbers.get('claynotch_agent_members') !== FRONTS || agent.termUntil() <= cluster.sim.now()) return false
+    if (agent?.metrics.get('claynotch_agent_members') !== FRONTS || agent.leaseExpiresAt() <= cluster.sim.now())
+      return false
   return cluster.agents.length === FRONTS
 }
 function linesOf(cluster: Cluster): number {
   let sum = 0
-  for (const { core } of cluster.cores) sum += core?.numbers.get('claynotch_core_member_lines_total') ?? 0
+  for (const { core } of cluster.cores) sum += core?.metrics.get('claynotch_core_member_lines_total') ?? 0
   return sum
 }
 
@@ -103,18 +104,17 @@
   c.ok(await cluster.sim.until(known, 20000), 'every front knows every member')
   // Four of nine go: for some fronts both of those that told them of members.
   for (let k = 0; k < 4; k++) cluster.stopCore(k)
-  await cluster.sim.run(cluster.sim.now() + 2 * TERM)
+  await cluster.sim.run(cluster.sim.now() + 2 * LEASE_DURATION_MS)
   c.ok(known(), 'they still do, and hold their leases, with four cores gone')
   for (let k = 0; k < 4; k++) cluster.startCoreAt(k)
-  await cluster.sim.run(cluster.sim.now() + 2 * TERM)
+  await cluster.sim.run(cluster.sim.now() + 2 * LEASE_DURATION_MS)
   for (let k = 4; k < 8; k++) cluster.stopCore(k)
-  await cluster.sim.run(cluster.sim.now() + 2 * TERM)
+  await cluster.sim.run(cluster.sim.now() + 2 * LEASE_DURATION_MS)
   c.ok(known(), 'and with four others gone')
   void cluster.agents[0]!.stop()
-  await cluster.sim.run(cluster.sim.now() + 2 * TERM)
+  await cluster.sim.run(cluster.sim.now() + 2 * LEASE_DURATION_MS)
   let told = 0
-  for (const agent of cluster.agents.slice(1))
-    if (agent!.numbers.get('claynotch_agent_members') === FRONTS - 1) told++
+  for (const agent of cluster.agents.slice(1)) if (agent!.metrics.get('claynotch_agent_members') === FRONTS - 1) told++
   c.equal(told, FRONTS - 1, 'each learns from other cores that a member left')
 }
 
@@ -125,9 +125,9 @@
   }
   c.ok(await cluster.sim.until(known, 20000), 'every front knows every member')
   void cluster.agents[0]!.stop()
-  await cluster.sim.run(cluster.sim.now() + 2 * TERM)
+  await cluster.sim.run(cluster.sim.now() + 2 * LEASE_DURATION_MS)
   for (const agent of cluster.agents.slice(1))
-    c.equal(agent!.numbers.get('claynotch_agent_members'), FRONTS - 1, 'one that left is known to have left')
+    c.equal(agent!.metrics.get('claynotch_agent_members'), FRONTS - 1, 'one that left is known to have left')
 }
 
 void t.test('members are told by a few cores', fewLines)
--- a/packages/fleet/src/test/noroute.test.ts
+++ b/packages/fleet/src/test/noroute.test.ts
@@ -1,8 +1,8 @@
 import t, { type Test } from 'tap'
-import { answerLinks, hello, makeFlag, pause, type Link, type World } from '@claynotch/base'
+import { acceptLinks, makeHello, makeFlag, pause, type Link, type World } from '@claynotch/base'
 import { CONFIG_KEY, emptyBody, type Config } from '@claynotch/operator'
 import { startProxy, type Proxy } from '@claynotch/proxy'
-import type { Feed } from '@claynotch/register'
+import type { AgentFeed } from '@claynotch/register'
 import type { Verdict, Word } from '@claynotch/requester'
 import { makeSim } from '../sim.js'
 import { task } from './beside.js'
@@ -39,12 +39,12 @@
       up = on
       return take
     }
-    await world.listen(LINK, answerLinks(world, hello('agent', 'n1'), serve))
+    await world.listen(LINK, acceptLinks(world, makeHello('agent', 'n1'), serve))
     const proxy: Proxy = await startProxy(world, { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: LINK })
     function tell(turn: number, body?: unknown): void {
       const until = world.now() + LEASE_MS
-      const cells: Feed['cells'] = [{ key: CONFIG_KEY, turn, until, ...(body === undefined ? {} : { body }) }]
-      const word: Feed = {
+      const cells: AgentFeed['cells'] = [{ key: CONFIG_KEY, turn, until, ...(body === undefined ? {} : { body }) }]
+      const word: AgentFeed = {
         t: 'feed',
         node: 'n1',
         area: 'x',
--- a/packages/fleet/src/test/orders.test.ts
+++ b/packages/fleet/src/test/orders.test.ts
@@ -11,7 +11,7 @@
   type Proposer,
   type Quorum,
   type Store,
-  type Value,
+  type RegisterValue,
   type Voter,
 } from '@claynotch/register'
 import { makeSim } from '../sim.js'
@@ -40,13 +40,13 @@
     { id: 'c', addr: 'c:1' },
   ],
 }
-type Word = { t: string; key: string; ballot: Ballot; value?: Value }
+type Word = { t: string; key: string; ballot: Ballot; value?: RegisterValue }
 
 // Every value that a majority accepted at one ballot, as it came about.
 function makeChosen() {
   const by = new Map<string, Set<string>>()
   const epochs: number[] = []
-  function note(id: string, ballot: Ballot, value: Value): void {
+  function note(id: string, ballot: Ballot, value: RegisterValue): void {
     const key = ballot.join(' ')
     const ids = by.get(key) ?? new Set<string>()
     by.set(key, ids.add(id))
--- a/packages/fleet/src/test/parts.test.ts
+++ b/packages/fleet/src/test/parts.test.ts
@@ -1,5 +1,13 @@
 import t, { type Test } from 'tap'
-import { BACKOFF, BREAKER_LEAST, makeFile, makeMetrics, readRecords, RETRY_TOKENS, type World } from '@claynotch/base'
+import {
+  BACKOFF_BASE_MS,
+  BREAKER_MIN_RESULTS,
+  makeDataFile,
+  makeMetrics,
+  readRecords,
+  RETRY_TOKENS,
+  type World,
+} from '@claynotch/base'
 import {
   decide,
   digestOf,
@@ -70,7 +78,7 @@
 }
 async function dataFile(c: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const f = makeFile(world, '/f')
+    const f = makeDataFile(world, '/f')
     await f.open()
     for (let k = 0; k < 20; k++) await f.append(record(k))
     const whole = Buffer.from((await world.disk.read('/f')) as Uint8Array)
@@ -92,11 +100,11 @@
       if (readRecords(bad).damaged) seen++
     }
     c.equal(seen, 60, 'damage before good records is seen each time')
-    const again = makeFile(world, '/f')
+    const again = makeDataFile(world, '/f')
     const opened = await again.open()
     c.equal(opened.records.length, 20)
     await again.reset([record(1)])
-    c.equal((await makeFile(world, '/f').open()).records.length, 1, 'a rewrite holds what lives')
+    c.equal((await makeDataFile(world, '/f').open()).records.length, 1, 'a rewrite holds what lives')
   }
   await inWorld(run)
 }
@@ -206,7 +214,7 @@
     for (let n = 0; n < 4; n++) {
       for (let k = 0; k < 50; k++) {
         const ms = backoff(world, n)
-        if (ms < 2 ** n * BACKOFF || ms >= 1.5 * 2 ** n * BACKOFF) c.fail(`pause ${ms} after send ${n}`)
+        if (ms < 2 ** n * BACKOFF_BASE_MS || ms >= 1.5 * 2 ** n * BACKOFF_BASE_MS) c.fail(`pause ${ms} after send ${n}`)
       }
     }
     let rest = { firsts: 0, retries: 0 }
@@ -224,7 +232,7 @@
     while (shared.spend()) spent++
     c.ok(spent <= RETRY_TOKENS / 2 + 1, `${spent} retries while the fleet retries too much`)
     const breaker = makeBreaker(world, 'g', makeMetrics())
-    for (let k = 0; k < BREAKER_LEAST - 1; k++) breaker.note(false, false)
+    for (let k = 0; k < BREAKER_MIN_RESULTS - 1; k++) breaker.note(false, false)
     c.equal(breaker.state(), 'closed', 'a few failures are no sustained rate')
     breaker.note(false, false)
     c.equal(breaker.state(), 'open')
--- a/packages/fleet/src/test/pictures.test.ts
+++ b/packages/fleet/src/test/pictures.test.ts
@@ -1,12 +1,12 @@
 import t, { type Test } from 'tap'
 import {
-  makePicture,
-  makeTable,
-  type KeyLine,
-  type MemberLine,
-  type Picture,
-  type RenewAnswer,
-  type Sight,
+  makeCoreView,
+  makeChangeTable,
+  type RegisterSummary,
+  type MemberEntry,
+  type CoreView,
+  type LeaseRenewalAnswer,
+  type InstanceStatus,
 } from '@claynotch/register'
 import type { World } from '@claynotch/base'
 import { makeSimFleet, smallShape } from '../simfleet.js'
@@ -15,9 +15,13 @@
 t.setTimeout(300000)
 
 // The slow plain model of a picture is a copy of all that the core held when it wrote the answer.
-type Plain = { keys: Map<string, KeyLine>; members: Map<string, MemberLine>; sights: Map<string, Sight> }
+type Plain = {
+  keys: Map<string, RegisterSummary>
+  members: Map<string, MemberEntry>
+  sights: Map<string, InstanceStatus>
+}
 type Model = {
-  answer: (core: string, count: number) => { got: RenewAnswer; plain: Plain }
+  answer: (core: string, count: number) => { got: LeaseRenewalAnswer; plain: Plain }
   change: () => void
   restart: () => void
 }
@@ -26,19 +30,19 @@
   let lives = 0
   let life = ''
   let count = { at: 0 }
-  let keys = new Map<string, KeyLine>()
-  let members = new Map<string, MemberLine>()
-  let sights = new Map<string, Sight>()
+  let keys = new Map<string, RegisterSummary>()
+  let members = new Map<string, MemberEntry>()
+  let sights = new Map<string, InstanceStatus>()
   let tables = makeTables()
   function makeTables() {
     count = { at: 0 }
     return {
-      keys: makeTable<KeyLine>(count, JSON.stringify),
-      members: makeTable<MemberLine>(count, JSON.stringify),
-      sights: makeTable<Sight>(count, signSight),
+      keys: makeChangeTable<RegisterSummary>(count, JSON.stringify),
+      members: makeChangeTable<MemberEntry>(count, JSON.stringify),
+      sights: makeChangeTable<InstanceStatus>(count, signSight),
     }
   }
-  function signSight(s: Sight): string {
+  function signSight(s: InstanceStatus): string {
     return `${s.role} ${s.leaving}`
   }
   function restart(): void {
@@ -85,7 +89,7 @@
       })
     else sights.delete(name)
   }
-  function answer(core: string, from: number): { got: RenewAnswer; plain: Plain } {
+  function answer(core: string, from: number): { got: LeaseRenewalAnswer; plain: Plain } {
     tables.keys.update(keys)
     tables.members.update(members)
     tables.sights.update(sights)
@@ -115,12 +119,12 @@
   for (const s of p.sights.values()) out.push(`${s.name} ${s.role} ${s.leaving}`)
   return out.sort().join()
 }
-function showPicture(p: Picture): string {
-  const members = new Map<string, MemberLine>()
+function showPicture(p: CoreView): string {
+  const members = new Map<string, MemberEntry>()
   for (const [node, one] of p.members()) members.set(node, one.line)
-  const sights = new Map<string, Sight>()
-  for (const [name, one] of p.sights()) sights.set(name, one.sight)
-  return show({ keys: p.keys(), members, sights })
+  const sights = new Map<string, InstanceStatus>()
+  for (const [name, one] of p.instances()) sights.set(name, one.sight)
+  return show({ keys: p.registers(), members, sights })
 }
 
 // Answers are lost, come late or twice, and the core is restarted: a picture that takes an answer is as the core was.
@@ -131,10 +135,10 @@
     let wrong = 0
     let took = 0
     async function run(world: World): Promise<void> {
-      const picture = makePicture(world)
+      const picture = makeCoreView(world)
       // The newest state that the picture must show, by the count of its life; refused answers change nothing.
       let shown = ''
-      let late: { got: RenewAnswer; asked: string } | undefined
+      let late: { got: LeaseRenewalAnswer; asked: string } | undefined
       for (let step = 0; step < 400; step++) {
         for (let k = Math.floor(random() * 3); k > 0; k--) model.change()
         if (random() < 0.03) model.restart()
--- a/packages/fleet/src/test/promotions.test.ts
+++ b/packages/fleet/src/test/promotions.test.ts
@@ -1,5 +1,5 @@
 import t, { type Test } from 'tap'
-import { makeFlag, pause, serve, type Ask, type Flag, type Reply, type World } from '@claynotch/base'
+import { makeFlag, pause, serveHttp, type HttpRequest, type Flag, type HttpResponse, type World } from '@claynotch/base'
 import { onePerGroup } from '@claynotch/duty'
 import { promote, type Promotion, type PromotionEnd } from '@claynotch/host'
 import { makeSim } from '../sim.js'
@@ -9,17 +9,17 @@
 const what: Promotion = { group: 'ledger', instance: 'i-1', addr: '10.0.9.1:80', epoch: 4, holder: 'front1', fence: 7 }
 
 // Runs on a node beside a platform that notes each call and answers it after so many ms.
-async function beside(run: (world: World, asks: Ask[]) => Promise<void>, ms = 50): Promise<void> {
+async function beside(run: (world: World, asks: HttpRequest[]) => Promise<void>, ms = 50): Promise<void> {
   const sim = makeSim(1)
-  const asks: Ask[] = []
+  const asks: HttpRequest[] = []
   let over = false
   async function start(world: World): Promise<void> {
-    async function handle(ask: Ask): Promise<Reply> {
+    async function handle(ask: HttpRequest): Promise<HttpResponse> {
       asks.push(ask)
       await pause(world, ms)
       return { status: 200, body: {} }
     }
-    await serve(world, '10.0.9.1:80', handle)
+    await serveHttp(world, '10.0.9.1:80', handle)
   }
   async function call(world: World): Promise<void> {
     await pause(world, 10)
@@ -35,7 +35,7 @@
 }
 
 async function single(c: Test): Promise<void> {
-  async function run(world: World, asks: Ask[]): Promise<void> {
+  async function run(world: World, asks: HttpRequest[]): Promise<void> {
     const call = onePerGroup(promote)
     const first = call(world, '10.0.9.1:80', what)
     c.equal((await call(world, '10.0.9.1:80', what)).end, 'unclear', 'a second call of the group')
@@ -67,16 +67,16 @@
 // What allowed the call ended while the connection was dialled: nothing is written.
 async function lapsed(c: Test): Promise<void> {
   const sim = makeSim(2)
-  const asks: Ask[] = []
+  const asks: HttpRequest[] = []
   const ends: PromotionEnd[] = []
   const ready: Flag = makeFlag()
   let until = 0
   async function start(world: World): Promise<void> {
-    function handle(ask: Ask): Reply {
+    function handle(ask: HttpRequest): HttpResponse {
       asks.push(ask)
       return { status: 200, body: {} }
     }
-    await serve(world, '10.0.9.1:80', handle)
+    await serveHttp(world, '10.0.9.1:80', handle)
   }
   async function call(world: World): Promise<void> {
     await pause(world, 10)
--- a/packages/fleet/src/test/register.test.ts
+++ b/packages/fleet/src/test/register.test.ts
@@ -1,14 +1,14 @@
 import t, { type Test } from 'tap'
 import {
-  hello,
-  holdLink,
+  makeHello,
+  makePersistentLink,
   makeFlag,
   pause,
-  REFILL_WAIT,
-  ROUND_LIFE,
-  TERM,
-  TERM_SLACK,
-  type Held,
+  REFILL_DELAY_MS,
+  ROUND_TIMEOUT_MS,
+  LEASE_DURATION_MS,
+  LEASE_CLOCK_SLACK_MS,
+  type PersistentLink,
   type World,
 } from '@claynotch/base'
 import {
@@ -18,12 +18,12 @@
   quorumOf,
   startCore,
   type Ballot,
-  type Cell,
+  type RegisterEntry,
   type Core,
   type CorePlace,
   type Proposer,
   type Quorum,
-  type Value,
+  type RegisterValue,
   type Voter,
 } from '@claynotch/register'
 import { makeSimFleet, smallShape } from '../simfleet.js'
@@ -78,7 +78,7 @@
   const stop = makeFlag()
   const out: Voter[] = []
   for (const p of places) {
-    const held: Held = holdLink(world, p.addr, hello('test', 'test'), ignore, stop)
+    const held: PersistentLink = makePersistentLink(world, p.addr, makeHello('test', 'test'), ignore, stop)
     out.push({ id: p.id, ask: held.ask, tell: held.tell })
   }
   return out
@@ -100,7 +100,7 @@
         await pause(world, 500)
         for (let k = 0; k < 25; k++) {
           const tag = `w${w}.${k}`
-          function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+          function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
             const list = (now?.body ?? []) as string[]
             return list.includes(tag) ? undefined : { body: [...list, tag], tag }
           }
@@ -198,7 +198,7 @@
     await pause(world, 1000)
     for (let k = 0; k < 40; k++) {
       const from = world.now()
-      function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+      function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
         return now?.tag === `t${k}` ? undefined : { body: k, tag: `t${k}` }
       }
       const got = await proposer.change('key', edit)
@@ -223,7 +223,7 @@
   return a - b
 }
 
-function value(tag: string): Value {
+function value(tag: string): RegisterValue {
   return { turn: 1, tag, body: tag }
 }
 
@@ -245,12 +245,12 @@
     await x.accept('k', one, value('first'))
     // x loses its disk and copies from b, c and d, which hold nothing.
     const copy = makeStore(world, '/x2')
-    const cells = new Map<string, Cell>()
-    for (const s of [b, cc, d]) for (const [key, cell] of s.cells()) if (cell.value) cells.set(key, cell)
+    const cells = new Map<string, RegisterEntry>()
+    for (const s of [b, cc, d]) for (const [key, cell] of s.entries()) if (cell.value) cells.set(key, cell)
     await copy.refill(cells, 0, NO_SET, undefined)
     // Another proposer finds nothing at a majority and has its own value chosen.
     const two: Ballot = [2, 'q']
-    let seen: Value | undefined
+    let seen: RegisterValue | undefined
     for (const s of [copy, cc, d]) {
       const got = await s.prepare('k', two)
       if (got.ok && got.value) seen = got.value
@@ -272,7 +272,10 @@
 // The same with the real core: after its refill, the older round can't finish.
 async function refilled(c: Test): Promise<void> {
   // A round is void after ROUND_LIFE by its proposer's clock, and clocks may run apart by as much as a lease bears.
-  c.ok(REFILL_WAIT >= ROUND_LIFE * (1 + TERM_SLACK / TERM), 'the wait outlasts a round by the slowest clock')
+  c.ok(
+    REFILL_DELAY_MS >= ROUND_TIMEOUT_MS * (1 + LEASE_CLOCK_SLACK_MS / LEASE_DURATION_MS),
+    'the wait outlasts a round by the slowest clock',
+  )
   for (const seed of [1, 2, 3]) {
     const s = makeCores(seed)
     await s.sim.until(s.serving, 20000)
@@ -307,14 +310,14 @@
     s.start(4)
     const from = s.sim.now()
     c.ok(await s.sim.until(s.serving, 20000), `seed ${seed}: the emptied core votes again`)
-    c.ok(s.sim.now() - from >= REFILL_WAIT, `seed ${seed}: and not before every prepare of its old life is void`)
+    c.ok(s.sim.now() - from >= REFILL_DELAY_MS, `seed ${seed}: and not before every prepare of its old life is void`)
     step = 2
     function ended(): boolean {
       return step === 3
     }
     await s.sim.until(ended, 10000)
     // Either the refill's round carried 'first' on itself, or the round's late accepts were refused.
-    const held = s.boxes[4].core?.store.cells().get('k')?.value?.tag
+    const held = s.boxes[4].core?.store.entries().get('k')?.value?.tag
     c.ok(held === 'first' || acks.length < 3, `seed ${seed}: accepts ${acks.join()}, the refilled core holds ${held}`)
   }
 }
@@ -328,7 +331,7 @@
     const proposer = proposerOf(world, 'w', s.places)
     await pause(world, 300)
     for (let k = 1; k <= 40; k++) {
-      function edit(now: Value | undefined): { body: unknown; tag: string } {
+      function edit(now: RegisterValue | undefined): { body: unknown; tag: string } {
         return { body: ((now?.body as number | undefined) ?? 0) + 1, tag: `t${k}` }
       }
       const got = await proposer.change('n', edit, 20000)
@@ -345,7 +348,7 @@
   for (let k = 0; k < 5; k++) s.start(k)
   c.ok(await s.sim.until(s.serving, 30000), 'all serve again')
   let most = 0
-  for (const b of s.boxes) most = Math.max(most, b.core?.store.cells().get('n')?.value?.turn ?? 0)
+  for (const b of s.boxes) most = Math.max(most, b.core?.store.entries().get('n')?.value?.turn ?? 0)
   c.ok(last > 0 && most >= last, `told ${last}, recovered ${most}`)
 }
 
--- a/packages/fleet/src/test/registers.test.ts
+++ b/packages/fleet/src/test/registers.test.ts
@@ -1,43 +1,43 @@
 import t, { type Test } from 'tap'
-import { makeRegisters, type Registers } from '@claynotch/agent/dist/registers.js'
-import { nothing, type World } from '@claynotch/base'
+import { makeRegisterCache, type RegisterCache } from '@claynotch/agent/dist/register-cache.js'
+import { noop, type World } from '@claynotch/base'
 import {
   quorumOf,
   type Ballot,
   type CorePlace,
-  type KeyLine,
-  type Push,
-  type Settled,
-  type Value,
+  type RegisterSummary,
+  type RegisterPush,
+  type Committed,
+  type RegisterValue,
 } from '@claynotch/register'
 import { makeSim } from '../sim.js'
 
 // What an agent knows of registers: docs/design/control-safety.md, 4.
 
-function valueAt(turn: number): Value {
+function valueAt(turn: number): RegisterValue {
   return { turn, tag: `${turn}`, body: { revision: turn } }
 }
 function ballotAt(turn: number): Ballot {
   return [turn, 'proposer']
 }
-function pushAt(turn: number): Push {
+function pushAt(turn: number): RegisterPush {
   return { t: 'push', num: turn, key: 'k', ballot: ballotAt(turn), value: valueAt(turn) }
 }
-function makeAlone(world: World, news: number[]): Registers {
+function makeAlone(world: World, news: number[]): RegisterCache {
   function epoch(): number {
     return 0
   }
   function link(): undefined {
     return undefined
   }
-  function settle(): Promise<Settled> {
+  function readCommitted(): Promise<Committed> {
     return Promise.resolve({ done: false, why: 'nobody is there' })
   }
-  function took(_key: string, value: Value): void {
+  function took(_key: string, value: RegisterValue): void {
     news.push(value.turn)
   }
   function ignore(): void {}
-  return makeRegisters(world, { epoch, link, settle, news: took, behind: ignore })
+  return makeRegisterCache(world, { epoch, link, readCommitted, onNewer: took, onBehind: ignore })
 }
 
 // In whatever order versions come, by rounds or by pushes, what is known never goes back, and each is told once.
@@ -47,15 +47,15 @@
   async function run(world: World): Promise<void> {
     const news: number[] = []
     const registers = makeAlone(world, news)
-    registers.learned('k', valueAt(2), ballotAt(2))
-    registers.learned('k', valueAt(1), ballotAt(1))
-    c.equal(registers.cell('k')?.turn, 2, 'an older version from a round')
-    await registers.pushed('a', pushAt(1))
-    c.equal(registers.cell('k')?.turn, 2, 'an older version from a push')
-    await registers.pushed('a', pushAt(4))
-    await registers.pushed('b', pushAt(3))
-    registers.learned('k', valueAt(4), ballotAt(4))
-    c.equal(registers.cell('k')?.turn, 4)
+    registers.learn('k', valueAt(2), ballotAt(2))
+    registers.learn('k', valueAt(1), ballotAt(1))
+    c.equal(registers.value('k')?.turn, 2, 'an older version from a round')
+    await registers.takePush('a', pushAt(1))
+    c.equal(registers.value('k')?.turn, 2, 'an older version from a push')
+    await registers.takePush('a', pushAt(4))
+    await registers.takePush('b', pushAt(3))
+    registers.learn('k', valueAt(4), ballotAt(4))
+    c.equal(registers.value('k')?.turn, 4)
     c.strictSame(registers.held('k')?.ballot, ballotAt(4))
     c.strictSame(news, [2, 4], 'each newer version is told once')
     over = true
@@ -83,14 +83,14 @@
       function link(id: string): undefined {
         asked.push(id)
       }
-      function settle(): Promise<Settled> {
+      function readCommitted(): Promise<Committed> {
         rounds++
         return Promise.resolve({ done: false, why: 'nobody is there' })
       }
-      const registers = makeRegisters(world, { epoch: zero, link, settle, news: nothing, behind: nothing })
-      const tables = new Map<string, Map<string, KeyLine>>()
+      const registers = makeRegisterCache(world, { epoch: zero, link, readCommitted, onNewer: noop, onBehind: noop })
+      const tables = new Map<string, Map<string, RegisterSummary>>()
       for (const id of ['a', 'b']) tables.set(id, new Map([['k', lineOf(pending.includes(id))]]))
-      registers.shown(tables, enough, world.now())
+      registers.takeSummaries(tables, enough, world.now())
       await registers.catchUp()
       c.strictSame(asked, wanted, `${pending.length} of two are writing`)
       c.equal(rounds, 1)
@@ -106,8 +106,8 @@
 function placeOf(id: string): CorePlace {
   return { id, addr: `${id}:1` }
 }
-function lineOf(isPending: boolean): KeyLine {
-  const line: KeyLine = { key: 'k', ballot: ballotAt(2), turn: 2, chosen: false }
+function lineOf(isPending: boolean): RegisterSummary {
+  const line: RegisterSummary = { key: 'k', ballot: ballotAt(2), turn: 2, chosen: false }
   return isPending ? { ...line, pending: true } : line
 }
 function zero(): number {
--- a/packages/fleet/src/test/storage.test.ts
+++ b/packages/fleet/src/test/storage.test.ts
@@ -1,6 +1,15 @@
 import t, { type Test } from 'tap'
-import { hello, holdLink, makeFlag, pause, readAs, VOTERS_MOST, type Addr, type World } from '@claynotch/base'
-import { RenewAnswer, type KeyLine, type Settled, type Value } from '@claynotch/register'
+import {
+  makeHello,
+  makePersistentLink,
+  makeFlag,
+  pause,
+  readAs,
+  MAX_VOTERS,
+  type Address,
+  type World,
+} from '@claynotch/base'
+import { LeaseRenewalAnswer, type RegisterSummary, type Committed, type RegisterValue } from '@claynotch/register'
 import { idOf, makeClient, makeCoreFleet, type CoreFleet } from '../corefleet.js'
 
 t.setTimeout(600000)
@@ -34,16 +43,16 @@
   await fleet.sim.until(isOver, 30000)
   return out
 }
-function write(fleet: CoreFleet, text: string): Promise<Settled | undefined> {
+function write(fleet: CoreFleet, text: string): Promise<Committed | undefined> {
   const set = fleet.latest()
-  async function run(world: World): Promise<Settled> {
+  async function run(world: World): Promise<Committed> {
     const proposer = await makeClient(world, `writer${tasks}`, set, seedsNow, false)
-    function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+    function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       return now?.tag === text ? undefined : { body: text, tag: text }
     }
     return await proposer.change('k', edit, 20000)
   }
-  function seedsNow(): Addr[] {
+  function seedsNow(): Address[] {
     return []
   }
   return task(fleet, run)
@@ -55,7 +64,7 @@
     const got = await proposer.read('k', 20000)
     return got.done ? got.value?.body : 'unclear'
   }
-  function seedsNow(): Addr[] {
+  function seedsNow(): Address[] {
     return []
   }
   return task(fleet, run)
@@ -67,7 +76,7 @@
     return undefined
   }
   async function run(world: World): Promise<boolean> {
-    const link = holdLink(world, `${idOf(k)}:7000`, hello('test', 'lost'), nothing, makeFlag())
+    const link = makePersistentLink(world, `${idOf(k)}:7000`, makeHello('test', 'lost'), nothing, makeFlag())
     await pause(world, 500)
     const ballot = [HIGH, 'lost']
     await link.ask({ t: 'prepare', epoch, key: 'k', ballot }, 500)
@@ -80,7 +89,7 @@
 
 // A core accepted a value that was never chosen, and was removed. It joins again: what it held then must not come back.
 async function oldVotes(c: Test): Promise<void> {
-  const fleet = makeCoreFleet(1, VOTERS_MOST)
+  const fleet = makeCoreFleet(1, MAX_VOTERS)
   c.ok(await founded(fleet))
   c.ok((await write(fleet, 'first'))?.done)
   c.ok(await acceptAlone(fleet, 0, 'never chosen'), 'one core accepts what is never chosen')
@@ -106,7 +115,7 @@
 
 // A voter that lost its disk votes only after its refill, whatever set it finds itself in.
 async function emptied(c: Test): Promise<void> {
-  const fleet = makeCoreFleet(2, VOTERS_MOST)
+  const fleet = makeCoreFleet(2, MAX_VOTERS)
   c.ok(await founded(fleet))
   const victim = 4
   c.ok((await write(fleet, 'first'))?.done)
@@ -117,12 +126,12 @@
     return fleet.boxes[victim].run?.core.serving() === true
   }
   c.ok(await fleet.sim.until(votes, 10000))
-  c.equal(fleet.boxes[victim].run?.core.store.cells().get('k')?.value?.body, 'first', 'it holds all when it votes')
+  c.equal(fleet.boxes[victim].run?.core.store.entries().get('k')?.value?.body, 'first', 'it holds all when it votes')
 }
 
 // A core that is writing a value tells its ballot as pending, and as accepted once it is synced.
 async function pendingLine(c: Test): Promise<void> {
-  const fleet = makeCoreFleet(3, VOTERS_MOST)
+  const fleet = makeCoreFleet(3, MAX_VOTERS)
   c.ok(await founded(fleet))
   const { epoch } = fleet.latest()
   const SLOW = 300
@@ -131,16 +140,16 @@
     return undefined
   }
   async function run(world: World): Promise<(boolean | undefined)[]> {
-    const link = holdLink(world, `${idOf(0)}:7000`, hello('test', 'probe'), nothing, makeFlag())
+    const link = makePersistentLink(world, `${idOf(0)}:7000`, makeHello('test', 'probe'), nothing, makeFlag())
     await pause(world, 500)
     const self = { area: 'a', addr: '10.0.4.1:1', operator: '', build: '', proxy: false }
     const counts = { core: '', count: 0, acks: [], sights: [], open: 0, highs: [], remembers: true }
     async function isPending(): Promise<boolean | undefined> {
       const got = await link.ask({ t: 'renew', epoch, node: 'probe', life: 'one', self, ...counts }, 500)
-      const { keys } = readAs(RenewAnswer, got).unwrap()
+      const { keys } = readAs(LeaseRenewalAnswer, got).unwrap()
       return keys?.find(isIt)?.pending
     }
-    function isIt(line: KeyLine): boolean {
+    function isIt(line: RegisterSummary): boolean {
       return line.key === 'new'
     }
     const value = { turn: 1, tag: 'new', body: 'new' }
--- a/packages/fleet/src/test/teams.test.ts
+++ b/packages/fleet/src/test/teams.test.ts
@@ -1,5 +1,5 @@
 import t, { type Test } from 'tap'
-import { callOnce, pause, type World } from '@claynotch/base'
+import { requestOnce, pause, type World } from '@claynotch/base'
 import {
   checkAgainst,
   checkCredentials,
@@ -43,7 +43,7 @@
   change: unknown,
 ): Promise<{ status: number; body: Told }> {
   const got = (
-    await callOnce(
+    await requestOnce(
       world,
       f.fronts[1].http,
       'POST',
@@ -61,7 +61,7 @@
   const chief = `chief:${admin.token}`
   const desk = `dana-desk:${desks.token}`
   function ready(): boolean {
-    for (const x of f.fronts) if (!x.agent || x.agent.termUntil() === 0) return false
+    for (const x of f.fronts) if (!x.agent || x.agent.leaseExpiresAt() === 0) return false
     return true
   }
   await f.sim.until(ready, 20000)
@@ -95,13 +95,13 @@
       'each step beyond its own is named',
     )
     const got = (
-      await callOnce(world, f.fronts[0].http, 'GET', '/configuration', undefined, 5000, [
+      await requestOnce(world, f.fronts[0].http, 'GET', '/configuration', undefined, 5000, [
         ['authorization', `Bearer watch:${reader.token}`],
       ])
     ).unwrap()
     c.equal((got.body as { epoch: number }).epoch, 2)
     c.equal(
-      (await callOnce(world, f.fronts[0].http, 'GET', '/decisions', undefined, 5000)).unwrap().status,
+      (await requestOnce(world, f.fronts[0].http, 'GET', '/decisions', undefined, 5000)).unwrap().status,
       401,
       'reading asks for a name too',
     )
@@ -126,7 +126,7 @@
       path: string,
       body: unknown,
     ): Promise<{ status: number; after: number | undefined; body: { session?: string; why?: string } }> {
-      const got = (await callOnce(world, at, 'POST', path, body, 20000)).unwrap()
+      const got = (await requestOnce(world, at, 'POST', path, body, 20000)).unwrap()
       return { status: got.status, after: got.after, body: got.body as { session?: string } }
     }
     for (let k = 0; k < 2; k++) c.equal((await post('/sessions', { lane: 'desk-lane' })).status, 200)
@@ -192,7 +192,7 @@
       'accepted',
     )
     await pause(world, 900)
-    const members = (await callOnce(world, f.fronts[1].http, 'GET', '/members', undefined, 5000)).unwrap().body as {
+    const members = (await requestOnce(world, f.fronts[1].http, 'GET', '/members', undefined, 5000)).unwrap().body as {
       node: string
       behind: { key: string }[]
     }[]
@@ -240,7 +240,7 @@
   await f.sim.run(f.sim.now() + 6500)
   async function run(world: World): Promise<void> {
     async function get(path: string): Promise<unknown> {
-      return (await callOnce(world, f.fronts[0].http, 'GET', path, undefined, 5000)).unwrap().body
+      return (await requestOnce(world, f.fronts[0].http, 'GET', path, undefined, 5000)).unwrap().body
     }
     const now = (await get('/configuration')) as { epoch: number; config: Config }
     const fleet = { ...now, members: await get('/members'), groups: await get('/groups') } as Fleet
@@ -316,7 +316,7 @@
   async function run(world: World): Promise<void> {
     for (const mode of ['', 'spin', 'break', 'odd', 'number']) {
       const got = (
-        await callOnce(
+        await requestOnce(
           world,
           f.fronts[0].listen,
           'POST',
@@ -336,10 +336,10 @@
     }
   }
   await beside(f, run)
-  const numbers = f.fronts[0].proxy!.numbers
-  c.equal(numbers.get('claynotch_policy_failures_total'), 4, 'four failed, each counted')
+  const metrics = f.fronts[0].proxy!.metrics
+  c.equal(metrics.get('claynotch_policy_failures_total'), 4, 'four failed, each counted')
   c.equal(
-    numbers.get('claynotch_calls_total', [
+    metrics.get('claynotch_calls_total', [
       ['lane', 'dep-g1'],
       ['kind', 'read'],
       ['outcome', 'done'],
@@ -349,7 +349,7 @@
     'and went to the fallback',
   )
   c.equal(
-    numbers.get('claynotch_calls_total', [
+    metrics.get('claynotch_calls_total', [
       ['lane', 'cal-g1'],
       ['kind', 'read'],
       ['outcome', 'done'],
--- a/packages/fleet/src/test/voterplan.test.ts
+++ b/packages/fleet/src/test/voterplan.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
-import { planVoters, type VoterView } from '@claynotch/agent/dist/voterplan.js'
-import { VOTERS_MOST } from '@claynotch/base'
+import { planVoters, type VoterView } from '@claynotch/agent/dist/voter-plan.js'
+import { MAX_VOTERS } from '@claynotch/base'
 import type { CorePlace } from '@claynotch/register'
 
 // Which set of voters follows, by what the holder of the duty sees: docs/design/coreset.md.
@@ -24,7 +24,7 @@
     silence,
     well: new Set(well),
     isHeardByOthers,
-    mostVoters: VOTERS_MOST,
+    mostVoters: MAX_VOTERS,
   }
   const next = planVoters(view)
   let out = ''
--- a/packages/fleet/src/test/voters.test.ts
+++ b/packages/fleet/src/test/voters.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
-import { pause, VOTERS_MOST, type Addr, type World } from '@claynotch/base'
-import type { Value } from '@claynotch/register'
+import { pause, MAX_VOTERS, type Address, type World } from '@claynotch/base'
+import type { RegisterValue } from '@claynotch/register'
 import { makeClient, makeCoreFleet, type CoreFleet } from '../corefleet.js'
 
 t.setTimeout(600000)
@@ -25,8 +25,8 @@
   const first = fleet.latest()
   let list: string[] = []
   let writing = true
-  function seeds(): Addr[] {
-    const out: Addr[] = []
+  function seeds(): Address[] {
+    const out: Address[] = []
     for (const box of fleet.boxes) if (!box.gone) out.push(`${box.ip}:8000`)
     return out
   }
@@ -34,7 +34,7 @@
     const proposer = await makeClient(world, 'writer', first, seeds, true)
     for (let k = 0; writing; k++) {
       const tag = `${k}`
-      function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+      function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
         const old = (now?.body ?? []) as string[]
         return old.includes(tag) ? undefined : { body: [...old, tag], tag }
       }
@@ -93,7 +93,7 @@
     [7, 4],
     [9, 4],
   ]) {
-    const fleet = makeCoreFleet(machines, VOTERS_MOST)
+    const fleet = makeCoreFleet(machines, MAX_VOTERS)
     const from = fleet.sim.now()
     c.ok(await founded(fleet, machines), `${machines} machines vote`)
     const ms = Math.round(fleet.sim.now() - from)
@@ -103,10 +103,10 @@
     c.ok(fleet.latest().epoch <= mostEpochs, 'and nothing changes after that')
     c.strictSame(fleet.faults, [])
   }
-  const many = makeCoreFleet(12, VOTERS_MOST)
+  const many = makeCoreFleet(12, MAX_VOTERS)
   for (let k = 0; k < 12; k++) many.add(SEEDS, true)
   await wait(many, 15000)
-  c.equal(many.voters().length, VOTERS_MOST, 'no more than the most voters')
+  c.equal(many.voters().length, MAX_VOTERS, 'no more than the most voters')
   c.ok(many.settled())
 }
 
@@ -116,7 +116,7 @@
   for (const machines of [3, 5, 9]) {
     for (const seed of [1, 2]) {
       const name = `${machines} machines, seed ${seed}`
-      const fleet = makeCoreFleet(seed, VOTERS_MOST)
+      const fleet = makeCoreFleet(seed, MAX_VOTERS)
       c.ok(await founded(fleet, machines), name)
       const writer = startWriter(fleet)
       c.ok(await takes(fleet, writer), `${name}: a change before`)
@@ -149,7 +149,7 @@
 // Two at once where two may be lost: nine voters go on with seven, and with both of these emptied again.
 async function twoAtOnce(c: Test): Promise<void> {
   for (const seed of [1, 2]) {
-    const fleet = makeCoreFleet(seed, VOTERS_MOST)
+    const fleet = makeCoreFleet(seed, MAX_VOTERS)
     c.ok(await founded(fleet, 9))
     const writer = startWriter(fleet)
     for (let step = 0; step < 4; step++) {
@@ -176,7 +176,7 @@
 
 // A planned replacement: the new machine first, then SIGTERM of the old one. The set has one more, and drops it again.
 async function planned(c: Test): Promise<void> {
-  const fleet = makeCoreFleet(1, VOTERS_MOST)
+  const fleet = makeCoreFleet(1, MAX_VOTERS)
   c.ok(await founded(fleet, 5))
   const writer = startWriter(fleet)
   fleet.add([1, 2], false)
@@ -208,7 +208,7 @@
 // A newcomer goes in the middle of its change, and an old voter with it: the joint set still ends.
 async function cutOffHalfWay(c: Test): Promise<void> {
   for (let after = 0; after <= 600; after += 60) {
-    const fleet = makeCoreFleet(after + 5, VOTERS_MOST)
+    const fleet = makeCoreFleet(after + 5, MAX_VOTERS)
     for (let k = 0; k < SEEDS.length; k++) fleet.add(SEEDS, true)
     c.ok(await fleet.sim.until(fleet.settled, 5000))
     const fresh = [fleet.add(SEEDS, false), fleet.add(SEEDS, false)]
@@ -236,7 +236,7 @@
 
 // A disk that refuses writes for a while: its core says nothing meanwhile, and votes again once the disk takes them.
 async function refusedWrites(c: Test): Promise<void> {
-  const fleet = makeCoreFleet(9, VOTERS_MOST)
+  const fleet = makeCoreFleet(9, MAX_VOTERS)
   c.ok(await founded(fleet, 5))
   const writer = startWriter(fleet)
   for (const k of [0, 1, 2, 3, 4]) {
--- a/packages/host/src/index.ts
+++ b/packages/host/src/index.ts
@@ -1,4 +1,12 @@
-import { callOnce, PROMOTION_LIMIT, type Addr, type Ask, type Metrics, type Reply, type World } from '@claynotch/base'
+import {
+  requestOnce,
+  PROMOTION_TIMEOUT_MS,
+  type Address,
+  type HttpRequest,
+  type Metrics,
+  type HttpResponse,
+  type World,
+} from '@claynotch/base'
 
 // The call that makes an instance the leader. at: where the machines' keeper takes it; undefined: straight to the instance.
 // epoch: the one that it is to lead. holder, fence: the node that holds the group's duty; the fence rises with each holder.
@@ -6,7 +14,7 @@
 export type Promotion = {
   group: string
   instance: string
-  addr: Addr
+  addr: Address
   epoch: number
   holder: string
   fence: number
@@ -14,14 +22,14 @@
 }
 // done: it was carried out, or will be. refused: it was not. unclear: the instance's status must tell.
 export type PromotionEnd = { end: 'done' | 'refused' | 'unclear'; why: string }
-export type PromotionEdge = (world: World, at: Addr | undefined, what: Promotion) => Promise<PromotionEnd>
+export type PromotionEdge = (world: World, at: Address | undefined, what: Promotion) => Promise<PromotionEnd>
 
 // The edge to whoever keeps the machines: probes in, the single promotion call out.
 
-export type Probes = { ready: () => string | undefined; numbers: Metrics }
+export type Probes = { ready: () => string | undefined; metrics: Metrics }
 
 // Answers GET /live, /ready and /metrics; undefined for any other path.
-export function takeProbe(ask: Ask, probes: Probes): Reply | undefined {
+export function takeProbe(ask: HttpRequest, probes: Probes): HttpResponse | undefined {
   if (ask.path === '/live') return { status: 200, body: { live: true } }
   if (ask.path === '/ready') {
     const why = probes.ready()
@@ -29,15 +37,15 @@
       ? { status: 200, body: { ready: true } }
       : { status: 503, body: { ready: false, why }, after: 1 }
   }
-  if (ask.path === '/metrics') return { status: 200, body: probes.numbers.text(), type: 'text/plain; version=0.0.4' }
+  if (ask.path === '/metrics') return { status: 200, body: probes.metrics.text(), type: 'text/plain; version=0.0.4' }
   return undefined
 }
 
 // Our own promotion call: an instance refuses an epoch that is not above its own.
-export async function promote(world: World, at: Addr | undefined, what: Promotion): Promise<PromotionEnd> {
+export async function promote(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
   const { group, instance, epoch } = what
   const body = { group, instance, epoch }
-  const got = await callOnce(world, at ?? what.addr, 'POST', '/promotion', body, PROMOTION_LIMIT, [], what.may)
+  const got = await requestOnce(world, at ?? what.addr, 'POST', '/promotion', body, PROMOTION_TIMEOUT_MS, [], what.may)
   if (got.err) return { end: got.val.reach === 'none' ? 'refused' : 'unclear', why: got.val.why }
   if (got.val.status === 200) return { end: 'done', why: '' }
   return { end: got.val.status >= 500 ? 'unclear' : 'refused', why: `status ${got.val.status}` }
--- a/packages/instance/src/announcement.ts
+++ b/packages/instance/src/announcement.ts
@@ -1,5 +1,14 @@
 import * as t from 'io-ts'
-import { Address, AFTER_LOAD, badInput, Name, readStrict, Whole, type Ask, type Reply } from '@claynotch/base'
+import {
+  AddressCodec,
+  RETRY_AFTER_OVERLOAD_S,
+  badInput,
+  Name,
+  readStrict,
+  Whole,
+  type HttpRequest,
+  type HttpResponse,
+} from '@claynotch/base'
 
 // POST /announcement, by an instance about once a second, and once more with leaving before it goes.
 // sequence: grows with each announcement of one life of an instance, so that one held up on its way takes nothing back.
@@ -8,7 +17,7 @@
   t.type({
     name: Name,
     group: Name,
-    addr: Address,
+    addr: AddressCodec,
     area: Name,
     role: t.union([t.literal('leader'), t.literal('follower')]),
   }),
@@ -18,14 +27,14 @@
 
 // heard: why the word can't be acknowledged, if so.
 export async function takeAnnouncement(
-  ask: Ask,
+  ask: HttpRequest,
   heard: (a: Announcement) => Promise<string | undefined>,
-): Promise<Reply> {
+): Promise<HttpResponse> {
   if (ask.method !== 'POST') return badInput(405, 'announcements are posted')
   const got = readStrict(Announcement, ask.body)
   if (got.err) return badInput(400, 'not an announcement', got.val)
   const why = await heard(got.val)
   return why === undefined
     ? { status: 200, body: { heard: true } }
-    : { status: 503, body: { heard: false, why }, after: AFTER_LOAD }
+    : { status: 503, body: { heard: false, why }, after: RETRY_AFTER_OVERLOAD_S }
 }
--- a/packages/instance/src/edge.ts
+++ b/packages/instance/src/edge.ts
@@ -1,23 +1,32 @@
 import * as t from 'io-ts'
 import {
-  openLine,
-  POOL_IDLE,
+  openHttpConnection,
+  POOL_IDLE_TIMEOUT_MS,
   readAs,
-  SAMPLE_LIMIT,
-  callOnce,
-  type Addr,
-  type Answer,
-  type Fail,
+  SAMPLE_TIMEOUT_MS,
+  requestOnce,
+  type Address,
+  type HttpAnswer,
+  type HttpFailure,
   type World,
   Ok,
   Err,
   type Result,
 } from '@claynotch/base'
-import type { Class, Done, InstanceEdge, Port, Sampler, Status, Trouble, Who } from './seam.js'
+import type {
+  ErrorClass,
+  StatementResult,
+  InstanceAdapter,
+  InstanceConnection,
+  StatusSampler,
+  Status,
+  RequestError,
+  InstanceAddress,
+} from './adapter.js'
 
 // The instance's wire (docs/wire.md) and how its words are classified. Wire names stay in this file.
 
-type Judged = { class: Class; transient: boolean; lead?: boolean }
+type Judged = { class: ErrorClass; transient: boolean; lead?: boolean }
 const codes = new Map<string, Judged>([
   ['READONLY', { class: 'UNAVAILABLE', transient: true, lead: false }],
   ['ELECTION', { class: 'UNAVAILABLE', transient: true, lead: false }],
@@ -38,7 +47,7 @@
 const ErrorBody = t.intersection([t.type({ code: t.string }), t.partial({ message: t.string })])
 const StatusBody = t.type({ rows: t.array(t.type({ field: t.string, value: t.union([t.string, t.number]) })) })
 
-function read(answer: Result<Answer, Fail>): Result<Done, Trouble> {
+function read(answer: Result<HttpAnswer, HttpFailure>): Result<StatementResult, RequestError> {
   if (answer.err) return Err({ reach: answer.val.reach, class: 'UNAVAILABLE', transient: true, why: answer.val.why })
   const { status, body } = answer.val
   if (status === 200) {
@@ -58,11 +67,15 @@
   })
 }
 
-async function openPort(world: World, { addr }: Who, ms: number): Promise<Result<Port, Trouble>> {
-  const opened = await openLine(world, addr, ms)
+async function openPort(
+  world: World,
+  { addr }: InstanceAddress,
+  ms: number,
+): Promise<Result<InstanceConnection, RequestError>> {
+  const opened = await openHttpConnection(world, addr, ms)
   if (opened.err) return Err({ reach: 'none', class: 'UNAVAILABLE', transient: true, why: opened.val.why })
   const line = opened.val
-  async function post(path: string, body: unknown, limit: number): Promise<Result<Done, Trouble>> {
+  async function post(path: string, body: unknown, limit: number): Promise<Result<StatementResult, RequestError>> {
     return read(await line.ask('POST', path, body, limit))
   }
   function statement(body: { text?: string; shape?: string; args: unknown[]; mode: string }, limit: number) {
@@ -92,7 +105,7 @@
   return Ok({ statement, begin, commit, rollback, settings, shape, reset, alive: line.alive, close: line.close })
 }
 
-function readStatus(answer: Result<Answer, Fail>): Result<Status, string> {
+function readStatus(answer: Result<HttpAnswer, HttpFailure>): Result<Status, string> {
   if (answer.err) return Err(answer.val.why)
   const got = readAs(StatusBody, answer.val.body)
   if (got.err) return Err('status not understood')
@@ -117,29 +130,37 @@
   })
 }
 
-export async function askStatus(world: World, addr: Addr, ms: number = SAMPLE_LIMIT): Promise<Result<Status, string>> {
-  return readStatus(await callOnce(world, addr, 'GET', '/status', undefined, ms))
+export async function askStatus(
+  world: World,
+  addr: Address,
+  ms: number = SAMPLE_TIMEOUT_MS,
+): Promise<Result<Status, string>> {
+  return readStatus(await requestOnce(world, addr, 'GET', '/status', undefined, ms))
 }
 
-async function openSampler(world: World, { addr }: Who, ms: number): Promise<Result<Sampler, string>> {
-  const got = await openLine(world, addr, ms)
+async function openSampler(
+  world: World,
+  { addr }: InstanceAddress,
+  ms: number,
+): Promise<Result<StatusSampler, string>> {
+  const got = await openHttpConnection(world, addr, ms)
   if (got.err) return Err(got.val.why)
   const line = got.val
   async function status(): Promise<Result<Status, string>> {
-    return readStatus(await line.ask('GET', '/status', undefined, SAMPLE_LIMIT))
+    return readStatus(await line.ask('GET', '/status', undefined, SAMPLE_TIMEOUT_MS))
   }
   return Ok({ status, alive: line.alive, close: line.close })
 }
-async function statusOf(world: World, who: Who, ms: number): Promise<Result<Status, string>> {
+async function statusOf(world: World, who: InstanceAddress, ms: number): Promise<Result<Status, string>> {
   return await askStatus(world, who.addr, ms)
 }
 
 // Our own wire. A follower's place is known by samples only; a promotion is refused for an epoch that was passed.
-export const httpInstance: InstanceEdge = {
+export const httpInstance: InstanceAdapter = {
   sampler: openSampler,
   exact: true,
   named: true,
-  idle: POOL_IDLE,
+  idle: POOL_IDLE_TIMEOUT_MS,
   open: openPort,
   status: statusOf,
 }
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -1,5 +1,16 @@
 import * as t from 'io-ts'
-import { Count, Ms, Name, POLICY_LIMIT, readStrict, Whole, type Finding, Ok, Err, type Result } from '@claynotch/base'
+import {
+  Count,
+  Ms,
+  Name,
+  POLICY_LIMIT_BYTES,
+  readStrict,
+  Whole,
+  type Finding,
+  Ok,
+  Err,
+  type Result,
+} from '@claynotch/base'
 import { compilePolicy } from './policy.js'
 
 // The operator's configuration.
@@ -118,7 +129,7 @@
     for (const [k, lane] of config.lanes.entries())
       if (lane.name === AUTO)
         out.push({ place: `/lanes/${k}/name`, what: `${AUTO} stands for the policy and can't name a lane` })
-    if (lua.length > POLICY_LIMIT) out.push({ place: '/policy/lua', what: `over ${POLICY_LIMIT} bytes` })
+    if (lua.length > POLICY_LIMIT_BYTES) out.push({ place: '/policy/lua', what: `over ${POLICY_LIMIT_BYTES} bytes` })
     else {
       const got = compilePolicy(lua)
       if (got.err) out.push({ place: '/policy/lua', what: got.val })
--- a/packages/operator/src/credentials.ts
+++ b/packages/operator/src/credentials.ts
@@ -1,6 +1,6 @@
 import { createHash, randomBytes, timingSafeEqual } from 'node:crypto'
 import * as t from 'io-ts'
-import { Name, type Ask, type Finding, type Reply } from '@claynotch/base'
+import { Name, type HttpRequest, type Finding, type HttpResponse } from '@claynotch/base'
 import type { Change, Config } from './config.js'
 
 // Who may do what. The secret itself stands nowhere: settings hold the SHA-256 of a random token of 32
@@ -62,7 +62,7 @@
 }
 
 // Why this caller may not make this request; undefined if it may. What a change touches is looked at in decide().
-export function stopCaller(who: Credential | undefined, ask: Ask): Reply | undefined {
+export function stopCaller(who: Credential | undefined, ask: HttpRequest): HttpResponse | undefined {
   if (!who)
     return {
       status: 401,
@@ -74,7 +74,7 @@
         why: 'name and token are needed: authorization: Bearer NAME:TOKEN',
       },
     }
-  function forbid(why: string): Reply {
+  function forbid(why: string): HttpResponse {
     return { status: 403, body: { outcome: 'refused', class: 'PERMISSION_DENIED', kept: 'nothing', again: false, why } }
   }
   if (ask.method === 'GET' || who.role === 'admin') return undefined
--- a/packages/operator/src/decide.ts
+++ b/packages/operator/src/decide.ts
@@ -1,4 +1,4 @@
-import { encode, VALUE_LIMIT, type Finding } from '@claynotch/base'
+import { encode, REGISTER_VALUE_LIMIT_BYTES, type Finding } from '@claynotch/base'
 import { applyEdits, readConfig, type Body, type Config, type Decision, type Move, type Order } from './config.js'
 import { beyondTeam } from './credentials.js'
 import { epochMadeBy, findDecision, keepDecision, keepNamed, mayBeForgotten, withDigest } from './kept.js'
@@ -187,10 +187,12 @@
   if (stage) next.stage = stage
   if (moves && moves.length > 0) next.moves = moves
   const after = named ? keepNamed(next, decision, config) : keepDecision(next, decision, config)
-  if (encode(named ? config : after).length <= VALUE_LIMIT) return { body: after, decision }
+  if (encode(named ? config : after).length <= REGISTER_VALUE_LIMIT_BYTES) return { body: after, decision }
   return refusal(
     body,
     order,
-    refuse('too large', [{ place: '', what: `with what is kept of earlier ones over ${VALUE_LIMIT} bytes` }]),
+    refuse('too large', [
+      { place: '', what: `with what is kept of earlier ones over ${REGISTER_VALUE_LIMIT_BYTES} bytes` },
+    ]),
   )
 }
--- a/packages/operator/src/edge.ts
+++ b/packages/operator/src/edge.ts
@@ -1,19 +1,19 @@
 import { createInterface } from 'node:readline'
 import {
   badInput,
-  FOLLOW_BEAT,
+  FOLLOW_INTERVAL_MS,
   Name,
-  OPERATOR_BODY_LIMIT,
+  OPERATOR_BODY_LIMIT_BYTES,
   readStrict,
-  sendReply,
-  type Ask,
+  sendResponse,
+  type HttpRequest,
   type Signal,
   type Finding,
   type Metrics,
-  type Reply,
+  type HttpResponse,
   type World,
 } from '@claynotch/base'
-import type { Proposer, Value } from '@claynotch/register'
+import type { Proposer, RegisterValue } from '@claynotch/register'
 import {
   Change,
   CONFIG_KEY,
@@ -57,7 +57,7 @@
 export async function makeDecision(proposer: Proposer, order: Order, limit?: number): Promise<Verdict> {
   const tag = `${order.stream}#${order.change.number}`
   let out: Verdict = unclear(order, NO_MAJORITY)
-  function edit(now: Value | undefined): { body: unknown; tag: string } | undefined {
+  function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
     const ruling = decide((now?.body as Body | undefined) ?? emptyBody(), order)
     if ('unclear' in ruling) {
       out = unclear(order, ruling.unclear)
@@ -78,9 +78,9 @@
   world: World,
   proposer: Proposer,
   reading: Reading,
-  numbers: Metrics,
+  metrics: Metrics,
   credentials: () => Credential[] | undefined,
-): { take: (ask: Ask) => Promise<Reply | undefined>; raw: (path: string) => boolean } {
+): { take: (ask: HttpRequest) => Promise<HttpResponse | undefined>; raw: (path: string) => boolean } {
   function raw(path: string): boolean {
     return path.startsWith('/streams/')
   }
@@ -103,18 +103,18 @@
     const change = got.val
     const hindered = await reading.hinders(change.edits ?? [])
     const made = await makeDecision(proposer, { stream, change, digest: digestOf(change), team, hindered })
-    numbers.add('claynotch_decisions_total', [['decision', made.decision]])
+    metrics.add('claynotch_decisions_total', [['decision', made.decision]])
     return made
   }
-  async function changes(ask: Ask, stream: string, team: string | undefined): Promise<undefined> {
+  async function changes(ask: HttpRequest, stream: string, team: string | undefined): Promise<undefined> {
     const { req, res } = ask.raw
     res.writeHead(200, { 'content-type': 'application/x-ndjson' })
     let size = 0
     for await (const text of createInterface({ input: req, crlfDelay: Infinity })) {
       size += text.length
-      if (size > OPERATOR_BODY_LIMIT) {
+      if (size > OPERATOR_BODY_LIMIT_BYTES) {
         res.end(
-          `${JSON.stringify({ stream, decision: 'refused', why: `body over ${OPERATOR_BODY_LIMIT} bytes`, findings: [] })}\n`,
+          `${JSON.stringify({ stream, decision: 'refused', why: `body over ${OPERATOR_BODY_LIMIT_BYTES} bytes`, findings: [] })}\n`,
         )
         return undefined
       }
@@ -126,7 +126,7 @@
     return undefined
   }
   // Decisions as they are taken, for as long as the reader stays: first those kept, then each new one.
-  async function follow(ask: Ask, stream: string | undefined): Promise<undefined> {
+  async function follow(ask: HttpRequest, stream: string | undefined): Promise<undefined> {
     const { res } = ask.raw
     res.writeHead(200, { 'content-type': 'application/x-ndjson' })
     res.flushHeaders()
@@ -140,7 +140,7 @@
           res.write(`${JSON.stringify(d)}\n`)
         }
       }
-      await reading.news.wait(world, FOLLOW_BEAT, ask.gone)
+      await reading.news.wait(world, FOLLOW_INTERVAL_MS, ask.gone)
     }
     return undefined
   }
@@ -148,13 +148,13 @@
     const got = await proposer.look(CONFIG_KEY)
     return got.done ? ((got.value?.body as Body | undefined) ?? emptyBody()) : undefined
   }
-  async function take(ask: Ask): Promise<Reply | undefined> {
+  async function take(ask: HttpRequest): Promise<HttpResponse | undefined> {
     const who = identify(credentials(), ask.header('authorization'))
     const stopped = stopCaller(who, ask)
     if (stopped) {
-      numbers.add('claynotch_operators_refused_total')
+      metrics.add('claynotch_operators_refused_total')
       if (!raw(ask.path)) return stopped
-      sendReply(ask.raw.res, stopped)
+      sendResponse(ask.raw.res, stopped)
       ask.raw.req.resume()
       return undefined
     }
@@ -217,7 +217,7 @@
     }
     return badInput(404, `no such path: ${ask.method} ${ask.path}`)
   }
-  function noMajority(): Reply {
+  function noMajority(): HttpResponse {
     return {
       status: 503,
       body: {
--- a/packages/operator/src/kept.ts
+++ b/packages/operator/src/kept.ts
@@ -1,5 +1,12 @@
 import { createHash } from 'node:crypto'
-import { CONFIGS_KEPT, DECISIONS_KEPT, HISTORY_KEPT, NAMED_KEPT, NAMED_KEPT_LEAST, STREAMS_KEPT } from '@claynotch/base'
+import {
+  MAX_KEPT_CONFIGURATIONS,
+  MAX_DECISIONS_PER_STREAM,
+  MAX_HISTORY_ENTRIES,
+  MAX_NAMED_CHANGES,
+  MIN_NAMED_CHANGES,
+  MAX_OPERATOR_STREAMS,
+} from '@claynotch/base'
 import type { Body, Change, Config, Decision, Made } from './config.js'
 
 // What the configuration's register remembers of changes: their decisions, what each made, and from where on that is whole.
@@ -55,7 +62,7 @@
     oldest ??= h.epoch
     count++
   }
-  const least = named ? NAMED_KEPT_LEAST : HISTORY_KEPT
+  const least = named ? MIN_NAMED_CHANGES : MAX_HISTORY_ENTRIES
   return oldest !== undefined && count >= least && epochMadeBy(change) < oldest
 }
 
@@ -67,14 +74,14 @@
   const streams = putDecision(body.streams, decision)
   if (!config) return { ...body, streams }
   const made: Made = { epoch, stream, number, ...withDigest(digest), config }
-  const history = [...lastOf(thinned(body.history), false, HISTORY_KEPT - 1), made]
+  const history = [...lastOf(thinned(body.history), false, MAX_HISTORY_ENTRIES - 1), made]
   return { ...body, epoch, config, streams, history }
 }
 // The body with an accepted change that named its epoch.
 export function keepNamed(body: Body, decision: Decision, config: Config): Body {
   const { stream, number, epoch, digest } = decision
   const made: Made = { epoch, stream, number, ...withDigest(digest), named: true }
-  const history = [...lastOf(body.history, true, NAMED_KEPT - 1), made]
+  const history = [...lastOf(body.history, true, MAX_NAMED_CHANGES - 1), made]
   return { ...body, epoch, config, history }
 }
 // The stream that is used now becomes the last one used.
@@ -87,10 +94,10 @@
     if (s.name === decision.stream) mine = s
     else streams.push(s)
   }
-  const decisions = [...(mine?.decisions ?? []), decision].slice(-DECISIONS_KEPT)
+  const decisions = [...(mine?.decisions ?? []), decision].slice(-MAX_DECISIONS_PER_STREAM)
   streams.push({ name: decision.stream, used: used + 1, decisions })
   streams.sort(byUse)
-  while (streams.length > STREAMS_KEPT) streams.shift()
+  while (streams.length > MAX_OPERATOR_STREAMS) streams.shift()
   return streams
 }
 function byUse(a: { used: number }, b: { used: number }): number {
@@ -98,7 +105,7 @@
 }
 // Without the configurations beside the latest few, the next one counted among these.
 function thinned(history: Made[]): Made[] {
-  const least = countOf(history, false) + 1 - CONFIGS_KEPT
+  const least = countOf(history, false) + 1 - MAX_KEPT_CONFIGURATIONS
   const out: Made[] = []
   let k = 0
   for (const h of history) out.push(h.named || k++ >= least ? h : withoutConfig(h))
--- a/packages/operator/src/policy.ts
+++ b/packages/operator/src/policy.ts
@@ -1,6 +1,6 @@
 import { createRequire } from 'node:module'
 import type fengari from 'fengari'
-import { Err, Ok, POLICY_STEPS, type Result } from '@claynotch/base'
+import { Err, Ok, MAX_POLICY_STEPS, type Result } from '@claynotch/base'
 
 // Operators' policies: a Lua function match(call) that names the lane of a call which came for no lane of
 // its own. It runs in a state without files, processes, loading of code or other ways out, for a bounded
@@ -28,10 +28,10 @@
 }
 
 function overrun(state: State): void {
-  lib().lauxlib.luaL_error(state, text(`policy ran for over ${POLICY_STEPS} steps`))
+  lib().lauxlib.luaL_error(state, text(`policy ran for over ${MAX_POLICY_STEPS} steps`))
 }
 function limit(state: State): void {
-  lib().lua.lua_sethook(state, overrun, lib().lua.LUA_MASKCOUNT, POLICY_STEPS)
+  lib().lua.lua_sethook(state, overrun, lib().lua.LUA_MASKCOUNT, MAX_POLICY_STEPS)
 }
 function takeError(state: State): string {
   const why = lib().lua.lua_tojsstring(state, -1) ?? 'no reason given'
--- a/packages/operator/src/test/orders.test.ts
+++ b/packages/operator/src/test/orders.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
-import { NAMED_KEPT, NAMED_KEPT_LEAST } from '@claynotch/base'
+import { MAX_NAMED_CHANGES, MIN_NAMED_CHANGES } from '@claynotch/base'
 import type { Config, Change, Decision, Order } from '../config.js'
 import { emptyBody, type Body } from '../config.js'
 import { decide } from '../decide.js'
@@ -137,15 +137,15 @@
 
 // The body as an earlier program leaves it behind, which kept NAMED_KEPT_LEAST changes and knew nothing of digests.
 function trimmedByEarlier(body: Body): Body {
-  return { ...body, history: body.history.slice(-NAMED_KEPT_LEAST) }
+  return { ...body, history: body.history.slice(-MIN_NAMED_CHANGES) }
 }
 // Two thousand changes that name their epoch, programs of both kinds taking turns at writing; all of them sent again,
 // and rivals of each.
 function forgotten(c: Test): void {
   const counts = new Map<string, number>()
   for (const [mixed, count] of [
-    [false, NAMED_KEPT + 400],
-    [true, 2 * NAMED_KEPT_LEAST],
+    [false, MAX_NAMED_CHANGES + 400],
+    [true, 2 * MIN_NAMED_CHANGES],
   ] as const) {
     let body = emptyBody()
     const model: Model = { epoch: 0, taken: [], refused: new Map() }
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -6,14 +6,14 @@
   loop,
   makeSignal,
   readAs,
-  SEEN_LIFE,
-  SUMMARY_AGAIN,
-  SUMMARY_BEAT,
-  SUMMARY_EPOCH,
-  SUMMARY_LIFE,
-  SUMMARY_LIMIT,
-  SUMMARY_SLOW,
-  type Addr,
+  OBSERVATION_LIFETIME_MS,
+  SUMMARY_REPEATS,
+  SUMMARY_INTERVAL_MS,
+  SUMMARY_VERSION,
+  SUMMARY_LIFETIME_MS,
+  SUMMARY_LIMIT_BYTES,
+  SUMMARY_MAX_INTERVAL_MS,
+  type Address,
   type Flag,
   type Metrics,
   type World,
@@ -43,7 +43,7 @@
 export type Peers = { hints: () => Summary[]; ring: () => void; close: () => Promise<void> }
 
 // proxy: it feeds a proxy.
-export type Peer = { node: string; addr: Addr; proxy: boolean }
+export type Peer = { node: string; addr: Address; proxy: boolean }
 // What a node says to all; and what of its seen it says to one node.
 export type Saying = {
   all: () => Omit<Summary, 'seen' | 'bad'>
@@ -52,7 +52,7 @@
 
 export async function startPeers(
   world: World,
-  addr: Addr,
+  addr: Address,
   stop: Flag,
   members: () => Peer[],
   mine: Saying,
@@ -71,7 +71,7 @@
       return
     }
     // Other versions are ignored, not errors: a newer program may speak beside us.
-    if ((body as { v?: unknown } | null)?.v !== SUMMARY_EPOCH) {
+    if ((body as { v?: unknown } | null)?.v !== SUMMARY_VERSION) {
       metrics.add('claynotch_summary_other_epoch_total')
       return
     }
@@ -82,7 +82,7 @@
     }
     const old = last.get(got.val.node)
     // num starts at a clock's reading, so that a restarted node's summaries go on.
-    if (old && old.sum.num >= got.val.num && world.now() - old.at < SUMMARY_LIFE) return
+    if (old && old.sum.num >= got.val.num && world.now() - old.at < SUMMARY_LIFETIME_MS) return
     last.set(got.val.node, { at: world.now(), sum: got.val })
     metrics.add('claynotch_summaries_total')
     heard(got.val)
@@ -101,10 +101,11 @@
     const sum = mine.all()
     const now = world.now()
     const text = JSON.stringify([sum.moving, sum.leaving])
-    if (text !== said) again = SUMMARY_AGAIN
+    if (text !== said) again = SUMMARY_REPEATS
     said = text
     const holds = sum.moving.length > 0 || sum.leaving.length > 0 || sum.tries.length > 0
-    const due = again > 0 || sum.moving.length > 0 || hasRetries(sum.tries) || (holds && now - slow >= SUMMARY_SLOW)
+    const due =
+      again > 0 || sum.moving.length > 0 || hasRetries(sum.tries) || (holds && now - slow >= SUMMARY_MAX_INTERVAL_MS)
     if (again > 0) again--
     if (due) slow = now
     for (const to of members()) {
@@ -113,13 +114,13 @@
       if (seen.length === 0 && bad.length === 0 && !(due && to.proxy)) continue
       let bytes = encode({ ...sum, seen, bad })
       // Too long for a datagram: what can be spared goes first.
-      if (bytes.length > SUMMARY_LIMIT) bytes = encode({ ...sum, seen, bad, tries: [] })
-      if (bytes.length > SUMMARY_LIMIT) bytes = encode({ ...sum, tries: [], seen: [], bad })
+      if (bytes.length > SUMMARY_LIMIT_BYTES) bytes = encode({ ...sum, seen, bad, tries: [] })
+      if (bytes.length > SUMMARY_LIMIT_BYTES) bytes = encode({ ...sum, tries: [], seen: [], bad })
       wire.cast(to.addr, bytes)
     }
   }
   const signal = makeSignal()
-  void loop(world, 'summaries', SUMMARY_BEAT, stop, send, signal)
+  void loop(world, 'summaries', SUMMARY_INTERVAL_MS, stop, send, signal)
 
   // With the time since they came counted in.
   function hints(): Summary[] {
@@ -127,10 +128,10 @@
     const now = world.now()
     for (const [, one] of last.entries()) {
       const age = now - one.at
-      if (age >= SUMMARY_LIFE) continue
+      if (age >= SUMMARY_LIFETIME_MS) continue
       out.push({
         ...one.sum,
-        seen: age < SEEN_LIFE ? older(one.sum.seen, age) : [],
+        seen: age < OBSERVATION_LIFETIME_MS ? older(one.sum.seen, age) : [],
         bad: older(one.sum.bad ?? [], age),
       })
     }
@@ -144,5 +145,5 @@
   async function close(): Promise<void> {
     wire.close()
   }
-  return { hints, ring: signal.ring, close }
+  return { hints, ring: signal.notify, close }
 }
--- /dev/null
+++ b/packages/proxy/src/adapter.ts
@@ -0,0 +1,31 @@
+import {
+  badInput,
+  serveHttp,
+  type Address,
+  type HttpRequest,
+  type HttpResponse,
+  type HttpListener,
+  type World,
+} from '@claynotch/base'
+import { takeProbe, type Probes } from '@claynotch/host'
+import { httpInstance, type InstanceAdapter } from '@claynotch/instance'
+import { readDeadline, readWord, writeVerdict } from '@claynotch/requester'
+import type { Sessions } from './sessions.js'
+
+// How a proxy speaks with its peers, chosen when the process starts.
+export type ClientAdapter = (world: World, addr: Address, sessions: Sessions) => Promise<HttpListener>
+// Answers who asks whether this process is well; undefined: no such path.
+export type HealthCheckAdapter = (ask: HttpRequest, probes: Probes) => HttpResponse | undefined
+export type ProxyAdapters = { instance: InstanceAdapter; requester: ClientAdapter; probes: HealthCheckAdapter }
+
+function httpRequester(world: World, addr: Address, sessions: Sessions): Promise<HttpListener> {
+  async function handle(ask: HttpRequest): Promise<HttpResponse> {
+    const word = readWord(ask)
+    if (word.err) return badInput(word.val.status, word.val.why, word.val.findings)
+    const ms = readDeadline(ask)
+    if (ms.err) return badInput(400, 'not understood', ms.val)
+    return writeVerdict(await sessions.run(word.val, ms.val, ask.gone))
+  }
+  return serveHttp(world, addr, handle)
+}
+export const ownAdapters: ProxyAdapters = { instance: httpInstance, requester: httpRequester, probes: takeProbe }
--- a/packages/proxy/src/freshness.ts
+++ b/packages/proxy/src/freshness.ts
@@ -1,22 +1,18 @@
-import type { Mark } from '@claynotch/instance'
+import { comparePositions, type LogPosition } from '@claynotch/instance'
 
 // The proof that a follower is fresh enough. Nothing here takes a follower's word on its lag.
 // asked: local time just before the leader was asked. What the leader answered covers every commit
 // acknowledged before asked, so the sample speaks for that time and no later one. reign: the record's epoch under
 // which it was asked; its mark may be that of an earlier epoch's last entry, where nothing was written since.
-export type Sample = { asked: number; reign: number; mark: Mark }
-
-export function compareMarks(a: Mark, b: Mark): number {
-  return a.epoch !== b.epoch ? a.epoch - b.epoch : a.position - b.position
-}
+export type Sample = { asked: number; reign: number; mark: LogPosition }
 
 // The place that every commit older than now - within lies at or under: the least among the samples of this reign that
 // are young enough to prove it. undefined: none is.
-export function floorOf(samples: Sample[], reign: number, within: number, now: number): Mark | undefined {
-  let least: Mark | undefined
+export function floorOf(samples: Sample[], reign: number, within: number, now: number): LogPosition | undefined {
+  let least: LogPosition | undefined
   for (const s of samples) {
     if (s.reign !== reign || s.asked < now - within) continue
-    if (least === undefined || compareMarks(s.mark, least) < 0) least = s.mark
+    if (least === undefined || comparePositions(s.mark, least) < 0) least = s.mark
   }
   return least
 }
@@ -24,20 +20,24 @@
 // What a follower must hold: the floor, and the session's last write. Where epochs are exact, a write of an earlier one
 // lies under every floor of this reign.
 // undefined: it can't be proved. A token of a later epoch than the record's can't be met here at all.
-export function needOf(floor: Mark | undefined, reign: number, token: Mark | undefined): Mark | undefined {
+export function needOf(
+  floor: LogPosition | undefined,
+  reign: number,
+  token: LogPosition | undefined,
+): LogPosition | undefined {
   if (floor === undefined) return undefined
   if (!token) return floor
   if (token.epoch > reign) return undefined
-  return compareMarks(token, floor) > 0 ? token : floor
+  return comparePositions(token, floor) > 0 ? token : floor
 }
 
 // Epochs must be alike where answers always carry theirs; else the order of places tells.
-export function isFresh(mark: Mark, need: Mark, exact: boolean): boolean {
-  return (!exact || mark.epoch === need.epoch) && compareMarks(mark, need) >= 0
+export function isFresh(mark: LogPosition, need: LogPosition, exact: boolean): boolean {
+  return (!exact || mark.epoch === need.epoch) && comparePositions(mark, need) >= 0
 }
 
 // What a requester carries between nodes: a place in one group's history, and no word on any other group's.
-export type Token = { group: string; mark: Mark }
+export type Token = { group: string; mark: LogPosition }
 
 export function writeToken(token: Token | undefined): string {
   return token ? `${token.group}:${token.mark.epoch}:${token.mark.position}` : ''
@@ -55,9 +55,9 @@
 }
 
 // ms within which a follower's position is proved: the age of the youngest sample that lies at or under it.
-export function provedWithin(samples: Sample[], epoch: number, mark: Mark, now: number): number | undefined {
+export function provedWithin(samples: Sample[], epoch: number, mark: LogPosition, now: number): number | undefined {
   let best: number | undefined
   for (const s of samples)
-    if (s.reign === epoch && compareMarks(s.mark, mark) <= 0) best = Math.min(best ?? Infinity, now - s.asked)
+    if (s.reign === epoch && comparePositions(s.mark, mark) <= 0) best = Math.min(best ?? Infinity, now - s.asked)
   return best
 }
--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -1,34 +1,34 @@
 import {
-  BACKOFF,
+  BACKOFF_BASE_MS,
   BACKOFF_SHARE,
-  HOLD_SHARE,
-  MOVE_HOLD_SHARE,
-  SEND_SHARE,
-  AFTER_BREAKER,
-  AFTER_LOAD,
-  AREA_COST,
-  AFTER_MOVE,
-  BORROW_LIMIT,
-  BUDGET,
-  DIAL_LEAST,
-  DIAL_LIMIT,
-  LEAVING_WORK,
+  QUEUE_TIMEOUT_SHARE,
+  PROMOTION_WAIT_SHARE,
+  ATTEMPT_TIMEOUT_SHARE,
+  RETRY_AFTER_BREAKER_S,
+  RETRY_AFTER_OVERLOAD_S,
+  OTHER_ZONE_LOAD_COST,
+  RETRY_AFTER_PROMOTION_S,
+  CHECK_OUT_TIMEOUT_MS,
+  RETRY_BUDGET_MS,
+  MIN_DIAL_TIMEOUT_MS,
+  DIAL_TIMEOUT_MS,
+  LEAVING_GRACE_MS,
   makeSignal,
   makeFlag,
   pause,
-  SEND_LIMIT,
-  SENDS,
-  WAKE_SPREAD,
+  ATTEMPT_TIMEOUT_MS,
+  MAX_ATTEMPTS,
+  WAKE_UP_JITTER_MS,
   type Flag,
   type Metrics,
   type World,
   type Result,
 } from '@claynotch/base'
-import type { Done, InstanceEdge, Mark, Trouble } from '@claynotch/instance'
+import type { StatementResult, InstanceAdapter, LogPosition, RequestError } from '@claynotch/instance'
 import { guardOf, lendable } from '@claynotch/operator'
 import { refusal, type Verdict } from '@claynotch/requester'
 import { floorOf, isForeign, isFresh, needOf, provedWithin, type Token } from './freshness.js'
-import type { Loan, Need, Pool } from './pool.js'
+import type { CheckedOutConnection, ConnectionRequirements, Pool } from './pool.js'
 import { backoff, makeAlert, makeBreaker, makeTokens, type Alert, type Breaker, type Tokens } from './retry.js'
 import type { Kind, LaneRules, Rules, Step } from './rules.js'
 import type { Known, State } from './state.js'
@@ -42,7 +42,7 @@
   kind: Kind
   rules: Rules
   lane: LaneRules
-  need: Need
+  need: ConnectionRequirements
   token: Token | undefined
   mustLead: boolean
   body: { text?: string; shape?: string; args: unknown[]; id?: string }
@@ -59,17 +59,23 @@
   sends: number
   waited: boolean
   ran: 'no' | 'maybe'
-  last: Trouble | undefined
+  last: RequestError | undefined
   probe: boolean
-  target?: { instance: Instance; epoch: number; floor: Mark | undefined }
-  loan?: Loan
-  got?: Result<Done, Trouble>
+  target?: { instance: Instance; epoch: number; floor: LogPosition | undefined }
+  loan?: CheckedOutConnection
+  got?: Result<StatementResult, RequestError>
   asked: number
   // place: the lane and team that this call is counted under as pending.
   place?: { lane: string; team: string }
 }
 
-export type Settled = { verdict: Verdict; mark?: Mark; loan?: Loan; epoch?: number; instance?: string }
+export type Settled = {
+  verdict: Verdict
+  mark?: LogPosition
+  loan?: CheckedOutConnection
+  epoch?: number
+  instance?: string
+}
 
 export type Tools = { breaker: Breaker; tokens: Tokens; alert: Alert }
 
@@ -87,9 +93,9 @@
   opening: (group: string, lane: string | undefined, kind: 'begin read' | 'begin write') => number
   kept: (call: Call) => void
   // The position that a follower must hold for a read that begins now; undefined: it can't be proved.
-  needNow: (group: string, fresh: { within: number; own: boolean }, token: Token | undefined) => Mark | undefined
-  highs: () => Map<string, Mark>
-  sawWrite: (group: string, mark: Mark) => void
+  needNow: (group: string, fresh: { within: number; own: boolean }, token: Token | undefined) => LogPosition | undefined
+  highs: () => Map<string, LogPosition>
+  sawWrite: (group: string, mark: LogPosition) => void
   quiet: ReturnType<typeof makeSignal>
 }
 
@@ -98,8 +104,8 @@
   state: State,
   watch: Watch,
   pool: Pool,
-  edge: InstanceEdge,
-  numbers: Metrics,
+  edge: InstanceAdapter,
+  metrics: Metrics,
   stopping: () => boolean,
 ): Runner {
   const tools = new Map<string, Tools>()
@@ -107,7 +113,7 @@
   const byTeam = new Map<string, number>()
   const writes = new Map<string, number>()
   const begun = new Set<Call>()
-  const highs = new Map<string, Mark>()
+  const highs = new Map<string, LogPosition>()
   const quiet = makeSignal()
 
   function toolsOf(group: string): Tools {
@@ -117,9 +123,9 @@
         return state.others(group)
       }
       got = {
-        breaker: makeBreaker(world, group, numbers),
+        breaker: makeBreaker(world, group, metrics),
         tokens: makeTokens(world, others),
-        alert: makeAlert(world, group, numbers),
+        alert: makeAlert(world, group, metrics),
       }
       tools.set(group, got)
     }
@@ -138,7 +144,7 @@
   }
   function holdWrite(group: string, lane: string, by: number): void {
     for (const key of [group, keyOf(group, lane)]) writes.set(key, (writes.get(key) ?? 0) + by)
-    if (by < 0) quiet.ring()
+    if (by < 0) quiet.notify()
   }
   function opening(group: string, lane: string | undefined, kind: 'begin read' | 'begin write'): number {
     let out = 0
@@ -147,9 +153,9 @@
     return out
   }
   function kept(call: Call): void {
-    if (begun.delete(call)) quiet.ring()
+    if (begun.delete(call)) quiet.notify()
   }
-  function sawWrite(group: string, mark: Mark): void {
+  function sawWrite(group: string, mark: LogPosition): void {
     const old = highs.get(group)
     if (!old || mark.epoch > old.epoch || (mark.epoch === old.epoch && mark.position > old.position))
       highs.set(group, mark)
@@ -158,7 +164,7 @@
   // --- ends of a call ---
 
   function sendsOf(call: Call): number {
-    return Math.min(SENDS, call.lane.sends ?? SENDS)
+    return Math.min(MAX_ATTEMPTS, call.lane.sends ?? MAX_ATTEMPTS)
   }
   function isWrite(call: Call): boolean {
     return call.kind === 'write'
@@ -172,9 +178,13 @@
     return v.outcome === 'refused' && call.ran !== 'no' ? { ...v, outcome: 'failed', kept: 'unknown' } : v
   }
   function exhausted(call: Call): Verdict {
-    numbers.add('claynotch_retry_budget_exhausted_total', [['group', call.lane.group]])
+    metrics.add('claynotch_retry_budget_exhausted_total', [['group', call.lane.group]])
     toolsOf(call.lane.group).alert.note(true)
-    return unavailable(call, call.last?.why ?? 'no instance could serve the call within its budget', AFTER_MOVE)
+    return unavailable(
+      call,
+      call.last?.why ?? 'no instance could serve the call within its budget',
+      RETRY_AFTER_PROMOTION_S,
+    )
   }
 
   // --- steps ---
@@ -187,17 +197,18 @@
   // The configuration changed on the way: the call goes on by the rules of now, or ends where its lane is gone.
   function heed(call: Call): Turn {
     const rules = state.rules()
-    if (!rules) return refusal('UNAVAILABLE', 'no configuration is known here', true, AFTER_MOVE)
+    if (!rules) return refusal('UNAVAILABLE', 'no configuration is known here', true, RETRY_AFTER_PROMOTION_S)
     const lane = call.find(rules)
     // Without a valid term a later configuration may have the lane again.
-    if (!lane && !state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, AFTER_MOVE)
+    if (!lane && !state.valid())
+      return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     if (!lane) return { ...refusal('NOT_FOUND', `the lane ${call.lane.name} was dropped`, false), lacks: 'lane' }
     give(call)
     if (lane.group !== call.lane.group) {
       if (call.probe) toolsOf(call.lane.group).breaker.note(false, true)
       call.probe = false
     }
-    numbers.add('claynotch_calls_rematched_total', [['lane', lane.name]])
+    metrics.add('claynotch_calls_rematched_total', [['lane', lane.name]])
     call.rules = rules
     call.lane = lane
     call.need = needFor(lane, rules, call.need)
@@ -212,24 +223,35 @@
   }
 
   function gate(call: Call): Turn {
-    if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, AFTER_LOAD)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, AFTER_MOVE)
-    if (!state.share()) return refusal('UNAVAILABLE', 'this node holds no share of the connections', true, AFTER_MOVE)
+    if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, RETRY_AFTER_OVERLOAD_S)
+    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.share())
+      return refusal('UNAVAILABLE', 'this node holds no share of the connections', true, RETRY_AFTER_PROMOTION_S)
     if (call.gone.fired()) return refusal('ABORTED', 'the requester went away', false)
     return undefined
   }
   function take(call: Call, most: number): Turn {
     const now = pending.get(call.lane.name) ?? 0
     if (now >= most) {
-      numbers.add('claynotch_refused_pending_total', [['lane', call.lane.name]])
-      return refusal('RESOURCE_EXHAUSTED', `the lane ${call.lane.name} has ${now} calls pending`, true, AFTER_LOAD)
+      metrics.add('claynotch_refused_pending_total', [['lane', call.lane.name]])
+      return refusal(
+        'RESOURCE_EXHAUSTED',
+        `the lane ${call.lane.name} has ${now} calls pending`,
+        true,
+        RETRY_AFTER_OVERLOAD_S,
+      )
     }
     const { team } = call.lane
     const quota = call.rules.pending.get(team)
     const theirs = byTeam.get(team) ?? 0
     if (quota !== undefined && theirs >= quota) {
-      numbers.add('claynotch_refused_quota_total', [['team', team]])
-      return refusal('RESOURCE_EXHAUSTED', `the team ${team} has its ${quota} calls on this node`, true, AFTER_LOAD)
+      metrics.add('claynotch_refused_quota_total', [['team', team]])
+      return refusal(
+        'RESOURCE_EXHAUSTED',
+        `the team ${team} has its ${quota} calls on this node`,
+        true,
+        RETRY_AFTER_OVERLOAD_S,
+      )
     }
     byTeam.set(team, theirs + 1)
     pending.set(call.lane.name, now + 1)
@@ -240,7 +262,7 @@
     if (call.probe) return undefined
     const { breaker } = toolsOf(call.lane.group)
     if (!breaker.pass())
-      return refusal('UNAVAILABLE', `the breaker of group ${call.lane.group} is open`, true, AFTER_BREAKER)
+      return refusal('UNAVAILABLE', `the breaker of group ${call.lane.group} is open`, true, RETRY_AFTER_BREAKER_S)
     call.probe = breaker.probing()
     return undefined
   }
@@ -272,7 +294,7 @@
     const writes = call.kind === 'write' || call.kind === 'begin write'
     if (writes && !guarded(call.lane.group, rec.leader, rec.epoch)) return undefined
     // A leaving leader still leads until its successor does, but not for ever.
-    if (state.goneFor(rec.leader) > LEAVING_WORK) return undefined
+    if (state.goneFor(rec.leader) > LEAVING_GRACE_MS) return undefined
     watch.usable(instance, true)
     return { instance, epoch: rec.epoch }
   }
@@ -291,14 +313,14 @@
       const age = provedWithin(samples, epoch, one.mark, world.now())
       if (age !== undefined && age <= guard) return true
     }
-    numbers.add('claynotch_guard_waits_total', [['group', group]])
+    metrics.add('claynotch_guard_waits_total', [['group', group]])
     return false
   }
   function followerNow(
     call: Call,
     known: Known,
     step: { within: number; own: boolean },
-  ): { instance: Instance; epoch: number; floor: Mark } | undefined {
+  ): { instance: Instance; epoch: number; floor: LogPosition } | undefined {
     const rec = known.record
     if (rec.leader === undefined || world.now() >= known.until || stopsHere(call)) return undefined
     // A transaction begun now would be cut when the drain ends; it waits for the next leader.
@@ -320,7 +342,7 @@
       if (edge.sampler && (!one.mark || one.status?.role !== 'follower' || !isFresh(one.mark, need, edge.exact)))
         continue
       // The own area first, then the least usage.
-      const cost = one.usage + (one.area === state.area() ? 0 : AREA_COST)
+      const cost = one.usage + (one.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST)
       if (cost < least) {
         least = cost
         best = one
@@ -354,11 +376,15 @@
         call.target = { ...lead, floor: undefined }
         break
       }
-      if (!state.valid() || !state.share()) return unavailable(call, 'this node lost its term', AFTER_MOVE)
+      if (!state.valid() || !state.share()) return unavailable(call, 'this node lost its term', RETRY_AFTER_PROMOTION_S)
       // A call that only waits is told now, so that its requester can go elsewhere.
-      if (stopping()) return unavailable(call, 'this node is stopping', AFTER_LOAD)
+      if (stopping()) return unavailable(call, 'this node is stopping', RETRY_AFTER_OVERLOAD_S)
       if (world.now() >= holdOf(call))
-        return unavailable(call, call.last?.why ?? `the group ${call.lane.group} has no leader to send to`, AFTER_MOVE)
+        return unavailable(
+          call,
+          call.last?.why ?? `the group ${call.lane.group} has no leader to send to`,
+          RETRY_AFTER_PROMOTION_S,
+        )
       // No leader to send to: a promotion is under way, or the leader is in doubt. Waiting is no send.
       waited = true
       await waitNews(call)
@@ -368,7 +394,7 @@
       await pause(
         world,
         Math.min(
-          world.random() * WAKE_SPREAD,
+          world.random() * WAKE_UP_JITTER_MS,
           Math.max(0, call.deadline - world.now()),
           Math.max(0, call.hold - world.now()),
         ),
@@ -383,10 +409,10 @@
   function waits(call: Call): { free: number; dial: number } {
     const left = Math.max(1, call.deadline - world.now())
     const { aim } = call.lane
-    if (aim === undefined) return { free: Math.min(BORROW_LIMIT, left), dial: Math.min(DIAL_LIMIT, left) }
+    if (aim === undefined) return { free: Math.min(CHECK_OUT_TIMEOUT_MS, left), dial: Math.min(DIAL_TIMEOUT_MS, left) }
     return {
-      free: Math.min(left, aim * HOLD_SHARE),
-      dial: Math.min(DIAL_LIMIT, left, Math.max(DIAL_LEAST, aim * SEND_SHARE)),
+      free: Math.min(left, aim * QUEUE_TIMEOUT_SHARE),
+      dial: Math.min(DIAL_TIMEOUT_MS, left, Math.max(MIN_DIAL_TIMEOUT_MS, aim * ATTEMPT_TIMEOUT_SHARE)),
     }
   }
   async function borrow(call: Call): Promise<Turn> {
@@ -406,7 +432,7 @@
       if (got.val.full !== true) watch.failed(instance.name, asked, got.val.reach === 'answered', false)
       return await again(call)
     }
-    const after = got.val.class === 'RESOURCE_EXHAUSTED' ? AFTER_LOAD : undefined
+    const after = got.val.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
     return refusal(got.val.class, got.val.why, after !== undefined, after)
   }
   async function send(call: Call): Promise<Turn> {
@@ -429,14 +455,14 @@
     const { tokens } = toolsOf(call.lane.group)
     if (call.sends === 0) tokens.first()
     call.sends++
-    numbers.add('claynotch_retry_attempt_total', [
+    metrics.add('claynotch_retry_attempt_total', [
       ['group', call.lane.group],
       ['send', String(call.sends)],
     ])
-    const left = Math.max(1, Math.min(SEND_LIMIT, call.deadline - world.now()))
+    const left = Math.max(1, Math.min(ATTEMPT_TIMEOUT_MS, call.deadline - world.now()))
     const limit =
       call.lane.aim !== undefined && !isWrite(call) && call.sends < sendsOf(call)
-        ? Math.min(left, call.lane.aim * SEND_SHARE)
+        ? Math.min(left, call.lane.aim * ATTEMPT_TIMEOUT_SHARE)
         : left
     call.asked = world.now()
     instance.usage++
@@ -482,12 +508,12 @@
       if (good) {
         breaker.note(true, call.probe)
         if (call.sends > 1 || call.waited) {
-          numbers.add('claynotch_retry_success_on_attempt', [['send', String(call.sends)]])
+          metrics.add('claynotch_retry_success_on_attempt', [['send', String(call.sends)]])
           alert.note(false)
         }
         if (isWrite(call)) sawWrite(group, mark)
         if (call.kind === 'read')
-          numbers.add('claynotch_reads_total', [
+          metrics.add('claynotch_reads_total', [
             ['instance', instance.name],
             ['area', instance.area === state.area() ? 'own' : 'other'],
             ['role', lead ? 'leader' : 'follower'],
@@ -514,7 +540,7 @@
     }
     const trouble = got.val
     call.last = trouble
-    numbers.add('claynotch_error_classification_total', [
+    metrics.add('claynotch_error_classification_total', [
       ['class', trouble.class],
       ['retryable', trouble.transient ? 'yes' : 'no'],
     ])
@@ -537,13 +563,13 @@
     }
     breaker.note(true, call.probe)
     if (trouble.class === 'UNKNOWN' && isWrite(call)) return unknown(trouble.why)
-    const after = trouble.class === 'RESOURCE_EXHAUSTED' ? AFTER_LOAD : undefined
+    const after = trouble.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
     if (call.ran !== 'no' && isWrite(call)) return unknown(trouble.why)
     return refusal(trouble.class, trouble.why, after !== undefined, after)
   }
   // A follower that lacks the place has run nothing and is not in trouble; another, or the leader, is asked at once.
-  function behind(call: Call, instance: Instance, loan: Loan): Turn {
-    numbers.add('claynotch_reads_behind_total', [['instance', instance.name]])
+  function behind(call: Call, instance: Instance, loan: CheckedOutConnection): Turn {
+    metrics.add('claynotch_reads_behind_total', [['instance', instance.name]])
     call.behind.add(instance.name)
     call.sends--
     loan.end(call.kind === 'read')
@@ -551,7 +577,7 @@
     return 'aim'
   }
   function unknown(why: string): Verdict {
-    numbers.add('claynotch_unknown_total')
+    metrics.add('claynotch_unknown_total')
     return { outcome: 'unknown', class: 'UNKNOWN', kept: 'unknown', again: false, why }
   }
   // Whether a further send is allowed; sleeps before it, cut short when the caller goes.
@@ -559,13 +585,13 @@
     if (call.sends >= sendsOf(call)) return exhausted(call)
     const { tokens } = toolsOf(call.lane.group)
     if (call.sends > 0 && !tokens.spend()) {
-      numbers.add('claynotch_retry_tokens_out_total', [['group', call.lane.group]])
-      return unavailable(call, `the group's retries are used up: ${call.last?.why ?? ''}`, AFTER_LOAD)
+      metrics.add('claynotch_retry_tokens_out_total', [['group', call.lane.group]])
+      return unavailable(call, `the group's retries are used up: ${call.last?.why ?? ''}`, RETRY_AFTER_OVERLOAD_S)
     }
     const wait = backoff(
       world,
       Math.max(0, call.sends - 1),
-      call.lane.aim === undefined ? BACKOFF : Math.min(BACKOFF, call.lane.aim * BACKOFF_SHARE),
+      call.lane.aim === undefined ? BACKOFF_BASE_MS : Math.min(BACKOFF_BASE_MS, call.lane.aim * BACKOFF_SHARE),
     )
     // A sleep that would outlast the deadline is not slept: the final answer goes out at once.
     if (world.now() + wait >= call.deadline) return exhausted(call)
@@ -613,13 +639,13 @@
     turn = honest(call, turn)
     give(call)
     if (call.probe && turn.outcome !== 'done') toolsOf(call.lane.group).breaker.note(false, true)
-    numbers.add('claynotch_calls_total', [
+    metrics.add('claynotch_calls_total', [
       ['lane', call.lane.name],
       ['kind', call.kind],
       ['outcome', turn.outcome],
       ['class', turn.class ?? ''],
     ])
-    numbers.add('claynotch_call_ms_total', [['lane', call.lane.name]], Math.round(world.now() - from))
+    metrics.add('claynotch_call_ms_total', [['lane', call.lane.name]], Math.round(world.now() - from))
     const out: Settled = { verdict: turn }
     if (turn.outcome === 'done' && call.got?.ok) {
       out.mark = call.got.val.mark
@@ -635,7 +661,11 @@
   function isAim(step: Step): boolean {
     return step.op === 'aim'
   }
-  function needNow(group: string, fresh: { within: number; own: boolean }, token: Token | undefined): Mark | undefined {
+  function needNow(
+    group: string,
+    fresh: { within: number; own: boolean },
+    token: Token | undefined,
+  ): LogPosition | undefined {
     const rec = state.group(group)?.record
     const head = rec?.leader !== undefined ? watch.get(rec.leader) : undefined
     if (!rec || !head) return undefined
@@ -648,7 +678,7 @@
   function groups(): Map<string, Tools> {
     return tools
   }
-  function highsNow(): Map<string, Mark> {
+  function highsNow(): Map<string, LogPosition> {
     return highs
   }
   return {
@@ -672,7 +702,7 @@
   lane: LaneRules,
   rules: Rules,
   has: { settings: [string, string][]; shapes: Map<string, string> },
-): Need {
+): ConnectionRequirements {
   return {
     database: lane.database,
     settings: has.settings,
@@ -699,8 +729,8 @@
   },
 ): Call {
   const now = world.now()
-  const byCaller = parts.ms !== undefined && parts.ms < BUDGET
-  const budget = Math.min(BUDGET, parts.ms ?? BUDGET, lane.limit ?? BUDGET)
+  const byCaller = parts.ms !== undefined && parts.ms < RETRY_BUDGET_MS
+  const budget = Math.min(RETRY_BUDGET_MS, parts.ms ?? RETRY_BUDGET_MS, lane.limit ?? RETRY_BUDGET_MS)
   return {
     kind,
     rules,
@@ -712,8 +742,8 @@
     byCaller,
     need: needFor(lane, rules, parts),
     find: parts.find,
-    hold: now + (lane.aim === undefined ? budget : lane.aim * HOLD_SHARE),
-    moveHold: now + (lane.aim === undefined ? budget : budget * MOVE_HOLD_SHARE),
+    hold: now + (lane.aim === undefined ? budget : lane.aim * QUEUE_TIMEOUT_SHARE),
+    moveHold: now + (lane.aim === undefined ? budget : budget * PROMOTION_WAIT_SHARE),
     behind: new Set(),
     deadline: now + budget,
     sends: 0,
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -1,9 +1,19 @@
 import { createHash } from 'node:crypto'
-import { loop, makeFlag, RESET_LIMIT, type Flag, type Metrics, type World, Ok, Err, type Result } from '@claynotch/base'
-import type { InstanceEdge, Port, Trouble, Who } from '@claynotch/instance'
+import {
+  loop,
+  makeFlag,
+  RESET_TIMEOUT_MS,
+  type Flag,
+  type Metrics,
+  type World,
+  Ok,
+  Err,
+  type Result,
+} from '@claynotch/base'
+import type { InstanceAdapter, InstanceConnection, RequestError, InstanceAddress } from '@claynotch/instance'
 
 // What a borrower needs in force on its connection.
-export type Need = {
+export type ConnectionRequirements = {
   database: string
   settings: [string, string][]
   shapes: Map<string, string>
@@ -16,20 +26,20 @@
 // - lent + idle + opening never passes the limit given by the configuration for this node;
 // - only a connection known to be clean is lent again; whatever ended unclear is closed;
 // - set holds exactly the settings, and shapes the shapes, that were put in force and answered for.
-type Conn = { port: Port; set: Map<string, string>; shapes: Set<string>; idleSince: number }
+type Conn = { port: InstanceConnection; set: Map<string, string>; shapes: Set<string>; idleSince: number }
 
-export type Loan = {
-  port: Port
+export type CheckedOutConnection = {
+  port: InstanceConnection
   instance: string
   shapeId: (text: string) => string
   // Puts a shape, or one more setting, in force on the connection as it is, also within a transaction.
-  shape: (text: string) => Promise<Trouble | undefined>
-  setting: (name: string, value: string) => Promise<Trouble | undefined>
+  shape: (text: string) => Promise<RequestError | undefined>
+  setting: (name: string, value: string) => Promise<RequestError | undefined>
   // Gives the connection back; clean is false where its state isn't known for sure.
   end: (clean: boolean) => void
 }
 
-type Waiter = { need: Need; wake: Flag }
+type Waiter = { need: ConnectionRequirements; wake: Flag }
 type Place = {
   addr: string
   limit: number
@@ -42,12 +52,12 @@
 
 export type Pool = {
   borrow: (
-    who: Who,
+    who: InstanceAddress,
     limit: number,
-    need: Need,
+    need: ConnectionRequirements,
     waits: { free: number; dial: number },
     gone: Flag,
-  ) => Promise<Result<Loan, Trouble>>
+  ) => Promise<Result<CheckedOutConnection, RequestError>>
   open: (instance: string) => number
   // Closes what is idle over the limit; true once no more than that are open.
   shrink: (instance: string, limit: number) => boolean
@@ -55,7 +65,7 @@
 }
 
 // The settings that must be in force, and no others. A connection that must be told its database takes it as one.
-function wantedOf(need: Need, named: boolean): Map<string, string> {
+function wantedOf(need: ConnectionRequirements, named: boolean): Map<string, string> {
   const out = new Map<string, string>(named ? [[BASE, need.database]] : [])
   for (const [name, value] of need.settings) out.set(name, value)
   return out
@@ -71,7 +81,7 @@
   return `s${createHash('sha1').update(text).digest('hex').slice(0, 20)}`
 }
 
-export function makePool(world: World, edge: InstanceEdge, stop: Flag, numbers: Metrics): Pool {
+export function makePool(world: World, edge: InstanceAdapter, stop: Flag, metrics: Metrics): Pool {
   const places = new Map<string, Place>()
 
   function place(instance: string, addr: string): Place {
@@ -134,11 +144,15 @@
     return at >= 0 ? p.idle.splice(at, 1)[0] : undefined
   }
   // Puts the settings in force. false: unclear, the connection must go.
-  async function prepare(c: Conn, need: Need, want: Map<string, string>): Promise<Trouble | undefined> {
+  async function prepare(
+    c: Conn,
+    need: ConnectionRequirements,
+    want: Map<string, string>,
+  ): Promise<RequestError | undefined> {
     let stray = false
     for (const name of c.set.keys()) if (!want.has(name)) stray = true
     if (stray) {
-      const clear = await c.port.reset(RESET_LIMIT)
+      const clear = await c.port.reset(RESET_TIMEOUT_MS)
       if (clear.err) return { ...clear.val, reach: 'none' }
       c.set.clear()
       c.shapes.clear()
@@ -146,7 +160,7 @@
     const pairs: [string, string][] = []
     for (const [name, value] of want) if (c.set.get(name) !== value) pairs.push([name, value])
     if (pairs.length > 0) {
-      const put = await c.port.settings(pairs, RESET_LIMIT)
+      const put = await c.port.settings(pairs, RESET_TIMEOUT_MS)
       // The instance's own refusal of a setting is final; reach speaks of the try, which has not begun.
       if (put.err) return put.val.reach === 'answered' ? put.val : { ...put.val, reach: 'none' }
       for (const [name, value] of pairs) c.set.set(name, value)
@@ -157,10 +171,10 @@
     }
     return undefined
   }
-  async function putShape(c: Conn, text: string): Promise<Trouble | undefined> {
+  async function putShape(c: Conn, text: string): Promise<RequestError | undefined> {
     const id = shapeId(text)
     if (c.shapes.has(id)) return undefined
-    const put = await c.port.shape(id, text, RESET_LIMIT)
+    const put = await c.port.shape(id, text, RESET_TIMEOUT_MS)
     if (put.err) return put.val.reach === 'answered' ? put.val : { ...put.val, reach: 'none' }
     c.shapes.add(id)
     return undefined
@@ -170,12 +184,12 @@
   }
 
   async function borrow(
-    who: Who,
+    who: InstanceAddress,
     limit: number,
-    need: Need,
+    need: ConnectionRequirements,
     waits: { free: number; dial: number },
     gone: Flag,
-  ): Promise<Result<Loan, Trouble>> {
+  ): Promise<Result<CheckedOutConnection, RequestError>> {
     const { name: instance, addr } = who
     const p = place(instance, addr)
     const want = wantedOf(need, edge.named)
@@ -194,11 +208,11 @@
         const got = await edge.open(world, who, waits.dial)
         p.opening--
         if (got.err) {
-          numbers.add('claynotch_pool_dials_failed_total', [['instance', instance]])
+          metrics.add('claynotch_pool_dials_failed_total', [['instance', instance]])
           wakeNext(p)
           return got
         }
-        numbers.add('claynotch_pool_dials_total', [['instance', instance]])
+        metrics.add('claynotch_pool_dials_total', [['instance', instance]])
         c = { port: got.val, set: new Map(), shapes: new Set(), idleSince: 0 }
         p.lent++
         break
@@ -251,11 +265,11 @@
       finish(false)
       return Err(bad)
     }
-    function shape(text: string): Promise<Trouble | undefined> {
+    function shape(text: string): Promise<RequestError | undefined> {
       return putShape(conn, text)
     }
-    async function setting(name: string, value: string): Promise<Trouble | undefined> {
-      const put = await conn.port.settings([[name, value]], RESET_LIMIT)
+    async function setting(name: string, value: string): Promise<RequestError | undefined> {
+      const put = await conn.port.settings([[name, value]], RESET_TIMEOUT_MS)
       if (put.err) return put.val
       conn.set.set(name, value)
       return undefined
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,44 +1,44 @@
 import {
-  DRAIN,
-  DRAIN_TAIL,
-  hello,
-  holdLink,
+  DRAIN_TIMEOUT_MS,
+  DRAIN_TAIL_MS,
+  makeHello,
+  makePersistentLink,
   loop,
-  LINE_GRACE,
+  CONNECTION_GRACE_MS,
   makeFlag,
   makeMetrics,
   makeSignal,
-  NOTE_BEAT,
-  NOTICE,
+  PROXY_REPORT_INTERVAL_MS,
+  NOT_READY_NOTICE_MS,
   pause,
   readAs,
-  SEND_LIMIT,
-  serve,
-  STALL,
-  STALL_BEAT,
-  type Addr,
-  type Ask,
+  ATTEMPT_TIMEOUT_MS,
+  serveHttp,
+  STALL_TIMEOUT_MS,
+  STALL_INTERVAL_MS,
+  type Address,
+  type HttpRequest,
   type Metrics,
-  type Reply,
+  type HttpResponse,
   type World,
 } from '@claynotch/base'
 import { CONFIG_KEY, lendable } from '@claynotch/operator'
-import { Feed, groupOf, type Note } from '@claynotch/register'
+import { AgentFeed, groupOf, type ProxyReport } from '@claynotch/register'
 import { provedWithin } from './freshness.js'
 import { makeRunner, type Runner } from './interpret.js'
 import { makePool, type Pool } from './pool.js'
 import { makeSessions, type Sessions } from './sessions.js'
-import { ownEdges, type ProxyEdges } from './seam.js'
+import { ownAdapters, type ProxyAdapters } from './adapter.js'
 import { makeState, type State } from './state.js'
 import { startWatch, type Watch } from './watch.js'
 
 // listen: requesters. admin: the platform's probes. agent: the agent's link on this machine.
 // grace: ms that it is given from being told to stop, open transactions half of them.
-export type ProxySettings = { listen: Addr; admin: Addr; agent: Addr; grace?: number }
+export type ProxySettings = { listen: Address; admin: Address; agent: Address; grace?: number }
 
 export type Proxy = {
   stop: () => Promise<void>
-  numbers: Metrics
+  metrics: Metrics
   state: State
   watch: Watch
   runner: Runner
@@ -46,9 +46,9 @@
   pool: Pool
 }
 
-export async function startProxy(world: World, set: ProxySettings, edges: ProxyEdges = ownEdges): Promise<Proxy> {
+export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = ownAdapters): Promise<Proxy> {
   const stop = makeFlag()
-  const numbers = makeMetrics()
+  const metrics = makeMetrics()
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
   const state = makeState(world)
   // leaving: not ready any more, what is open is served on. draining: nothing new is begun either.
@@ -57,10 +57,10 @@
   function stopping(): boolean {
     return draining
   }
-  const watch = startWatch(world, state, edges.instance, stop, numbers)
-  const pool = makePool(world, edges.instance, stop, numbers)
-  const runner = makeRunner(world, state, watch, pool, edges.instance, numbers, stopping)
-  const sessions = makeSessions(world, state, runner, edges.instance, numbers, stop, stopping)
+  const watch = startWatch(world, state, edges.instance, stop, metrics)
+  const pool = makePool(world, edges.instance, stop, metrics)
+  const runner = makeRunner(world, state, watch, pool, edges.instance, metrics, stopping)
+  const sessions = makeSessions(world, state, runner, edges.instance, metrics, stop, stopping)
   // acked: turns applied in full; a drain counts only once no transaction and no write is left open.
   const acked = new Map<string, number>()
 
@@ -73,10 +73,10 @@
   // The requester's address is bound before the agent is dialled: a second proxy of this machine fails
   // here, so an agent never feeds one while another may still work.
   const http = await edges.requester(world, set.listen, sessions)
-  function admin(ask: Ask): Reply {
-    return edges.probes(ask, { ready, numbers }) ?? { status: 404, body: { why: 'no such path' } }
+  function admin(ask: HttpRequest): HttpResponse {
+    return edges.probes(ask, { ready, metrics: metrics }) ?? { status: 404, body: { why: 'no such path' } }
   }
-  const probes = await serve(world, set.admin, admin)
+  const probes = await serveHttp(world, set.admin, admin)
 
   // Open transactions, and those whose begin has gone out.
   function transactions(group: string, lane?: string): number {
@@ -86,7 +86,7 @@
       sessions.transactions(group, lane)
     )
   }
-  function applied(key: string, turn: number): boolean {
+  function applied(key: string, version: number): boolean {
     const group = groupOf(key)
     if (key === CONFIG_KEY) {
       // A configuration with smaller shares is applied once no more is open than it allows.
@@ -112,7 +112,7 @@
     }
     if (group === undefined) return true
     const known = state.group(group)
-    if (known?.record.phase !== 'drain' || known.turn !== turn) return true
+    if (known?.record.phase !== 'drain' || known.turn !== version) return true
     return runner.writing(group) === 0 && transactions(group) === 0
   }
   // waits: since when calls to an instance have waited there without one good answer.
@@ -124,7 +124,7 @@
       else waits.set(name, Math.max(waits.get(name) ?? now, one.lastOk))
       const from = Math.min(
         one.failing ?? now,
-        now - (waits.get(name) ?? now) > STALL ? (waits.get(name) as number) : now,
+        now - (waits.get(name) ?? now) > STALL_TIMEOUT_MS ? (waits.get(name) as number) : now,
       )
       if (from < now || one.failing !== undefined) out.push([name, now - from])
     }
@@ -137,10 +137,10 @@
   function acknowledge(): boolean {
     let isNew = false
     isAckAwaited = false
-    for (const [key, turn] of state.turns()) {
-      if ((acked.get(key) ?? 0) >= turn) continue
-      if (applied(key, turn)) {
-        acked.set(key, turn)
+    for (const [key, version] of state.turns()) {
+      if ((acked.get(key) ?? 0) >= version) continue
+      if (applied(key, version)) {
+        acked.set(key, version)
         isNew = true
       } else isAckAwaited = true
     }
@@ -170,9 +170,9 @@
       const rec = state.group(g)?.record
       if (rec && rec.phase !== 'steady') moving.push([g, rec.epoch])
     }
-    numbers.set('claynotch_ready', [], ready() === undefined ? 1 : 0)
-    for (const [g] of runner.groups()) numbers.set('claynotch_transactions', [['group', g]], sessions.transactions(g))
-    const word: Note = {
+    metrics.set('claynotch_ready', [], ready() === undefined ? 1 : 0)
+    for (const [g] of runner.groups()) metrics.set('claynotch_transactions', [['group', g]], sessions.transactions(g))
+    const word: ProxyReport = {
       t: 'note',
       life,
       acks: [...acked],
@@ -188,23 +188,23 @@
     agent.tell(word)
   }
   function take(msg: unknown): undefined {
-    const got = readAs(Feed, msg)
+    const got = readAs(AgentFeed, msg)
     if (got.err) {
-      numbers.add('claynotch_link_garbage_total')
+      metrics.add('claynotch_link_garbage_total')
       throw new Error('unknown word from the agent')
     }
     state.take(got.val)
     if (acknowledge()) note()
     return undefined
   }
-  const agent = holdLink(world, set.agent, hello('proxy', life), take, stop, note)
+  const agent = makePersistentLink(world, set.agent, makeHello('proxy', life), take, stop, note)
   // The end of a write or a transaction is worth a note only where an acknowledgement waits for it.
   const mayAck = makeSignal()
   runner.quiet.watch(ringIfAwaited)
   function ringIfAwaited(): void {
-    if (isAckAwaited) mayAck.ring()
+    if (isAckAwaited) mayAck.notify()
   }
-  void loop(world, 'note', NOTE_BEAT, stop, note, mayAck)
+  void loop(world, 'note', PROXY_REPORT_INTERVAL_MS, stop, note, mayAck)
   // That an instance begins to fail is told at once.
   let failing = new Set<string>()
   function tellTrouble(): void {
@@ -215,7 +215,7 @@
     failing = now
     if (fresh) note()
   }
-  void loop(world, 'trouble', STALL_BEAT, stop, tellTrouble, watch.trouble)
+  void loop(world, 'trouble', STALL_INTERVAL_MS, stop, tellTrouble, watch.trouble)
   world.log.info('proxy-started', { listen: set.listen, admin: set.admin })
 
   // A planned stop: this node says that it isn't ready, and serves on for as long as others may not have noticed and
@@ -226,15 +226,18 @@
     http.drain()
     world.log.info('draining', { sessions: sessions.open(), transactions: sessions.transactions(), calls: http.busy() })
     const from = world.now()
-    const half = set.grace === undefined ? DRAIN : set.grace / 2
+    const half = set.grace === undefined ? DRAIN_TIMEOUT_MS : set.grace / 2
     const until = from + half
     // Connections leave as they are answered; one that says nothing for all of DRAIN is idle and may be ended.
-    while (world.now() < until && (world.now() < from + NOTICE || sessions.transactions() > 0 || http.lines() > 0))
+    while (
+      world.now() < until &&
+      (world.now() < from + NOT_READY_NOTICE_MS || sessions.transactions() > 0 || http.lines() > 0)
+    )
       await runner.quiet.wait(world, Math.min(100, until - world.now()))
     draining = true
     sessions.cut('the node stops')
     // No new connections from here on; those that are left are answered to the end.
-    await http.close(set.grace === undefined ? SEND_LIMIT + DRAIN_TAIL : half - LINE_GRACE)
+    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : half - CONNECTION_GRACE_MS)
     state.halt()
     note()
     await pause(world, 20)
@@ -243,5 +246,5 @@
     await probes.close()
     world.log.info('drained', { left: http.busy() })
   }
-  return { stop: end, numbers, state, watch, runner, sessions, pool }
+  return { stop: end, metrics: metrics, state, watch, runner, sessions, pool }
 }
--- a/packages/proxy/src/retry.ts
+++ b/packages/proxy/src/retry.ts
@@ -1,14 +1,14 @@
 import {
-  BACKOFF,
-  BREAKER_LEAST,
-  BREAKER_PAUSE,
+  BACKOFF_BASE_MS,
+  BREAKER_MIN_RESULTS,
+  BREAKER_OPEN_MS,
   BREAKER_PROBES,
-  BREAKER_RATE,
-  BREAKER_WINDOW,
-  EXHAUST_ALERT,
-  EXHAUST_LEAST,
-  EXHAUST_WINDOW,
-  RETRY_GAIN,
+  BREAKER_FAILURE_RATE,
+  BREAKER_WINDOW_MS,
+  EXHAUSTION_ALERT_RATE,
+  EXHAUSTION_MIN_RESULTS,
+  EXHAUSTION_WINDOW_MS,
+  RETRY_TOKENS_PER_ATTEMPT,
   RETRY_TOKENS,
   type Metrics,
   type World,
@@ -16,7 +16,7 @@
 
 // The retry policy of one node, by group: pauses, tokens, breaker, alert. docs/retry.md tells where each comes from.
 
-export function backoff(world: World, sends: number, first = BACKOFF): number {
+export function backoff(world: World, sends: number, first = BACKOFF_BASE_MS): number {
   const base = 2 ** sends * first
   return base + world.random() * (base / 2)
 }
@@ -45,7 +45,7 @@
   function first(): void {
     roll()
     now.firsts++
-    left = Math.min(RETRY_TOKENS, left + RETRY_GAIN)
+    left = Math.min(RETRY_TOKENS, left + RETRY_TOKENS_PER_ATTEMPT)
   }
   function spend(): boolean {
     roll()
@@ -53,7 +53,7 @@
     const all = others()
     const firsts = mine.firsts + all.firsts
     const retries = mine.retries + all.retries
-    const cost = retries > RETRY_TOKENS && retries > RETRY_GAIN * firsts ? 2 : 1
+    const cost = retries > RETRY_TOKENS && retries > RETRY_TOKENS_PER_ATTEMPT * firsts ? 2 : 1
     if (left < cost) return false
     left -= cost
     now.retries++
@@ -72,7 +72,7 @@
   state: () => 'closed' | 'open' | 'half'
 }
 
-export function makeBreaker(world: World, group: string, numbers: Metrics): Breaker {
+export function makeBreaker(world: World, group: string, metrics: Metrics): Breaker {
   let state: 'closed' | 'open' | 'half' = 'closed'
   let cut = world.now()
   let good = 0
@@ -86,13 +86,13 @@
 
   function turn(to: 'closed' | 'open' | 'half'): void {
     state = to
-    numbers.set('claynotch_breaker_open', [['group', group]], to === 'closed' ? 0 : 1)
+    metrics.set('claynotch_breaker_open', [['group', group]], to === 'closed' ? 0 : 1)
     world.log.warn('breaker', { group, state: to })
   }
   function roll(): void {
     const now = world.now()
-    if (now - cut < BREAKER_WINDOW / 2) return
-    const near = now - cut < BREAKER_WINDOW
+    if (now - cut < BREAKER_WINDOW_MS / 2) return
+    const near = now - cut < BREAKER_WINDOW_MS
     oldGood = near ? good : 0
     oldBad = near ? bad : 0
     good = 0
@@ -100,11 +100,11 @@
     cut = now
   }
   function openNow(): void {
-    until = world.now() + BREAKER_PAUSE * (1 + world.random() / 2)
+    until = world.now() + BREAKER_OPEN_MS * (1 + world.random() / 2)
     good = bad = oldGood = oldBad = row = 0
     probe = false
     turn('open')
-    numbers.add('claynotch_breaker_opened_total', [['group', group]])
+    metrics.add('claynotch_breaker_opened_total', [['group', group]])
   }
   function pass(): boolean {
     if (state === 'closed') return true
@@ -114,7 +114,7 @@
       turn('half')
     }
     // A probe whose end was never told (its caller went away) does not hold the breaker for ever.
-    if (probe && now - probeAt < BREAKER_WINDOW * 2) return false
+    if (probe && now - probeAt < BREAKER_WINDOW_MS * 2) return false
     probe = true
     probeAt = now
     return true
@@ -136,7 +136,7 @@
     if (isGood) good++
     else bad++
     const all = good + bad + oldGood + oldBad
-    if (all >= BREAKER_LEAST && bad + oldBad >= BREAKER_RATE * all) openNow()
+    if (all >= BREAKER_MIN_RESULTS && bad + oldBad >= BREAKER_FAILURE_RATE * all) openNow()
   }
   function probing(): boolean {
     return state === 'half'
@@ -150,22 +150,22 @@
 // --- alert: budgets exhausted over calls that were retried or waited ---
 export type Alert = { note: (exhausted: boolean) => void; raised: () => boolean }
 
-export function makeAlert(world: World, group: string, numbers: Metrics): Alert {
+export function makeAlert(world: World, group: string, metrics: Metrics): Alert {
   let cut = world.now()
   let all = 0
   let out = 0
   let raised = false
   function judge(): void {
-    const is = all >= EXHAUST_LEAST && out > EXHAUST_ALERT * all
+    const is = all >= EXHAUSTION_MIN_RESULTS && out > EXHAUSTION_ALERT_RATE * all
     if (is === raised) return
-    if (!is && all < EXHAUST_LEAST) return
+    if (!is && all < EXHAUSTION_MIN_RESULTS) return
     raised = is
-    numbers.set('claynotch_retry_alert', [['group', group]], is ? 1 : 0)
+    metrics.set('claynotch_retry_alert', [['group', group]], is ? 1 : 0)
     if (is) world.log.error('retry-budget-alert', { group, exhausted: out, retried: all })
     else world.log.info('retry-budget-alert-over', { group, exhausted: out, retried: all })
   }
   function note(exhausted: boolean): void {
-    if (world.now() - cut > EXHAUST_WINDOW) {
+    if (world.now() - cut > EXHAUSTION_WINDOW_MS) {
       cut = world.now()
       all = 0
       out = 0
--- a/packages/proxy/src/rules.ts
+++ b/packages/proxy/src/rules.ts
@@ -1,4 +1,4 @@
-import { PENDING } from '@claynotch/base'
+import { MAX_QUEUED_CALLS } from '@claynotch/base'
 import { compilePolicy, moveOf, type Config, type Move, type Policy } from '@claynotch/operator'
 
 // The way of a request: a short list of steps, compiled from the configuration for each lane and kind of call.
@@ -47,7 +47,7 @@
   const lanes = new Map<string, LaneRules>()
   const bases = new Map<string, LaneRules>()
   for (const lane of config.lanes) {
-    const pending = lane.pending ?? PENDING
+    const pending = lane.pending ?? MAX_QUEUED_CALLS
     const phase = moveOf(moves, lane.name)?.phase
     const lead: Step = { op: 'aim', at: 'leader' }
     const near: Step =
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -1,25 +1,25 @@
 import {
-  AFTER_LOAD,
-  AFTER_MOVE,
-  DRAIN,
-  LEAVING_WORK,
+  RETRY_AFTER_OVERLOAD_S,
+  RETRY_AFTER_PROMOTION_S,
+  DRAIN_TIMEOUT_MS,
+  LEAVING_GRACE_MS,
   loop,
-  SEND_LIMIT,
-  SESSION_IDLE,
-  SESSIONS,
-  STATEMENT_SHARE,
-  TRANSACTION_IDLE,
+  ATTEMPT_TIMEOUT_MS,
+  SESSION_IDLE_TIMEOUT_MS,
+  MAX_SESSIONS,
+  STATEMENT_TIMEOUT_SHARE,
+  TRANSACTION_IDLE_TIMEOUT_MS,
   Err,
   type Flag,
   type Metrics,
   type World,
 } from '@claynotch/base'
-import type { Done, InstanceEdge, Trouble } from '@claynotch/instance'
+import type { StatementResult, InstanceAdapter, RequestError } from '@claynotch/instance'
 import { AUTO } from '@claynotch/operator'
 import { refusal, type Kind, type Verdict, type Word } from '@claynotch/requester'
 import { isForeign, isFresh, readToken, writeToken, type Token } from './freshness.js'
 import { makeCall, type Runner } from './interpret.js'
-import type { Loan } from './pool.js'
+import type { CheckedOutConnection } from './pool.js'
 import type { LaneRules, Rules } from './rules.js'
 import type { State } from './state.js'
 
@@ -27,7 +27,7 @@
 // ran turns true with the first statement handed over and never back; fresh is set on a follower, where each
 // statement is held to the lane's bound anew; stray is since when the lane as configured no longer allows it.
 type Transaction = {
-  loan: Loan
+  loan: CheckedOutConnection
   kind: 'read' | 'write'
   lane: string
   database: string
@@ -83,8 +83,8 @@
   world: World,
   state: State,
   runner: Runner,
-  edge: InstanceEdge,
-  numbers: Metrics,
+  edge: InstanceAdapter,
+  metrics: Metrics,
   stop: Flag,
   stopping: () => boolean,
 ): Sessions {
@@ -106,7 +106,7 @@
     if (name !== AUTO || !policy) return name
     const got = policy.policy.match({ kind, database, area: state.area(), settings })
     if (got.ok && state.rules()?.lanes.has(got.val)) return got.val
-    numbers.add('claynotch_policy_failures_total')
+    metrics.add('claynotch_policy_failures_total')
     world.log.warn('policy-failed', { why: got.ok ? `no lane is named ${got.val}` : got.val })
     return policy.fallback
   }
@@ -117,8 +117,9 @@
   }
   // That a lane isn't there is said under a valid term alone: without one it may have been added since.
   function noLane(name: string): Verdict {
-    if (!state.rules()) return refusal('UNAVAILABLE', 'no configuration is known here yet', true, AFTER_MOVE)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, AFTER_MOVE)
+    if (!state.rules())
+      return refusal('UNAVAILABLE', 'no configuration is known here yet', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     return { ...refusal('NOT_FOUND', `no lane is named ${name}`, false), lacks: 'lane' }
   }
   function teamCount(team: string, by: number): void {
@@ -145,9 +146,9 @@
     const tx = s.transaction
     if (!tx) return
     s.transaction = undefined
-    const got = await tx.loan.port.rollback(SEND_LIMIT)
+    const got = await tx.loan.port.rollback(ATTEMPT_TIMEOUT_MS)
     tx.loan.end(got.ok)
-    runner.quiet.ring()
+    runner.quiet.notify()
   }
   // Ends it unasked.
   function endUnasked(s: Session, cls: string, why: string): void {
@@ -158,11 +159,11 @@
     const now = world.now()
     for (const s of all.values()) {
       if (s.busy) continue
-      if (s.transaction && now - s.transaction.last > (state.rules()?.transactionIdle ?? TRANSACTION_IDLE)) {
-        numbers.add('claynotch_transactions_idle_total')
+      if (s.transaction && now - s.transaction.last > (state.rules()?.transactionIdle ?? TRANSACTION_IDLE_TIMEOUT_MS)) {
+        metrics.add('claynotch_transactions_idle_total')
         endUnasked(s, 'ABORTED', 'the transaction rested too long')
       }
-      if (now - s.last > SESSION_IDLE) drop(s)
+      if (now - s.last > SESSION_IDLE_TIMEOUT_MS) drop(s)
     }
     for (const s of all.values()) {
       const why = s.transaction && !s.busy ? lapsed(s.transaction) : undefined
@@ -170,7 +171,7 @@
     }
     const rules = state.rules()
     if (rules && rules.epoch !== counted) recount(rules)
-    numbers.set('claynotch_sessions', [], all.size)
+    metrics.set('claynotch_sessions', [], all.size)
   }
   void loop(world, 'sessions', 250, stop, sweep)
 
@@ -183,7 +184,7 @@
     return refusal('INVALID_ARGUMENT', 'the token is none of ours', false)
   }
   function open(body: Extract<Word, { w: 'open' }>['body']): Verdict {
-    if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, AFTER_LOAD)
+    if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, RETRY_AFTER_OVERLOAD_S)
     const settings = pairsOf(body.settings)
     const database = body.database ?? ''
     const name = body.lane === undefined ? undefined : matchLane(body.lane, 'session', database, settings)
@@ -193,14 +194,14 @@
     const token = tokenOf(body.token)
     if (token === 'bad') return badToken()
     const most = rules.sessions.get(lane.team)
-    if (all.size >= SESSIONS)
-      return refusal('RESOURCE_EXHAUSTED', `this node holds ${all.size} sessions`, true, AFTER_LOAD)
+    if (all.size >= MAX_SESSIONS)
+      return refusal('RESOURCE_EXHAUSTED', `this node holds ${all.size} sessions`, true, RETRY_AFTER_OVERLOAD_S)
     if (most !== undefined && (counts.get(lane.team) ?? 0) >= most)
       return refusal(
         'RESOURCE_EXHAUSTED',
         `the team ${lane.team} has its ${most} sessions on this node`,
         true,
-        AFTER_LOAD,
+        RETRY_AFTER_OVERLOAD_S,
       )
     const id = `${prefix}-${++next}-${Math.floor(world.random() * 2 ** 40).toString(36)}`
     all.set(id, {
@@ -243,13 +244,13 @@
       again: cls === 'UNAVAILABLE',
       why,
       transaction: 'over',
-      ...(cls === 'UNAVAILABLE' ? { after: AFTER_MOVE } : {}),
+      ...(cls === 'UNAVAILABLE' ? { after: RETRY_AFTER_PROMOTION_S } : {}),
     }
   }
   function endTx(s: Session, tx: Transaction): void {
     s.transaction = undefined
     tx.loan.end(false)
-    runner.quiet.ring()
+    runner.quiet.notify()
   }
   // Why the lane as it is now would not have begun this transaction, if so.
   function strays(tx: Transaction): string | undefined {
@@ -263,23 +264,24 @@
   // Why nothing more may go out on this transaction, if so.
   function lapsed(tx: Transaction): string | undefined {
     // An instance that leaves gets no new work, and a statement is work.
-    if (state.goneFor(tx.loan.instance) > LEAVING_WORK) return `the instance ${tx.loan.instance} leaves`
+    if (state.goneFor(tx.loan.instance) > LEAVING_GRACE_MS) return `the instance ${tx.loan.instance} leaves`
     // A move's fence went by meanwhile: nothing of this transaction may count any more.
     if (!state.counts(tx.lane, tx.group, tx.begun)) return `the lane ${tx.lane} was moved`
     const stray = strays(tx)
     tx.stray = stray === undefined ? undefined : (tx.stray ?? state.rules()?.since ?? world.now())
-    if (tx.stray !== undefined && world.now() - tx.stray > DRAIN) return `${stray}; open transactions had their time`
+    if (tx.stray !== undefined && world.now() - tx.stray > DRAIN_TIMEOUT_MS)
+      return `${stray}; open transactions had their time`
     const known = state.group(tx.group)
     if (!known || world.now() >= known.until) return 'this node lost its term'
     if (tx.lead && !runner.stands(tx.group, tx.epoch)) return 'the leader is being replaced'
     if (known.record.epoch !== tx.epoch) return 'the leader was replaced'
-    if (known.record.phase === 'drain' && world.now() - known.since > DRAIN)
+    if (known.record.phase === 'drain' && world.now() - known.since > DRAIN_TIMEOUT_MS)
       return 'the leader is being replaced; open transactions had their time'
     if (!tx.loan.port.alive()) return 'the connection to the instance broke'
     return undefined
   }
-  function troubled(s: Session, tx: Transaction, t: Trouble): Verdict {
-    numbers.add('claynotch_error_classification_total', [
+  function troubled(s: Session, tx: Transaction, t: RequestError): Verdict {
+    metrics.add('claynotch_error_classification_total', [
       ['class', t.class],
       ['retryable', 'no'],
     ])
@@ -309,12 +311,12 @@
     if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, 1)
     const bad = shape ? await tx.loan.shape(shape.text) : undefined
     const sent = { args: word.body.args ?? [], mode: kind, ...(word.id !== undefined ? { id: word.id } : {}) }
-    const most = lane?.aim !== undefined ? Math.min(ms, lane.aim * STATEMENT_SHARE) : ms
+    const most = lane?.aim !== undefined ? Math.min(ms, lane.aim * STATEMENT_TIMEOUT_SHARE) : ms
     const got = bad
       ? Err(bad)
       : await tx.loan.port.statement(
           { ...(shape ? { shape: tx.loan.shapeId(shape.text) } : { text: word.body.text ?? '' }), ...sent },
-          Math.min(most, SEND_LIMIT),
+          Math.min(most, ATTEMPT_TIMEOUT_MS),
         )
     if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, -1)
     tx.last = world.now()
@@ -337,18 +339,18 @@
     if (gone.fired()) return over(s, tx, 'ABORTED', 'the requester went away')
     return { outcome: 'done', rows: got.val.rows, ...proofOf(got.val) }
   }
-  function proofOf(d: Done): { stamp?: string; mark: Done['mark'] } {
+  function proofOf(d: StatementResult): { stamp?: string; mark: StatementResult['mark'] } {
     return { mark: d.mark, ...(d.stamp !== undefined ? { stamp: d.stamp } : {}) }
   }
   async function commit(s: Session, tx: Transaction, ms: number, id: string | undefined): Promise<Verdict> {
     const why = lapsed(tx)
     if (why) return over(s, tx, 'UNAVAILABLE', why)
     if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, 1)
-    const got = await tx.loan.port.commit(Math.min(ms, SEND_LIMIT), id !== undefined ? { id } : undefined)
+    const got = await tx.loan.port.commit(Math.min(ms, ATTEMPT_TIMEOUT_MS), id !== undefined ? { id } : undefined)
     if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, -1)
     if (s.transaction === tx) s.transaction = undefined
     tx.loan.end(got.ok || got.val.reach === 'answered')
-    runner.quiet.ring()
+    runner.quiet.notify()
     if (got.err) {
       // COMMIT that may have reached is never sent again. An instance that answers that it did not commit says so.
       if (got.val.reach === 'answered')
@@ -368,7 +370,7 @@
           again: true,
           why: got.val.why,
           transaction: 'over',
-          after: AFTER_LOAD,
+          after: RETRY_AFTER_OVERLOAD_S,
         }
       return lost(s, got.val.why)
     }
@@ -386,7 +388,7 @@
   }
   function lost(s: Session, why: string): Verdict {
     s.mustLead = true
-    numbers.add('claynotch_unknown_total')
+    metrics.add('claynotch_unknown_total')
     return { outcome: 'unknown', class: 'UNKNOWN', kept: 'unknown', again: false, why, transaction: 'over' }
   }
 
@@ -412,7 +414,7 @@
   async function onSession(s: Session, word: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
     const tx = s.transaction
     const lane = state.rules()?.lanes.get(tx?.lane ?? '')
-    const left = Math.min(ms ?? SEND_LIMIT, lane?.limit ?? SEND_LIMIT)
+    const left = Math.min(ms ?? ATTEMPT_TIMEOUT_MS, lane?.limit ?? ATTEMPT_TIMEOUT_MS)
     const { ended } = s
     if (ended && word.w !== 'shape' && word.w !== 'unshape') {
       s.ended = undefined
@@ -536,7 +538,8 @@
       drop(s)
       return { outcome: 'done' }
     }
-    if (s.busy) return refusal('INVALID_ARGUMENT', 'the session is busy with another call', true, AFTER_LOAD)
+    if (s.busy)
+      return refusal('INVALID_ARGUMENT', 'the session is busy with another call', true, RETRY_AFTER_OVERLOAD_S)
     s.busy = true
     s.last = world.now()
     try {
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -3,12 +3,12 @@
 import {
   groupKey,
   groupOf,
-  slotOf,
-  SLOTS_KEY,
-  type Feed,
+  shareOf,
+  SHARES_KEY,
+  type AgentFeed,
   type GroupRecord,
-  type Sight,
-  type Slots,
+  type InstanceStatus,
+  type ConnectionShares,
 } from '@claynotch/register'
 import { compile, type Rules } from './rules.js'
 
@@ -19,7 +19,7 @@
 export type Known = { record: GroupRecord; turn: number; until: number; since: number }
 
 export type State = {
-  take: (f: Feed) => void
+  take: (f: AgentFeed) => void
   // Ends all terms at once, at shutdown.
   halt: () => void
   rules: () => Rules | undefined
@@ -35,7 +35,7 @@
   counts: (lane: string, group: string, sent: number) => boolean
   // Whether a group of that name is configured, or ever had a leader here.
   knows: (name: string) => boolean
-  sights: () => Map<string, Sight>
+  sights: () => Map<string, InstanceStatus>
   gone: (name: string) => boolean
   // ms since any node that we heard of learned that the instance leaves; 0 if it doesn't.
   goneFor: (name: string) => number
@@ -49,14 +49,14 @@
 
 export function makeState(world: World): State {
   const cells = new Map<string, Cell>()
-  const bell = makeSignal()
+  const signal = makeSignal()
   let rules: Rules | undefined
   let made = ''
   // shut: when each lane was last seen in a phase of a move in which its writes don't count. unbroken: since when this
   // node has worked under the configuration without a break.
   const shut = new Map<string, number>()
   let unbroken = 0
-  let sights = new Map<string, Sight>()
+  let sights = new Map<string, InstanceStatus>()
   let leaving = new Set<string>()
   let moving = new Map<string, number>()
   let tries = new Map<string, { firsts: number; retries: number }>()
@@ -66,7 +66,7 @@
   let area = ''
   let halted = false
 
-  function take(f: Feed): void {
+  function take(f: AgentFeed): void {
     if (halted) return
     node = f.node
     area = f.area
@@ -116,12 +116,12 @@
       if (gone(name))
         goneSince.set(name, Math.min(goneSince.get(name) ?? now, one.leaving ? now - one.age - (one.gone ?? 0) : now))
     for (const name of goneSince.keys()) if (!gone(name)) goneSince.delete(name)
-    bell.ring()
+    signal.notify()
   }
   function halt(): void {
     halted = true
     for (const c of cells.values()) c.until = 0
-    bell.ring()
+    signal.notify()
   }
   function config(): Config | undefined {
     const body = cells.get(CONFIG_KEY)?.body as Body | undefined
@@ -135,10 +135,10 @@
     // Shares by the live proxies need no register: whoever has a term has one.
     const size = config()?.proxies ?? 0
     if (size === 'live') return valid()
-    const c = cells.get(SLOTS_KEY)
+    const c = cells.get(SHARES_KEY)
     if (!c || world.now() >= c.until) return false
-    const { slots } = c.body as Slots
-    const at = slotOf(slots, node)
+    const { slots } = c.body as ConnectionShares
+    const at = shareOf(slots, node)
     return at >= 0 && at < size && slots[at]?.ready === true
   }
   function liveNow(): number {
@@ -161,7 +161,7 @@
   function rulesNow(): Rules | undefined {
     return rules
   }
-  function sightsNow(): Map<string, Sight> {
+  function sightsNow(): Map<string, InstanceStatus> {
     return sights
   }
   function gone(name: string): boolean {
@@ -211,6 +211,6 @@
     node: nodeNow,
     area: areaNow,
     turns,
-    bell,
+    bell: signal,
   }
 }
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -3,16 +3,16 @@
   makeSignal,
   makeFlag,
   pause,
-  SAMPLE_BEAT,
-  FAILED_ROW,
-  SAMPLE_LIMIT,
-  TRY_PAUSE,
-  TRY_PAUSE_MOST,
+  SAMPLE_INTERVAL_MS,
+  FAILURES_BEFORE_DOUBT,
+  SAMPLE_TIMEOUT_MS,
+  MIN_TRIAL_DELAY_MS,
+  MAX_TRIAL_DELAY_MS,
   type Flag,
   type Metrics,
   type World,
 } from '@claynotch/base'
-import type { InstanceEdge, Mark, Sampler, Status } from '@claynotch/instance'
+import type { InstanceAdapter, LogPosition, StatusSampler, Status } from '@claynotch/instance'
 import type { Sample } from './freshness.js'
 import type { State } from './state.js'
 
@@ -30,7 +30,7 @@
   area: string
   lastOk: number
   status: Status | undefined
-  mark: Mark | undefined
+  mark: LogPosition | undefined
   samples: Sample[]
   doubt: boolean
   row: number
@@ -46,7 +46,7 @@
   all: () => Map<string, Instance>
   // A good answer, asked at that time, with the place the instance was at.
   // reign: the record's epoch that it was asked under as leader; undefined: it was asked as a follower.
-  saw: (name: string, asked: number, mark: Mark, reign: number | undefined) => void
+  saw: (name: string, asked: number, mark: LogPosition, reign: number | undefined) => void
   // asked: when what failed was sent; an answer that came after it speaks for the instance. alive: it was answered, by one
   // that serves. sure: it says itself that it doesn't lead, so nobody need try again to know.
   failed: (name: string, asked: number, alive: boolean, sure: boolean) => void
@@ -57,10 +57,10 @@
   bell: ReturnType<typeof makeSignal>
 }
 
-export function startWatch(world: World, state: State, edge: InstanceEdge, stop: Flag, numbers: Metrics): Watch {
+export function startWatch(world: World, state: State, edge: InstanceAdapter, stop: Flag, metrics: Metrics): Watch {
   const all = new Map<string, Instance>()
   const ends = new Map<string, Flag>()
-  const bell = makeSignal()
+  const signal = makeSignal()
   const trouble = makeSignal()
 
   function wantedNow(): Map<string, { group: string; addr: string; area: string }> {
@@ -115,15 +115,15 @@
       all.delete(name)
     }
   }
-  void loop(world, 'watch', SAMPLE_BEAT, stop, tend, state.bell)
+  void loop(world, 'watch', SAMPLE_INTERVAL_MS, stop, tend, state.bell)
 
   // One task for each instance: asks its STATUS on a connection of its own, beat by beat.
-  async function sample(one: Instance, end: Flag, ask: NonNullable<InstanceEdge['sampler']>): Promise<void> {
-    let line: Sampler | undefined
+  async function sample(one: Instance, end: Flag, ask: NonNullable<InstanceAdapter['sampler']>): Promise<void> {
+    let line: StatusSampler | undefined
     while (!end.fired()) {
       const asked = world.now()
       if (!line?.alive()) {
-        const got = await ask(world, one, SAMPLE_LIMIT)
+        const got = await ask(world, one, SAMPLE_TIMEOUT_MS)
         line = got.ok ? got.val : undefined
       }
       const got = line ? await line.status() : undefined
@@ -132,17 +132,21 @@
         one.status = got.val
         saw(one.name, asked, got.val.mark, got.val.role === 'leader' ? got.val.mark.epoch : undefined)
       } else {
-        numbers.add('claynotch_samples_failed_total', [['instance', one.name]])
+        metrics.add('claynotch_samples_failed_total', [['instance', one.name]])
         line?.close()
         line = undefined
         failed(one.name, asked, false, true)
       }
       const spent = world.now() - asked
-      await pause(world, Math.max(SAMPLE_BEAT / 3, SAMPLE_BEAT - spent) * (0.9 + 0.2 * world.random()), end)
+      await pause(
+        world,
+        Math.max(SAMPLE_INTERVAL_MS / 3, SAMPLE_INTERVAL_MS - spent) * (0.9 + 0.2 * world.random()),
+        end,
+      )
     }
     line?.close()
   }
-  function saw(name: string, asked: number, mark: Mark, reign: number | undefined): void {
+  function saw(name: string, asked: number, mark: LogPosition, reign: number | undefined): void {
     const one = all.get(name)
     if (!one) return
     const now = world.now()
@@ -160,7 +164,7 @@
     if (one.doubt && fits) {
       one.doubt = false
       one.pause = 0
-      bell.ring()
+      signal.notify()
     } else if (!fits) one.doubt = true
   }
   // One lost answer among many is no reason to keep everyone away: where nothing samples the instance, the second in a row is.
@@ -175,14 +179,14 @@
     if (one.failing === undefined) {
       // A good answer since then says that the trouble is younger than the send.
       one.failing = Math.max(asked, one.lastOk)
-      trouble.ring()
+      trouble.notify()
     }
-    if (!edge.sampler && !sure && ++one.row < FAILED_ROW) return
-    one.pause = Math.min(TRY_PAUSE_MOST, one.pause === 0 ? TRY_PAUSE : one.pause * 2)
+    if (!edge.sampler && !sure && ++one.row < FAILURES_BEFORE_DOUBT) return
+    one.pause = Math.min(MAX_TRIAL_DELAY_MS, one.pause === 0 ? MIN_TRIAL_DELAY_MS : one.pause * 2)
     one.again = world.now() + one.pause
     if (one.doubt) return
     one.doubt = true
-    numbers.add('claynotch_doubts_total', [['instance', name]])
+    metrics.add('claynotch_doubts_total', [['instance', name]])
   }
   function usable(one: Instance, claim: boolean): boolean {
     if (!one.doubt) return true
@@ -196,5 +200,5 @@
   function allNow(): Map<string, Instance> {
     return all
   }
-  return { get, all: allNow, saw, failed, usable, trouble, bell }
+  return { get, all: allNow, saw, failed, usable, trouble, bell: signal }
 }
--- a/packages/register/src/ballot.ts
+++ b/packages/register/src/ballot.ts
@@ -5,7 +5,7 @@
 export const Ballot = t.tuple([t.number, t.string])
 export type Ballot = t.TypeOf<typeof Ballot>
 
-export const ZERO: Ballot = [0, '']
+export const ZERO_BALLOT: Ballot = [0, '']
 
 export function compareBallots(a: Ballot, b: Ballot): number {
   if (a[0] !== b[0]) return a[0] - b[0]
--- a/packages/register/src/coreset.ts
+++ b/packages/register/src/core-set.ts
@@ -1,5 +1,5 @@
 import * as t from 'io-ts'
-import { callOnce, parseAddr, readAs, ROUND_LIFE, type Addr, type World } from '@claynotch/base'
+import { requestOnce, parseAddr, readAs, ROUND_TIMEOUT_MS, type Address, type World } from '@claynotch/base'
 
 // The core set: which machines vote, as agreed state that each of them keeps on disk (docs/design/coreset.md).
 // addr: where it takes links. token: names the storage with which a machine that was no voter offered itself; the founders have
@@ -71,7 +71,7 @@
 
 // The set that a first start founds: the machines of the seeds, known by rule alone (the same port on every machine, named
 // by their IP), so that every process makes the same of the same seeds.
-export function foundersOf(seeds: Addr[], port: number): CorePlace[] {
+export function foundersOf(seeds: Address[], port: number): CorePlace[] {
   const out = new Map<string, CorePlace>()
   for (const seed of seeds) {
     const { host } = parseAddr(seed)
@@ -83,11 +83,15 @@
 // The set as the first of these tells it that can; undefined: none of them can. All are asked at once, as some may be silent.
 // above: the epoch of the set that is known already. One that was cut off goes on telling an old set, and may be the quickest
 // to answer: what is no later than that is passed over.
-export function askSeeds(world: World, seeds: Addr[], above = -1): Promise<{ seed: Addr; set: CoreSet } | undefined> {
-  function start(done: (got: { seed: Addr; set: CoreSet } | undefined) => void): void {
+export function askSeeds(
+  world: World,
+  seeds: Address[],
+  above = -1,
+): Promise<{ seed: Address; set: CoreSet } | undefined> {
+  function start(done: (got: { seed: Address; set: CoreSet } | undefined) => void): void {
     let left = seeds.length
-    async function ask(seed: Addr): Promise<void> {
-      const got = await callOnce(world, seed, 'GET', '/seeds', undefined, ROUND_LIFE)
+    async function ask(seed: Address): Promise<void> {
+      const got = await requestOnce(world, seed, 'GET', '/seeds', undefined, ROUND_TIMEOUT_MS)
       const told = got.ok && got.val.status === 200 ? readAs(SeedsAnswer, got.val.body) : undefined
       left--
       if (told?.ok && told.val.cores.length > 0 && (told.val.epoch ?? 0) > above)
--- a/packages/register/src/changes.ts
+++ b/packages/register/src/core-view.ts
@@ -1,5 +1,11 @@
 import type { World } from '@claynotch/base'
-import { laterSight, type KeyLine, type MemberLine, type RenewAnswer, type Sight } from './words.js'
+import {
+  laterStatus,
+  type RegisterSummary,
+  type MemberEntry,
+  type LeaseRenewalAnswer,
+  type InstanceStatus,
+} from './messages.js'
 
 // What a core tells an agent with each renewal: only what changed since what that agent has from it.
 // Invariant: what an agent holds of a core, at the count it echoes, is what that core told of itself at that count.
@@ -9,13 +15,13 @@
 
 // The lines of one table, each with the count at which it last changed, and the names that went.
 // count is shared by the tables of a core, and grows with each change.
-export type Table<T> = {
+export type ChangeTable<T> = {
   update: (now: Map<string, T>) => void
   since: (count: number) => { lines: T[]; gone: string[] }
   least: () => number
 }
 
-export function makeTable<T>(count: { at: number }, sign: (line: T) => string): Table<T> {
+export function makeChangeTable<T>(count: { at: number }, sign: (line: T) => string): ChangeTable<T> {
   const lines = new Map<string, { line: T; sign: string; at: number }>()
   const tombs = new Map<string, number>()
   // least: below it names that went are forgotten.
@@ -56,37 +62,37 @@
 }
 
 // An agent's picture of one core, built from its answers.
-export type Picture = {
+export type CoreView = {
   core: () => string
   count: () => number
   // asked: the life that the renewal echoed. false: the answer builds on what isn't here any more, and everything must be
   // asked for.
-  take: (got: RenewAnswer, asked: string) => boolean
+  take: (got: LeaseRenewalAnswer, asked: string) => boolean
   reset: () => void
-  keys: () => Map<string, KeyLine>
-  members: () => Map<string, { line: MemberLine; at: number }>
+  registers: () => Map<string, RegisterSummary>
+  members: () => Map<string, { line: MemberEntry; at: number }>
   // at: when the announcement behind the sight was heard, by this machine's clock.
-  sights: () => Map<string, { sight: Sight; at: number }>
+  instances: () => Map<string, { sight: InstanceStatus; at: number }>
   // When it last answered; what it tells is alive as of then.
   heard: () => number
 }
 
-export function makePicture(world: World): Picture {
+export function makeCoreView(world: World): CoreView {
   let core = ''
   let count = 0
   let heard = -Infinity
-  let keys = new Map<string, KeyLine>()
-  let members = new Map<string, { line: MemberLine; at: number }>()
-  let sights = new Map<string, { sight: Sight; at: number }>()
+  let keys = new Map<string, RegisterSummary>()
+  let members = new Map<string, { line: MemberEntry; at: number }>()
+  let instances = new Map<string, { sight: InstanceStatus; at: number }>()
 
   function reset(): void {
     core = ''
     count = 0
     keys = new Map()
     members = new Map()
-    sights = new Map()
+    instances = new Map()
   }
-  function take(got: RenewAnswer, asked: string): boolean {
+  function take(got: LeaseRenewalAnswer, asked: string): boolean {
     const now = world.now()
     const { core: life, since = 0, count: at = 0 } = got
     if (life === undefined || (since > 0 && (life !== core || since > count))) return false
@@ -99,9 +105,9 @@
       count = at
       for (const k of got.keys ?? []) keys.set(k.key, k)
       for (const m of got.members ?? []) members.set(m.node, { line: m, at: now })
-      for (const s of got.sights ?? []) sights.set(s.name, laterSight(undefined, s, now - s.age))
+      for (const s of got.sights ?? []) instances.set(s.name, laterStatus(undefined, s, now - s.age))
       for (const node of got.left ?? []) members.delete(node)
-      for (const name of got.lost ?? []) sights.delete(name)
+      for (const name of got.lost ?? []) instances.delete(name)
     }
     heard = now
     return true
@@ -112,14 +118,14 @@
   function countNow(): number {
     return count
   }
-  function keysNow(): Map<string, KeyLine> {
+  function keysNow(): Map<string, RegisterSummary> {
     return keys
   }
-  function membersNow(): Map<string, { line: MemberLine; at: number }> {
+  function membersNow(): Map<string, { line: MemberEntry; at: number }> {
     return members
   }
-  function sightsNow(): Map<string, { sight: Sight; at: number }> {
-    return sights
+  function sightsNow(): Map<string, { sight: InstanceStatus; at: number }> {
+    return instances
   }
   function heardNow(): number {
     return heard
@@ -129,9 +135,9 @@
     count: countNow,
     take,
     reset,
-    keys: keysNow,
+    registers: keysNow,
     members: membersNow,
-    sights: sightsNow,
+    instances: sightsNow,
     heard: heardNow,
   }
 }
