--- a/packages/register/src/core.ts
+++ b/packages/register/src/core.ts
@@ -1,20 +1,20 @@
 import {
-  answerLinks,
-  HANDOVER_BEAT,
-  hello,
-  holdLink,
+  acceptLinks,
+  HANDOVER_INTERVAL_MS,
+  makeHello,
+  makePersistentLink,
   loop,
   makeFlag,
   makeMetrics,
-  makeTurnstile,
-  DISK_RETRY,
+  makeSerialQueue,
+  DISK_RETRY_DELAY_MS,
   pause,
-  REFILL_WAIT,
+  REFILL_DELAY_MS,
   readAs,
-  ROUND_LIFE,
-  SEEDS_BEAT,
-  type Addr,
-  type Held,
+  ROUND_TIMEOUT_MS,
+  SEED_POLL_INTERVAL_MS,
+  type Address,
+  type PersistentLink,
   type Hello,
   type Link,
   type Listener,
@@ -23,22 +23,29 @@
 } from '@claynotch/base'
 import { compareBallots, type Ballot } from './ballot.js'
 import type { Delta } from './delta.js'
-import { askSeeds, NO_SET, votersOf, type CorePlace, type CoreSet } from './coreset.js'
-import { foundingStep, type FoundingView, type State } from './founding.js'
-import { makeHandover, type HandedCell } from './handover.js'
-import { makeChains, makePushes } from './pushes.js'
+import { askSeeds, NO_SET, votersOf, type CorePlace, type CoreSet } from './core-set.js'
+import { foundingStep, type FoundingView, type CoreState } from './founding.js'
+import { makeHandover, type HandedEntry } from './handover.js'
+import { makeDeltaChains, makePushes } from './pushes.js'
 import { readRefill } from './refill.js'
 import { makeRenewals } from './renewals.js'
-import { isLoss, makeStore, type Cell, type DeltaAnswer, type Store, type Value } from './store.js'
-import { makeTerms } from './terms.js'
-import { CoreWord, type GetAnswer, type KeyLine } from './words.js'
+import {
+  isLoss,
+  makeStore,
+  type RegisterEntry,
+  type DeltaAnswer,
+  type Store,
+  type RegisterValue,
+} from './register-store.js'
+import { makeLeases } from './leases.js'
+import { CoreMessage, type GetAnswer, type RegisterSummary } from './messages.js'
 
 // cores: the set as an operator gives it, this core among it. Else the disk's set holds, else founders, else what the seeds
 // tell; only founders are founded. founders: given at the very first start of the whole system, with empty disks, to all
 // alike. addr: where this machine takes links. seeds: http addresses of others, asked again until one tells.
 // foundAnew: an operator's word that all cores lost their disks and everything is to begin again.
 export type CoreSettings = { id: string; data: string; foundAnew?: boolean } & (
-  { cores: CorePlace[] } | { addr: Addr; seeds: () => Addr[]; founders?: CorePlace[] }
+  { cores: CorePlace[] } | { addr: Address; seeds: () => Address[]; founders?: CorePlace[] }
 )
 
 // coreSet: NO_SET until it is known. adopt: takes a set that was chosen; an older one, or another than an operator gave, changes
@@ -48,7 +55,7 @@
   stop: () => Promise<void>
   serving: () => boolean
   store: Store
-  numbers: Metrics
+  metrics: Metrics
   state: () => string
   agents: () => string[]
   coreSet: () => CoreSet
@@ -58,10 +65,10 @@
 // One core machine: it votes on registers, holds terms, and pushes settled changes to its agents.
 export async function startCore(world: World, set: CoreSettings): Promise<Core> {
   const stop = makeFlag()
-  const numbers = makeMetrics()
-  const chains = makeChains()
+  const metrics = makeMetrics()
+  const chains = makeDeltaChains()
   const store = makeStore(world, `${set.data}/register`, taken)
-  const terms = makeTerms(world)
+  const leases = makeLeases(world)
   const born = world.now()
   // quietSince: nothing that was promised after this is forgotten.
   let quietSince = born
@@ -79,18 +86,18 @@
   let remembered = false
   // settled: highest ballot known to be chosen, by key; forgotten at restart and learnt anew.
   const settled = new Map<string, Ballot>()
-  const pushes = makePushes(store, chains, isSettled, numbers)
+  const pushes = makePushes(store, chains, isSettled, metrics)
 
-  const renewals = makeRenewals(world, terms, keyLines, numbers)
-  const handover = makeHandover(world, store, isSettled, learn, numbers)
+  const renewals = makeRenewals(world, leases, keyLines, metrics)
+  const handover = makeHandover(world, store, isSettled, learn, metrics)
 
   const findings = await store.open()
   for (const f of findings) world.log.warn('data-file', { place: f.place, what: f.what })
   // lost: what this disk held is gone, until the refill has ended.
   let lost = findings.some(isLoss)
 
-  const mine = hello('core', set.id)
-  let others: { id: string; addr: Addr; held: Held; end: () => void }[] = []
+  const mine = makeHello('core', set.id)
+  let others: { id: string; addr: Address; held: PersistentLink; end: () => void }[] = []
   function ignore(): undefined {
     return undefined
   }
@@ -122,13 +129,13 @@
         cancel()
         flag.fire()
       }
-      others.push({ id: c.id, addr: c.addr, held: holdLink(world, c.addr, mine, ignore, flag), end })
+      others.push({ id: c.id, addr: c.addr, held: makePersistentLink(world, c.addr, mine, ignore, flag), end })
       handover.added(c.id)
     }
-    for (const o of was) {
-      if (others.includes(o)) continue
-      o.end()
-      handover.removed(o.id)
+    for (const other of was) {
+      if (others.includes(other)) continue
+      other.end()
+      handover.removed(other.id)
     }
   }
   function placeIn(known: CoreSet): CorePlace | undefined {
@@ -141,7 +148,7 @@
     if (serving) quietSince = world.now()
     serving = false
   }
-  const enterSet = makeTurnstile()
+  const enterSet = makeSerialQueue()
   // Takes the first set known in this life. A machine that isn't of it keeps it on disk only to tell it, with a token under
   // which it may be taken into a later one.
   async function join(known: CoreSet): Promise<void> {
@@ -152,7 +159,7 @@
     if (!isVoter && given) throw new Error(`core ${set.id} is not among its own set`)
     async function writeFirst(): Promise<void> {
       if (!isVoter && (store.set().cores.length === 0 || store.token() === undefined))
-        await store.mark('none', known, newToken())
+        await store.writeSet('none', known, newToken())
     }
     await enterSet(writeFirst)
     // A later set may have been taken while this one was written.
@@ -169,27 +176,27 @@
   async function writeSet(next: CoreSet): Promise<void> {
     const place = placeIn(next)
     if (!place) {
-      await store.mark('none', next, newToken())
+      await store.writeSet('none', next, newToken())
       return
     }
     const token = store.token()
     const sameStorage = !lost && place.token === token
     const wasVoter = placeIn(store.set()) !== undefined
     if (sameStorage && wasVoter && (serving || store.phase() === 'intent')) {
-      await store.mark(store.phase(), next, token)
+      await store.writeSet(store.phase(), next, token)
       return
     }
     if (sameStorage && token !== undefined && store.phase() === 'none') {
       await store.begin(next)
       // Others may have counted leases under this set before this core was of it.
-      terms.doubt()
+      leases.beginUnknown()
       if (coreSet === next) serving = true
       world.log.info('core-joined', { core: set.id, epoch: next.epoch })
       return
     }
     stopServing()
     // Without its token, so that it can't begin as one that never voted.
-    await store.mark('none', next, undefined)
+    await store.writeSet('none', next, undefined)
   }
   // A later set. From the first line on no word of an older epoch is taken; what was taken before it is on disk before it.
   async function adopt(next: CoreSet): Promise<void> {
@@ -223,7 +230,7 @@
   let nextRecovery = 0
   async function recoverDisk(): Promise<void> {
     if (world.now() < nextRecovery) return
-    nextRecovery = world.now() + DISK_RETRY
+    nextRecovery = world.now() + DISK_RETRY_DELAY_MS
     async function run(): Promise<void> {
       if (!(await store.recover())) return
       world.log.info('disk-recovered', { core: set.id, phase: store.phase(), epoch: store.set().epoch })
@@ -247,38 +254,38 @@
         : undefined
   if (first) await join(first)
 
-  function keyLines(): KeyLine[] {
-    const out: KeyLine[] = []
-    for (const [key, c] of store.cells()) {
-      if (!c.value) continue
-      const line: KeyLine = { key, ballot: c.ballot, turn: c.value.turn, chosen: isSettled(key, c) }
+  function keyLines(): RegisterSummary[] {
+    const out: RegisterSummary[] = []
+    for (const [key, entry] of store.entries()) {
+      if (!entry.value) continue
+      const line: RegisterSummary = { key, ballot: entry.ballot, turn: entry.value.turn, chosen: isSettled(key, entry) }
       out.push(store.isWritten(key) ? line : { ...line, pending: true })
     }
     return out
   }
-  function isSettled(key: string, c: Cell): boolean {
+  function isSettled(key: string, entry: RegisterEntry): boolean {
     const at = settled.get(key)
-    return at !== undefined && compareBallots(at, c.ballot) === 0
+    return at !== undefined && compareBallots(at, entry.ballot) === 0
   }
   // A value is on disk. Word that it is settled may have come before that.
-  function taken(key: string, before: Cell, after: Cell, delta: Delta | undefined): void {
+  function taken(key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined): void {
     chains.taken(key, before, after, delta)
     if (isSettled(key, after)) pushes.push(key)
   }
   function learn(key: string, ballot: Ballot): void {
-    const c = store.cells().get(key)
+    const c = store.entries().get(key)
     const old = settled.get(key)
     if (old && compareBallots(ballot, old) <= 0) return
     settled.set(key, ballot)
-    for (const o of others) if (!o.held.up()) handover.missedBy(o.id, key)
+    for (const other of others) if (!other.held.up()) handover.missedBy(other.id, key)
     if (c && compareBallots(c.ballot, ballot) === 0) pushes.push(key)
   }
   async function handOver(): Promise<void> {
     if (servingNow()) await handover.handOver(others)
   }
-  function state(): State {
+  function state(): CoreState {
     const hears: string[] = []
-    for (const o of others) if (o.held.up()) hears.push(o.id)
+    for (const other of others) if (other.held.up()) hears.push(other.id)
     return {
       t: 'state',
       id: set.id,
@@ -289,8 +296,8 @@
       hears,
     }
   }
-  async function answer(msg: CoreWord, peer: Hello, link: Link): Promise<unknown> {
-    numbers.add('claynotch_core_words_total', [['word', msg.t]])
+  async function answer(msg: CoreMessage, peer: Hello, link: Link): Promise<unknown> {
+    metrics.add('claynotch_core_words_total', [['word', msg.t]])
     switch (msg.t) {
       case 'state':
         return state()
@@ -330,12 +337,12 @@
       case 'accept':
         return 'delta' in msg
           ? await acceptedDelta(msg.key, msg.ballot, msg.base, msg.delta)
-          : await store.accept(msg.key, msg.ballot, msg.value as Value)
+          : await store.accept(msg.key, msg.ballot, msg.value as RegisterValue)
       case 'learn':
         learn(msg.key, msg.ballot)
         return { ok: true }
       case 'handover':
-        return { ok: true, took: await handover.take(msg.cells as HandedCell[]) }
+        return { ok: true, took: await handover.take(msg.cells as HandedEntry[]) }
       case 'get': {
         // After what is being written now: one that isn't on disk yet might be lost, and was then never there.
         const c = await store.accepted(msg.key)
@@ -346,20 +353,20 @@
         else pushes.unsubscribe(link)
         return { ok: true }
       case 'keys': {
-        const keys: string[] = [...store.cells().keys()]
-        return { ok: true, keys, top: store.top() }
+        const keys: string[] = [...store.entries().keys()]
+        return { ok: true, keys, top: store.highestNumber() }
       }
       case 'renew':
         return renewals.answer(msg)
       case 'leave':
-        terms.leave(msg.node, msg.life)
+        leases.leave(msg.node, msg.life)
         return { ok: true }
       case 'members':
-        return { ok: true, members: terms.members(), sure: terms.sure() }
+        return { ok: true, members: leases.members(), sure: leases.isComplete() }
       case 'ack': {
         pushes.acked(link, msg.num)
-        numbers.add('claynotch_core_acks_total')
-        terms.ack(peer.node, msg.key, msg.turn)
+        metrics.add('claynotch_core_acks_total')
+        leases.ack(peer.node, msg.key, msg.turn)
         return { ok: true }
       }
     }
@@ -372,10 +379,10 @@
   }
   async function acceptedDelta(key: string, ballot: Ballot, base: Ballot, delta: Delta): Promise<DeltaAnswer> {
     const got = await store.acceptDelta(key, ballot, base, delta)
-    if ('lacksBase' in got) numbers.add('claynotch_core_bases_lacking_total')
+    if ('lacksBase' in got) metrics.add('claynotch_core_bases_lacking_total')
     return got
   }
-  function gotten(key: string, ballot: Ballot, value: Value | undefined, have: Ballot | undefined): GetAnswer {
+  function gotten(key: string, ballot: Ballot, value: RegisterValue | undefined, have: Ballot | undefined): GetAnswer {
     if (!value || !have) return { ok: true, ballot, value: value ?? null }
     if (compareBallots(ballot, have) === 0) return { ok: true, ballot, same: true }
     const deltas = chains.path(key, have, ballot)
@@ -384,9 +391,9 @@
   function serveLink(peer: Hello, link: Link) {
     if (peer.kind === 'agent') pushes.linked(link, peer)
     async function take(msg: unknown): Promise<unknown> {
-      const got = readAs(CoreWord, msg)
+      const got = readAs(CoreMessage, msg)
       if (got.err) {
-        numbers.add('claynotch_link_garbage_total')
+        metrics.add('claynotch_link_garbage_total')
         throw new Error(`unknown word from ${peer.node}`)
       }
       try {
@@ -403,13 +410,14 @@
     pushes.lost(link)
   }
   const here = 'cores' in set ? set.cores.find(isMe)!.addr : set.addr
-  const listener: Listener = await world.listen(here, answerLinks(world, mine, serveLink, lostLink))
+  const listener: Listener = await world.listen(here, acceptLinks(world, mine, serveLink, lostLink))
 
   // --- founding and refill ---
 
-  async function askStates(): Promise<(State | undefined)[]> {
-    const asks: Promise<State | undefined>[] = []
-    for (const o of others) asks.push(o.held.ask({ t: 'state' }, ROUND_LIFE) as Promise<State | undefined>)
+  async function askStates(): Promise<(CoreState | undefined)[]> {
+    const asks: Promise<CoreState | undefined>[] = []
+    for (const other of others)
+      asks.push(other.held.ask({ t: 'state' }, ROUND_TIMEOUT_MS) as Promise<CoreState | undefined>)
     return await Promise.all(asks)
   }
   // true: this core may vote.
@@ -441,12 +449,12 @@
       case 'refill':
         return await refill()
       case 'intent':
-        if (view.phase === 'none') await store.mark('intent', view.set, store.token())
+        if (view.phase === 'none') await store.writeSet('intent', view.set, store.token())
         return false
       case 'founded':
-        if (view.phase === 'none') await store.mark('intent', view.set, store.token())
+        if (view.phase === 'none') await store.writeSet('intent', view.set, store.token())
         if (coreSet !== view.set) return false
-        await store.mark('founded', view.set, store.token())
+        await store.writeSet('founded', view.set, store.token())
         world.log.info('core-founded', { core: set.id })
         return true
     }
@@ -455,7 +463,7 @@
   // was promised was done at a majority of the set counted among the others; and only after every prepare
   // that its forgotten promises could serve is void (see docs/register.md).
   async function refill(): Promise<boolean> {
-    const wait = quietSince + REFILL_WAIT - world.now()
+    const wait = quietSince + REFILL_DELAY_MS - world.now()
     if (wait > 0) await pause(world, wait, stop)
     // All of it under one set; a change of the set meanwhile makes it void.
     const under = coreSet
@@ -464,11 +472,11 @@
     await store.refill(got.cells, got.floor, under, placeIn(under)?.token)
     if (coreSet !== under) return false
     // A newcomer may have been started anew since it was told to vote: which of these it is isn't known any more.
-    if (under.epoch > 0) terms.doubt()
+    if (under.epoch > 0) leases.beginUnknown()
     lost = false
-    for (const [key, c] of got.cells) settled.set(key, c.ballot)
+    for (const [key, entry] of got.cells) settled.set(key, entry.ballot)
     world.log.info('core-refilled', { core: set.id, keys: got.keys, floor: got.floor })
-    numbers.add('claynotch_core_refills_total')
+    metrics.add('claynotch_core_refills_total')
     return true
   }
   async function settle(): Promise<void> {
@@ -478,8 +486,8 @@
       const done = await found()
       if (done && coreSet === under) serving = true
     }
-    numbers.set('claynotch_core_serving', [], servingNow() ? 1 : 0)
-    numbers.set('claynotch_core_members', [], terms.members().length)
+    metrics.set('claynotch_core_serving', [], servingNow() ? 1 : 0)
+    metrics.set('claynotch_core_members', [], leases.members().length)
   }
   const told = makeFlag()
   stop.watch(told.fire)
@@ -492,9 +500,9 @@
     if (coreSet.cores.length === 0) await join(got.set)
     told.fire()
   }
-  if (coreSet.cores.length === 0) void loop(world, 'core-set', SEEDS_BEAT, told, seek)
+  if (coreSet.cores.length === 0) void loop(world, 'core-set', SEED_POLL_INTERVAL_MS, told, seek)
   void loop(world, 'found', 200, stop, settle)
-  void loop(world, 'handover', HANDOVER_BEAT, stop, handOver)
+  void loop(world, 'handover', HANDOVER_INTERVAL_MS, stop, handOver)
 
   async function end(): Promise<void> {
     stop.fire()
@@ -529,7 +537,7 @@
     stop: end,
     serving: servingNow,
     store,
-    numbers,
+    metrics: metrics,
     state: stateNow,
     agents: pushes.nodes,
     coreSet: coreSetNow,
--- a/packages/register/src/delta.ts
+++ b/packages/register/src/delta.ts
@@ -1,4 +1,4 @@
-import { DELTA_DEPTH, DELTA_ITEMS, encode, Err, Ok, type Result } from '@claynotch/base'
+import { MAX_DELTA_DEPTH, MAX_DELTA_ITEMS, encode, Err, Ok, type Result } from '@claynotch/base'
 import * as t from 'io-ts'
 
 /**
@@ -44,7 +44,7 @@
 /** Whether two pieces of plain data are alike in every field. */
 export function isAlike(a: unknown, b: unknown, depth = 0): boolean {
   if (Object.is(a, b)) return true
-  if (depth > DELTA_DEPTH) return false
+  if (depth > MAX_DELTA_DEPTH) return false
   if (Array.isArray(a) && Array.isArray(b)) {
     if (a.length !== b.length) return false
     for (let k = 0; k < a.length; k++) if (!isAlike(a[k], b[k], depth + 1)) return false
@@ -96,7 +96,7 @@
 }
 
 function diffItems(base: unknown[], next: unknown[], depth: number): Delta {
-  if (next.length > DELTA_ITEMS) return { whole: next }
+  if (next.length > MAX_DELTA_ITEMS) return { whole: next }
   const runs: Run[] = []
   // expected: the base's item that would go on with the last run.
   let expected = 0
@@ -136,7 +136,7 @@
 }
 
 function diff(base: unknown, next: unknown, depth: number): Delta {
-  if (depth >= DELTA_DEPTH) return { whole: next }
+  if (depth >= MAX_DELTA_DEPTH) return { whole: next }
   if (Array.isArray(base) && Array.isArray(next)) return diffItems(base, next, depth)
   if (isPlain(base) && isPlain(next)) return diffFields(base, next, depth)
   return { whole: next }
@@ -169,7 +169,7 @@
   return typeof x === 'string'
 }
 function isDelta(x: unknown, depth: number): boolean {
-  if (depth > DELTA_DEPTH || !isPlain(x)) return false
+  if (depth > MAX_DELTA_DEPTH || !isPlain(x)) return false
   if (has(x, 'whole')) return true
   if (has(x, 'runs')) {
     const runs = fieldOf(x, 'runs')
@@ -236,7 +236,7 @@
 }
 
 function apply(base: unknown, delta: Delta, budget: Budget, depth: number): Result<unknown, string> {
-  if (depth > DELTA_DEPTH) return Err('nested too deep')
+  if (depth > MAX_DELTA_DEPTH) return Err('nested too deep')
   if ('whole' in delta) return Ok(delta.whole)
   return 'runs' in delta ? applyItems(base, delta, budget, depth) : applyFields(base, delta, budget, depth)
 }
@@ -244,7 +244,7 @@
 /** The value that the delta makes of the base; an error, and nothing applied, where it doesn't fit it. */
 export function applyDelta(base: unknown, delta: Delta): Result<unknown, string> {
   if (!is(delta)) return Err('not a delta')
-  return apply(base, delta, { left: DELTA_ITEMS }, 0)
+  return apply(base, delta, { left: MAX_DELTA_ITEMS }, 0)
 }
 
 /** The same for several deltas, each on what the one before it made. */
--- a/packages/register/src/founding.ts
+++ b/packages/register/src/founding.ts
@@ -1,15 +1,15 @@
-import { FOUND_WAIT, REFILL_WAIT } from '@claynotch/base'
-import type { CoreSet } from './coreset.js'
-import type { Phase } from './store.js'
+import { FOUNDING_DELAY_MS, REFILL_DELAY_MS } from '@claynotch/base'
+import type { CoreSet } from './core-set.js'
+import type { FoundingPhase } from './register-store.js'
 
 // Founding in two steps, each at every core: intent is stored by all before any is founded, so a core that holds intent has
 // lost nothing, and one that holds nothing while another is founded has. docs/register.md, "Founding".
 
 /** What another voter says of itself. hears: the other voters that it holds a link to. */
-export type State = {
+export type CoreState = {
   t: 'state'
   id: string
-  phase: Phase
+  phase: FoundingPhase
   serving: boolean
   cores: string[]
   set: CoreSet
@@ -20,7 +20,7 @@
 export type FoundingView = {
   set: CoreSet
   ids: string[]
-  phase: Phase
+  phase: FoundingPhase
   /** What this disk held is gone, or some agent remembers registers of this set. */
   lost: boolean
   remembered: boolean
@@ -37,12 +37,12 @@
 export type FoundingStep =
   | { step: 'wait' | 'intent' | 'founded' | 'refill' }
   | { step: 'adopt'; set: CoreSet }
-  | { step: 'differs'; from: State }
+  | { step: 'differs'; from: CoreState }
 
 type Counts = { up: number; founded: number; intent: number }
 
 /** Counts the answers; a later set, or another set of the same epoch, ends the count. */
-function countStates(view: FoundingView, states: (State | undefined)[]): Counts | FoundingStep {
+function countStates(view: FoundingView, states: (CoreState | undefined)[]): Counts | FoundingStep {
   const counts: Counts = { up: 0, founded: 0, intent: 0 }
   for (const state of states) {
     // One that doesn't know its set yet can't found.
@@ -59,14 +59,14 @@
 }
 
 /** The next step of a voter that doesn't serve, by what the other voters say. */
-export function foundingStep(view: FoundingView, states: (State | undefined)[]): FoundingStep {
+export function foundingStep(view: FoundingView, states: (CoreState | undefined)[]): FoundingStep {
   const counts = countStates(view, states)
   if ('step' in counts) return counts
   if (counts.founded > 0) return { step: view.phase === 'intent' && !view.lost ? 'founded' : 'refill' }
   if (view.set.epoch > 0 || view.lost || view.remembered || counts.up < view.others) return { step: 'wait' }
   // Those who were told that this is the very first start know it from the one who started them; with a set given by an
   // operator the agents are heard first.
-  if (view.isGiven && view.runs < FOUND_WAIT) return { step: 'wait' }
+  if (view.isGiven && view.runs < FOUNDING_DELAY_MS) return { step: 'wait' }
   if (view.phase === 'none' && !view.mayBegin && !mayEnd(view, counts)) return { step: 'wait' }
   return { step: counts.intent === view.others ? 'founded' : 'intent' }
 }
@@ -76,5 +76,5 @@
  * intent for: none of them has served yet, and what its own lost life promised is void after this wait.
  */
 function mayEnd(view: FoundingView, counts: Counts): boolean {
-  return view.others > 0 && counts.intent === view.others && view.askedAfter >= REFILL_WAIT
+  return view.others > 0 && counts.intent === view.others && view.askedAfter >= REFILL_DELAY_MS
 }
--- a/packages/register/src/record.ts
+++ b/packages/register/src/group-record.ts
@@ -44,11 +44,11 @@
 // of slots, and each slot is one share of every instance's connections.
 // Invariants: a node stands in at most one slot; a slot taken over from another node is not ready before that
 // node's time to work, if it had any, has run out; only nodes in a ready slot lend.
-export type Slot = { node: string; ready: boolean } | null
-export type Slots = { slots: Slot[] }
-export const SLOTS_KEY = 'slots'
+export type ConnectionShare = { node: string; ready: boolean } | null
+export type ConnectionShares = { slots: ConnectionShare[] }
+export const SHARES_KEY = 'slots'
 
-export function slotOf(slots: Slot[], node: string): number {
+export function shareOf(slots: ConnectionShare[], node: string): number {
   for (const [k, s] of slots.entries()) if (s?.node === node) return k
   return -1
 }
--- a/packages/register/src/index.ts
+++ b/packages/register/src/index.ts
@@ -1,28 +1,28 @@
-export * from './coreset.js'
+export * from './core-set.js'
 export * from './ballot.js'
 export * from './delta.js'
-export * from './store.js'
+export * from './register-store.js'
 export * from './values.js'
 export * from './pushes.js'
 export * from './proposer.js'
-export * from './terms.js'
+export * from './leases.js'
 export {
-  Value as ValueShape,
-  CoreWord,
-  Push,
+  RegisterValueCodec as ValueShape,
+  CoreMessage,
+  RegisterPush,
   GetAnswer,
-  Renew,
-  RenewAnswer,
+  LeaseRenewal,
+  LeaseRenewalAnswer,
   MembersAnswer,
   Member,
-  MemberLine,
-  Self,
-  Sight,
-  KeyLine,
-  laterSight,
-} from './words.js'
-export * from './changes.js'
+  MemberEntry,
+  MemberDescription,
+  InstanceStatus,
+  RegisterSummary,
+  laterStatus,
+} from './messages.js'
+export * from './core-view.js'
 export * from './core.js'
-export type { State } from './founding.js'
-export * from './record.js'
-export * from './feed.js'
+export type { CoreState } from './founding.js'
+export * from './group-record.js'
+export * from './proxy-messages.js'
--- a/packages/register/src/terms.ts
+++ b/packages/register/src/leases.ts
@@ -1,5 +1,19 @@
-import { ANNOUNCE_LIFE, LEAVING_LIFE, TERM, TERM_SLACK, type World } from '@claynotch/base'
-import { laterSight, signSight, type Member, type MemberLine, type Renew, type Self, type Sight } from './words.js'
+import {
+  ANNOUNCEMENT_LIFETIME_MS,
+  LEAVING_LIFETIME_MS,
+  LEASE_DURATION_MS,
+  LEASE_CLOCK_SLACK_MS,
+  type World,
+} from '@claynotch/base'
+import {
+  laterStatus,
+  signStatus,
+  type Member,
+  type MemberEntry,
+  type LeaseRenewal,
+  type MemberDescription,
+  type InstanceStatus,
+} from './messages.js'
 
 // Terms held at this core, in memory only.
 // Invariants: a term ends here later than at its holder (the holder counts from before it asked);
@@ -9,44 +23,44 @@
 type Term = {
   until: number
   life: string
-  self: Self
+  self: MemberDescription
   open: number
   acks: Map<string, number>
   highs: Map<string, [number, number]>
   past: Set<string>
 }
 
-export type Terms = {
-  renew: (r: Renew) => 'held' | 'replaced' | 'unknown'
+export type Leases = {
+  renew: (r: LeaseRenewal) => 'held' | 'replaced' | 'unknown'
   leave: (node: string, life: string) => void
   ack: (node: string, key: string, turn: number) => void
   members: () => Member[]
   /** What every agent is told of the members. */
-  memberLines: () => MemberLine[]
-  sights: () => Sight[]
+  memberEntries: () => MemberEntry[]
+  instances: () => InstanceStatus[]
   /** One of them, with its age as of now. */
-  sight: (name: string) => Sight | undefined
+  instance: (name: string) => InstanceStatus | undefined
   /**
    * Grows whenever memberLines() or what sights() says of an instance changes; an instance that only says the same again has
    * not changed.
    */
   revision: () => number
-  sure: () => boolean
+  isComplete: () => boolean
   // From now on others may have counted terms here that this core does not know: it has just begun to vote.
-  doubt: () => void
+  beginUnknown: () => void
 }
 
-export function makeTerms(world: World): Terms {
+export function makeLeases(world: World): Leases {
   let start = world.now()
   const terms = new Map<string, Term>()
-  const seen = new Map<string, { sight: Sight; at: number }>()
+  const seen = new Map<string, { sight: InstanceStatus; at: number }>()
   let revision = 0
 
-  function see(s: Sight, now: number): void {
+  function see(s: InstanceStatus, now: number): void {
     const old = seen.get(s.name)
-    const next = laterSight(old, s, now - s.age)
+    const next = laterStatus(old, s, now - s.age)
     seen.set(s.name, next)
-    if (!old || signSight(old.sight) !== signSight(next.sight)) revision++
+    if (!old || signStatus(old.sight) !== signStatus(next.sight)) revision++
   }
   function expire(): void {
     const now = world.now()
@@ -56,13 +70,13 @@
       revision++
     }
     for (const [name, one] of seen) {
-      if (now - one.at <= (one.sight.leaving ? LEAVING_LIFE : ANNOUNCE_LIFE)) continue
+      if (now - one.at <= (one.sight.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) continue
       seen.delete(name)
       revision++
     }
   }
   // replaced: another life of the same node has taken the term over. unknown: no Self of this life was told here.
-  function renew(r: Renew): 'held' | 'replaced' | 'unknown' {
+  function renew(r: LeaseRenewal): 'held' | 'replaced' | 'unknown' {
     const now = world.now()
     const old = terms.get(r.node)
     if (old?.past.has(r.life)) return 'replaced'
@@ -72,14 +86,22 @@
     const past = old?.past ?? new Set<string>()
     if (old && !same) past.add(old.life)
     const acks = same?.acks ?? new Map<string, number>()
-    for (const [key, turn] of r.acks) acks.set(key, Math.max(turn, acks.get(key) ?? 0))
+    for (const [key, version] of r.acks) acks.set(key, Math.max(version, acks.get(key) ?? 0))
     const highs = same?.highs ?? new Map<string, [number, number]>()
     for (const [group, epoch, position] of r.highs) {
       const high = highs.get(group)
       if (!high || epoch > high[0] || (epoch === high[0] && position > high[1])) highs.set(group, [epoch, position])
     }
     if (!same || r.self) revision++
-    terms.set(r.node, { until: now + TERM + TERM_SLACK, life: r.life, self, open: r.open, acks, highs, past })
+    terms.set(r.node, {
+      until: now + LEASE_DURATION_MS + LEASE_CLOCK_SLACK_MS,
+      life: r.life,
+      self,
+      open: r.open,
+      acks,
+      highs,
+      past,
+    })
     for (const s of r.sights) see(s, now)
     return 'held'
   }
@@ -89,9 +111,9 @@
     terms.delete(node)
     revision++
   }
-  function ack(node: string, key: string, turn: number): void {
+  function ack(node: string, key: string, version: number): void {
     const one = terms.get(node)
-    if (one) one.acks.set(key, Math.max(turn, one.acks.get(key) ?? 0))
+    if (one) one.acks.set(key, Math.max(version, one.acks.get(key) ?? 0))
   }
   function members(): Member[] {
     expire()
@@ -103,23 +125,23 @@
     }
     return out
   }
-  function memberLines(): MemberLine[] {
+  function memberLines(): MemberEntry[] {
     expire()
-    const out: MemberLine[] = []
+    const out: MemberEntry[] = []
     for (const [node, { life, self }] of terms) {
       const { area, addr, operator, build, proxy, core } = self
       out.push({ node, life, area, addr, operator, build, proxy, ...(core ? { core } : {}) })
     }
     return out
   }
-  function sights(): Sight[] {
+  function sights(): InstanceStatus[] {
     expire()
     const now = world.now()
-    const out: Sight[] = []
+    const out: InstanceStatus[] = []
     for (const one of seen.values()) out.push({ ...one.sight, age: now - one.at })
     return out
   }
-  function sight(name: string): Sight | undefined {
+  function sight(name: string): InstanceStatus | undefined {
     const one = seen.get(name)
     return one && { ...one.sight, age: world.now() - one.at }
   }
@@ -128,10 +150,21 @@
     return revision
   }
   function sure(): boolean {
-    return world.now() - start > TERM + TERM_SLACK
+    return world.now() - start > LEASE_DURATION_MS + LEASE_CLOCK_SLACK_MS
   }
   function doubt(): void {
     start = world.now()
   }
-  return { renew, leave, ack, members, memberLines, sights, sight, revision: revisionNow, sure, doubt }
+  return {
+    renew,
+    leave,
+    ack,
+    members,
+    memberEntries: memberLines,
+    instances: sights,
+    instance: sight,
+    revision: revisionNow,
+    isComplete: sure,
+    beginUnknown: doubt,
+  }
 }
--- a/packages/register/src/words.ts
+++ b/packages/register/src/messages.ts
@@ -1,15 +1,15 @@
-import { LATE_CALL } from '@claynotch/base'
+import { MAX_ANNOUNCEMENT_DELAY_MS } from '@claynotch/base'
 import * as t from 'io-ts'
 import { Ballot } from './ballot.js'
-import { CorePlace, CoreSet } from './coreset.js'
+import { CorePlace, CoreSet } from './core-set.js'
 import { Delta } from './delta.js'
 
 // What is said to a core on a link. Answers are written beside each in docs/wire.md.
-export const Value = t.type({ turn: t.number, tag: t.string, body: t.unknown })
+export const RegisterValueCodec = t.type({ turn: t.number, tag: t.string, body: t.unknown })
 
 // What a node saw of an instance. age: ms since the announcement was heard; leaving: it said that it goes, and first
 // did so gone ms before that announcement. sequence: the instance's own count of its announcements.
-export const Sight = t.intersection([
+export const InstanceStatus = t.intersection([
   t.type({
     name: t.string,
     group: t.string,
@@ -21,20 +21,20 @@
   }),
   t.partial({ gone: t.number, sequence: t.number }),
 ])
-export type Sight = t.TypeOf<typeof Sight>
+export type InstanceStatus = t.TypeOf<typeof InstanceStatus>
 
 // What a member is, told to each core once in its life. addr: where it takes summaries; operator: where it serves operators,
 // '' if it doesn't; proxy: whether it feeds a proxy.
 // core: the core machine that it runs on, which votes or could.
-export const Self = t.intersection([
+export const MemberDescription = t.intersection([
   t.type({ area: t.string, addr: t.string, operator: t.string, build: t.string, proxy: t.boolean }),
   t.partial({ core: CorePlace }),
 ])
-export type Self = t.TypeOf<typeof Self>
+export type MemberDescription = t.TypeOf<typeof MemberDescription>
 
 // A renewal: what changed since the last one that this core answered. core, count: which life of the core the agent has
 // a picture of, and up to which count. acks: [key, turn] that its proxy applied.
-export const Renew = t.intersection([
+export const LeaseRenewal = t.intersection([
   t.type({
     t: t.literal('renew'),
     node: t.string,
@@ -42,7 +42,7 @@
     core: t.string,
     count: t.number,
     acks: t.array(t.tuple([t.string, t.number])),
-    sights: t.array(Sight),
+    sights: t.array(InstanceStatus),
     open: t.number,
     // highs: [group, epoch, position], the highest acknowledged commit that its proxy saw.
     highs: t.array(t.tuple([t.string, t.number, t.number])),
@@ -50,9 +50,9 @@
     remembers: t.boolean,
   }),
   // brief: the sender takes the lines of members from other cores, and needs none from this one.
-  t.partial({ self: Self, epoch: t.number, brief: t.boolean }),
+  t.partial({ self: MemberDescription, epoch: t.number, brief: t.boolean }),
 ])
-export type Renew = t.TypeOf<typeof Renew>
+export type LeaseRenewal = t.TypeOf<typeof LeaseRenewal>
 
 // epoch: of the set whose quorum the asker counts, 0 where it isn't said. A core of another epoch refuses: with its set where
 // that is later, else with behind, and is then told the set.
@@ -67,15 +67,18 @@
 ])
 export type Subscribe = t.TypeOf<typeof Subscribe>
 
-export const CoreWord = t.union([
+export const CoreMessage = t.union([
   t.intersection([t.type({ t: t.literal('prepare'), key: t.string, ballot: Ballot }), Have, At]),
   // The value, or what changed since the one accepted at base.
-  t.intersection([t.type({ t: t.literal('accept'), key: t.string, ballot: Ballot, value: Value }), At]),
+  t.intersection([t.type({ t: t.literal('accept'), key: t.string, ballot: Ballot, value: RegisterValueCodec }), At]),
   t.intersection([t.type({ t: t.literal('accept'), key: t.string, ballot: Ballot, base: Ballot, delta: Delta }), At]),
   t.type({ t: t.literal('learn'), key: t.string, ballot: Ballot }),
   t.intersection([t.type({ t: t.literal('get'), key: t.string }), Have, At]),
   Subscribe,
-  t.type({ t: t.literal('handover'), cells: t.array(t.type({ key: t.string, ballot: Ballot, value: Value })) }),
+  t.type({
+    t: t.literal('handover'),
+    cells: t.array(t.type({ key: t.string, ballot: Ballot, value: RegisterValueCodec })),
+  }),
   t.type({ t: t.literal('state') }),
   t.intersection([t.type({ t: t.literal('keys') }), At]),
   t.intersection([t.type({ t: t.literal('members') }), At]),
@@ -83,34 +86,34 @@
   t.type({ t: t.literal('seeds') }),
   t.type({ t: t.literal('leave'), node: t.string, life: t.string }),
   t.type({ t: t.literal('ack'), num: t.number, key: t.string, turn: t.number }),
-  Renew,
+  LeaseRenewal,
 ])
-export type CoreWord = t.TypeOf<typeof CoreWord>
+export type CoreMessage = t.TypeOf<typeof CoreMessage>
 
 /** A value as one who holds the value at base is told it: what changed, one delta on the other. */
 export const Deltas = t.type({ base: Ballot, deltas: t.array(Delta) })
 export type Deltas = t.TypeOf<typeof Deltas>
 
 // Said by a core to an agent: the value, or what changed since the one that the agent holds.
-export const Push = t.intersection([
+export const RegisterPush = t.intersection([
   t.type({ t: t.literal('push'), num: t.number, key: t.string, ballot: Ballot }),
-  t.union([t.type({ value: Value }), Deltas]),
+  t.union([t.type({ value: RegisterValueCodec }), Deltas]),
 ])
-export type Push = t.TypeOf<typeof Push>
+export type RegisterPush = t.TypeOf<typeof RegisterPush>
 
 /** The answer to get. same: the asker holds it. */
 export const GetAnswer = t.union([
   t.type({ ok: t.literal(true), ballot: Ballot, same: t.literal(true) }),
   t.intersection([t.type({ ok: t.literal(true), ballot: Ballot }), Deltas]),
-  t.type({ ok: t.literal(true), ballot: Ballot, value: t.union([Value, t.null]) }),
+  t.type({ ok: t.literal(true), ballot: Ballot, value: t.union([RegisterValueCodec, t.null]) }),
 ])
 export type GetAnswer = t.TypeOf<typeof GetAnswer>
 
 // A member as every agent knows it, and as whoever needs more asks for it.
-export const MemberLine = t.intersection([t.type({ node: t.string, life: t.string }), Self])
-export type MemberLine = t.TypeOf<typeof MemberLine>
+export const MemberEntry = t.intersection([t.type({ node: t.string, life: t.string }), MemberDescription])
+export type MemberEntry = t.TypeOf<typeof MemberEntry>
 export const Member = t.intersection([
-  MemberLine,
+  MemberEntry,
   t.type({
     acks: t.array(t.tuple([t.string, t.number])),
     open: t.number,
@@ -121,17 +124,17 @@
 
 // What a core holds of one register. pending: its write is not synced yet, so that the core has seen that ballot, and has not
 // accepted it; where the field is missing it has.
-export const KeyLine = t.intersection([
+export const RegisterSummary = t.intersection([
   t.type({ key: t.string, ballot: Ballot, turn: t.number, chosen: t.boolean }),
   t.partial({ pending: t.literal(true) }),
 ])
-export type KeyLine = t.TypeOf<typeof KeyLine>
+export type RegisterSummary = t.TypeOf<typeof RegisterSummary>
 
 // sure: false while this core has run for less than a whole term, as it may have forgotten members. unknown: this core has
 // no Self of the node and asks for a whole renewal. replaced: another life of the node holds its term.
 // core, since, count: the lines are what changed in this life of the core from since to count; since 0: all there is.
 // left, lost: members and instances that went. A sight is told when what it says changes, with its age; it is alive until lost.
-export const RenewAnswer = t.intersection([
+export const LeaseRenewalAnswer = t.intersection([
   t.type({ ok: t.boolean }),
   t.partial({
     unknown: t.boolean,
@@ -140,36 +143,36 @@
     core: t.string,
     since: t.number,
     count: t.number,
-    keys: t.array(KeyLine),
-    members: t.array(MemberLine),
-    sights: t.array(Sight),
+    keys: t.array(RegisterSummary),
+    members: t.array(MemberEntry),
+    sights: t.array(InstanceStatus),
     left: t.array(t.string),
     lost: t.array(t.string),
     set: CoreSet,
     behind: t.boolean,
   }),
 ])
-export type RenewAnswer = t.TypeOf<typeof RenewAnswer>
+export type LeaseRenewalAnswer = t.TypeOf<typeof LeaseRenewalAnswer>
 
 export const MembersAnswer = t.type({ ok: t.boolean, members: t.array(Member), sure: t.boolean })
 export type MembersAnswer = t.TypeOf<typeof MembersAnswer>
 
 // Whether the instance spoke b after a, whatever came first to us. By its own count, where both are of one life (one
 // address) and near enough in time that either may have been held up on its way; else by the time they were heard.
-function isLater(b: Sight, bAt: number, a: Sight, aAt: number): boolean {
+function isLater(b: InstanceStatus, bAt: number, a: InstanceStatus, aAt: number): boolean {
   if (a.sequence === undefined || b.sequence === undefined || a.sequence === b.sequence) return bAt > aAt
-  return a.addr === b.addr && Math.abs(bAt - aAt) < LATE_CALL ? b.sequence > a.sequence : bAt > aAt
+  return a.addr === b.addr && Math.abs(bAt - aAt) < MAX_ANNOUNCEMENT_DELAY_MS ? b.sequence > a.sequence : bAt > aAt
 }
 /** What an instance says, as text; neither the sight's age nor how far the instance has counted. */
-export function signSight(sight: Sight): string {
+export function signStatus(sight: InstanceStatus): string {
   return `${sight.group} ${sight.addr} ${sight.area} ${sight.role} ${sight.leaving}`
 }
 // Of two sights of one instance the later, with the earliest notice of either.
-export function laterSight(
-  old: { sight: Sight; at: number } | undefined,
-  next: Sight,
+export function laterStatus(
+  old: { sight: InstanceStatus; at: number } | undefined,
+  next: InstanceStatus,
   at: number,
-): { sight: Sight; at: number } {
+): { sight: InstanceStatus; at: number } {
   if (!old) return { sight: next, at }
   const late = isLater(next, at, old.sight, old.at) ? { sight: next, at } : old
   if (!next.leaving || !old.sight.leaving) return late
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -1,10 +1,10 @@
-import { CHANGE_LIMIT, ROUND_LIFE, ROUND_PAUSE, pause, readAs, type World } from '@claynotch/base'
-import { ZERO, compareBallots, type Ballot } from './ballot.js'
-import { CoreSet, type Quorum } from './coreset.js'
+import { CHANGE_TIMEOUT_MS, ROUND_TIMEOUT_MS, ROUND_BACKOFF_MS, pause, readAs, type World } from '@claynotch/base'
+import { ZERO_BALLOT, compareBallots, type Ballot } from './ballot.js'
+import { CoreSet, type Quorum } from './core-set.js'
 import { makeDelta } from './delta.js'
-import type { Value } from './store.js'
+import type { RegisterValue } from './register-store.js'
 import { valueOf, type HeldValue } from './values.js'
-import type { GetAnswer } from './words.js'
+import type { GetAnswer } from './messages.js'
 
 // deltas: whether its link speaks of values by what changed in them (DELTA_EPOCH); where it isn't given, values are told whole.
 export type Voter = {
@@ -14,19 +14,19 @@
   deltas?: () => boolean
 }
 
-export type Settled = { done: true; value: Value | undefined; ballot: Ballot } | { done: false; why: string }
+export type Committed = { done: true; value: RegisterValue | undefined; ballot: Ballot } | { done: false; why: string }
 
 // What a change does with the present value: a new body and tag, or undefined to leave it as it is.
-export type Edit = (now: Value | undefined) => { body: unknown; tag: string } | undefined
+export type RegisterEdit = (now: RegisterValue | undefined) => { body: unknown; tag: string } | undefined
 
 export type Proposer = {
   // Runs rounds until one is settled. An edit may be asked several times, as rounds that
   // ended unclear are read back: it must find its own earlier change by its tag.
-  change: (key: string, edit: Edit, limit?: number) => Promise<Settled>
-  read: (key: string, limit?: number) => Promise<Settled>
+  change: (key: string, edit: RegisterEdit, limit?: number) => Promise<Committed>
+  read: (key: string, limit?: number) => Promise<Committed>
   // The same for those who only want to know, without a ballot of their own: a crowd of readers whose rounds raised the
   // ballots would have each change of others refused. A round is made only where a majority isn't alike.
-  look: (key: string, limit?: number) => Promise<Settled>
+  look: (key: string, limit?: number) => Promise<Committed>
 }
 
 type Vote =
@@ -34,7 +34,7 @@
       ok?: boolean
       promise?: Ballot
       ballot?: Ballot
-      value?: Value | null
+      value?: RegisterValue | null
       same?: boolean
       lacksBase?: boolean
       set?: unknown
@@ -42,18 +42,18 @@
   | null
   | undefined
 
-export type Answer<T> = { id: string; val: T }
+export type VoterAnswer<T> = { id: string; val: T }
 
 // Asks all; ends once those who said ok are a quorum, once that has become impossible, or at the limit.
-export function gather<T>(
+export function gatherQuorum<T>(
   world: World,
   asks: { id: string; got: Promise<T> }[],
   quorum: Quorum,
   isOk: (v: T) => boolean,
   ms: number,
-): Promise<Answer<T>[]> {
-  function start(done: (got: Answer<T>[]) => void): void {
-    const got: Answer<T>[] = []
+): Promise<VoterAnswer<T>[]> {
+  function start(done: (got: VoterAnswer<T>[]) => void): void {
+    const got: VoterAnswer<T>[] = []
     const good = new Set<string>()
     // may: who has said ok or may yet.
     const may = new Set<string>()
@@ -103,33 +103,33 @@
   function isOk(v: Vote): boolean {
     return v?.ok === true
   }
-  type Yes = { id: string; ballot: Ballot; value?: Value | null }
+  type Yes = { id: string; ballot: Ballot; value?: RegisterValue | null }
   // have: the value that was named in the question; same stands for it and for no other.
-  function yesOf(votes: Answer<Vote>[], have: HeldValue | undefined): Yes[] {
+  function yesOf(votes: VoterAnswer<Vote>[], have: HeldValue | undefined): Yes[] {
     const out: Yes[] = []
     for (const { id, val } of votes) {
       if (!val?.ok) continue
-      const ballot = val.ballot ?? ZERO
+      const ballot = val.ballot ?? ZERO_BALLOT
       if (val.same !== true) out.push({ id, ballot, value: val.value })
       else if (have && compareBallots(ballot, have.ballot) === 0) out.push({ id, ballot, value: have.value })
     }
     return out
   }
-  function haveFor(v: Voter, have: HeldValue | undefined): { have?: Ballot } {
-    return have && v.deltas?.() === true ? { have: have.ballot } : {}
+  function haveFor(voter: Voter, have: HeldValue | undefined): { have?: Ballot } {
+    return have && voter.deltas?.() === true ? { have: have.ballot } : {}
   }
   // The value to one voter: as a delta where it may hold the base, and whole where it then says that it doesn't.
-  async function put(v: Voter, whole: unknown, asDelta: unknown): Promise<Vote> {
-    if (asDelta === undefined || v.deltas?.() !== true) return (await v.ask(whole, ROUND_LIFE)) as Vote
-    const got = (await v.ask(asDelta, ROUND_LIFE)) as Vote
-    return got?.lacksBase === true ? ((await v.ask(whole, ROUND_LIFE)) as Vote) : got
+  async function put(voter: Voter, whole: unknown, asDelta: unknown): Promise<Vote> {
+    if (asDelta === undefined || voter.deltas?.() !== true) return (await voter.ask(whole, ROUND_TIMEOUT_MS)) as Vote
+    const got = (await voter.ask(asDelta, ROUND_TIMEOUT_MS)) as Vote
+    return got?.lacksBase === true ? ((await voter.ask(whole, ROUND_TIMEOUT_MS)) as Vote) : got
   }
   function idsOf(yes: Yes[]): Set<string> {
     const out = new Set<string>()
     for (const v of yes) out.add(v.id)
     return out
   }
-  async function round(key: string, edit: Edit): Promise<Settled> {
+  async function round(key: string, edit: RegisterEdit): Promise<Committed> {
     const all = voters()
     const enough = quorum()
     const { epoch } = enough
@@ -137,16 +137,16 @@
     const from = world.now()
     const have = held?.(key)
     const asks: { id: string; got: Promise<Vote> }[] = []
-    for (const v of all) {
-      const word = { t: 'prepare', epoch, key, ballot, ...haveFor(v, have) }
-      asks.push({ id: v.id, got: v.ask(word, ROUND_LIFE) as Promise<Vote> })
+    for (const voter of all) {
+      const word = { t: 'prepare', epoch, key, ballot, ...haveFor(voter, have) }
+      asks.push({ id: voter.id, got: voter.ask(word, ROUND_TIMEOUT_MS) as Promise<Vote> })
     }
-    const votes = await gather(world, asks, enough, isOk, ROUND_LIFE)
-    for (const v of votes) saw(v.val)
+    const votes = await gatherQuorum(world, asks, enough, isOk, ROUND_TIMEOUT_MS)
+    for (const answer of votes) saw(answer.val)
     const yes = yesOf(votes, have)
     if (!enough.met(idsOf(yes))) return { done: false, why: 'no majority promised' }
     // A prepare that took too long is void: a core emptied meanwhile may have lost its promise.
-    if (world.now() - from > ROUND_LIFE) return { done: false, why: 'prepare took too long' }
+    if (world.now() - from > ROUND_TIMEOUT_MS) return { done: false, why: 'prepare took too long' }
     let high = yes[0]
     for (const v of yes) if (compareBallots(v.ballot, high.ballot) > 0) high = v
     const now = high.value ?? undefined
@@ -160,7 +160,9 @@
         return { done: true, value: now, ballot: high.ballot }
       }
     }
-    const value: Value = next ? { turn: (now?.turn ?? 0) + 1, tag: next.tag, body: next.body } : (now as Value)
+    const value: RegisterValue = next
+      ? { turn: (now?.turn ?? 0) + 1, tag: next.tag, body: next.body }
+      : (now as RegisterValue)
     const puts: { id: string; got: Promise<Vote> }[] = []
     const whole = { t: 'accept', epoch, key, ballot, value }
     const delta = now ? makeDelta(now, value) : undefined
@@ -169,7 +171,7 @@
     const others = new Set<string>()
     for (const v of yes) if (compareBallots(v.ballot, high.ballot) !== 0) others.add(v.id)
     for (const v of all) puts.push({ id: v.id, got: put(v, whole, others.has(v.id) ? undefined : asDelta) })
-    const took = await gather(world, puts, enough, isOk, ROUND_LIFE)
+    const took = await gatherQuorum(world, puts, enough, isOk, ROUND_TIMEOUT_MS)
     const accepted = new Set<string>()
     for (const v of took) {
       saw(v.val)
@@ -180,45 +182,45 @@
     return { done: true, value, ballot }
   }
   function learn(all: Voter[], key: string, ballot: Ballot): void {
-    for (const v of all) v.tell({ t: 'learn', key, ballot })
+    for (const voter of all) voter.tell({ t: 'learn', key, ballot })
   }
-  async function change(key: string, edit: Edit, limit = CHANGE_LIMIT): Promise<Settled> {
+  async function change(key: string, edit: RegisterEdit, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
     const end = world.now() + limit
     let tries = 0
     for (;;) {
       const got = await round(key, edit)
       if (got.done || world.now() >= end) return got
       tries = Math.min(tries + 1, 5)
-      await pause(world, ROUND_PAUSE * (1 + world.random()) * tries)
+      await pause(world, ROUND_BACKOFF_MS * (1 + world.random()) * tries)
     }
   }
   function same(): undefined {
     return undefined
   }
-  function read(key: string, limit?: number): Promise<Settled> {
+  function read(key: string, limit?: number): Promise<Committed> {
     return change(key, same, limit)
   }
   // An answer by deltas is brought to the value that it stands for.
-  async function askValue(v: Voter, word: unknown, have: HeldValue | undefined): Promise<Vote> {
-    const got = (await v.ask(word, ROUND_LIFE)) as Vote | GetAnswer
+  async function askValue(voter: Voter, word: unknown, have: HeldValue | undefined): Promise<Vote> {
+    const got = (await voter.ask(word, ROUND_TIMEOUT_MS)) as Vote | GetAnswer
     if (!got || !('deltas' in got)) return got as Vote
     const value = have && valueOf(got, have)
     return value ? { ok: true, ballot: got.ballot, value } : undefined
   }
   // What a majority accepted at one ballot is chosen; and a later one chosen before we asked would be told by one of them.
-  async function look(key: string, limit = CHANGE_LIMIT): Promise<Settled> {
+  async function look(key: string, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
     const all = voters()
     const enough = quorum()
     const { epoch } = enough
     const from = world.now()
     const have = held?.(key)
     const asks: { id: string; got: Promise<Vote> }[] = []
-    for (const v of all) {
-      const word = { t: 'get', epoch, key, ...haveFor(v, have) }
-      asks.push({ id: v.id, got: askValue(v, word, have) })
+    for (const voter of all) {
+      const word = { t: 'get', epoch, key, ...haveFor(voter, have) }
+      asks.push({ id: voter.id, got: askValue(voter, word, have) })
     }
-    const votes = await gather(world, asks, enough, isOk, ROUND_LIFE)
-    for (const v of votes) saw(v.val)
+    const votes = await gatherQuorum(world, asks, enough, isOk, ROUND_TIMEOUT_MS)
+    for (const answer of votes) saw(answer.val)
     const yes = yesOf(votes, have)
     let alike = enough.met(idsOf(yes))
     for (const v of yes) if (compareBallots(v.ballot, yes[0].ballot) !== 0) alike = false
--- a/packages/register/src/feed.ts
+++ b/packages/register/src/proxy-messages.ts
@@ -1,33 +1,33 @@
 import * as t from 'io-ts'
-import { Sight } from './words.js'
+import { InstanceStatus } from './messages.js'
 
 // What an agent and its proxy say to each other over loopback: registers fed one way, notes the other.
 
 // One register as it is fed. until: monotonic time of this machine up to which the proxy may work by this
 // turn; body is left out where the proxy has acknowledged the turn already.
-export const FedCell = t.intersection([
+export const FedEntry = t.intersection([
   t.type({ key: t.string, turn: t.number, until: t.number }),
   t.partial({ body: t.unknown }),
 ])
-export type FedCell = t.TypeOf<typeof FedCell>
+export type FedEntry = t.TypeOf<typeof FedEntry>
 
 // moving: [group, epoch] that some node knows to be under promotion. tries: [group, firsts, retries] of the other nodes.
 // live: members that have a proxy, at least 1.
-export const Feed = t.type({
+export const AgentFeed = t.type({
   t: t.literal('feed'),
   node: t.string,
   area: t.string,
-  cells: t.array(FedCell),
-  sights: t.array(Sight),
+  cells: t.array(FedEntry),
+  sights: t.array(InstanceStatus),
   moving: t.array(t.tuple([t.string, t.number])),
   leaving: t.array(t.string),
   tries: t.array(t.tuple([t.string, t.number, t.number])),
   live: t.number,
 })
-export type Feed = t.TypeOf<typeof Feed>
+export type AgentFeed = t.TypeOf<typeof AgentFeed>
 
 // acks: [key, turn] applied. seen: [instance, ms since its last good answer]. highs: [group, epoch, position].
-export const Note = t.intersection([
+export const ProxyReport = t.intersection([
   t.type({
     t: t.literal('note'),
     life: t.string,
@@ -46,4 +46,4 @@
     bad: t.array(t.tuple([t.string, t.number])),
   }),
 ])
-export type Note = t.TypeOf<typeof Note>
+export type ProxyReport = t.TypeOf<typeof ProxyReport>
--- a/packages/register/src/pushes.ts
+++ b/packages/register/src/pushes.ts
@@ -1,8 +1,8 @@
-import { DELTA_EPOCH, DELTAS_KEPT, type Hello, type Link, type Metrics } from '@claynotch/base'
+import { DELTA_LINK_VERSION, MAX_KEPT_DELTAS, type Hello, type Link, type Metrics } from '@claynotch/base'
 import { compareBallots, type Ballot } from './ballot.js'
 import { bytesOf, makeDelta, type Delta } from './delta.js'
-import type { Accepted, Cell, Store, Value } from './store.js'
-import type { Deltas } from './words.js'
+import type { Accepted, RegisterEntry, Store, RegisterValue } from './register-store.js'
+import type { Deltas } from './messages.js'
 
 /**
  * What a core tells its agents of settled registers: to those that subscribed, and to programs of before subscriptions.
@@ -14,18 +14,18 @@
 type Step = { base: Ballot; ballot: Ballot; delta: Delta; bytes: number }
 
 /** The last changes of each register that this core took, as deltas from one ballot to the next. */
-export type Chains = {
+export type DeltaChains = {
   taken: Accepted
   /** What makes the value at the second ballot of the one at the first; undefined: not kept, or no shorter than the value. */
   path: (key: string, from: Ballot, to: Ballot) => Delta[] | undefined
 }
 
-export function makeChains(): Chains {
+export function makeDeltaChains(): DeltaChains {
   // bytes: of all steps of one register together; they are kept while that is less than its value had when the chain began
   // (whole), so that a path is shorter than the value. A value isn't measured at each change: that costs its whole length.
   const chains = new Map<string, { steps: Step[]; bytes: number; whole: number }>()
 
-  function taken(key: string, before: Cell, after: Cell, told: Delta | undefined): void {
+  function taken(key: string, before: RegisterEntry, after: RegisterEntry, told: Delta | undefined): void {
     // The same value at a later ballot, or another: either way what was accepted before is what this one follows here.
     const delta = before.value === undefined ? undefined : (told ?? makeDelta(before.value, after.value))
     if (!delta) {
@@ -36,7 +36,7 @@
     const bytes = bytesOf(delta)
     chain.steps.push({ base: before.ballot, ballot: after.ballot, delta, bytes })
     chain.bytes += bytes
-    while (chain.steps.length > DELTAS_KEPT || chain.bytes >= chain.whole) chain.bytes -= chain.steps.shift()!.bytes
+    while (chain.steps.length > MAX_KEPT_DELTAS || chain.bytes >= chain.whole) chain.bytes -= chain.steps.shift()!.bytes
     // The next one begins with its own measure.
     if (chain.steps.length === 0) chains.delete(key)
     else chains.set(key, chain)
@@ -73,49 +73,53 @@
 
 export function makePushes(
   store: Store,
-  chains: Chains,
-  isSettled: (key: string, c: Cell) => boolean,
-  numbers: Metrics,
+  chains: DeltaChains,
+  isSettled: (key: string, c: RegisterEntry) => boolean,
+  metrics: Metrics,
 ): Pushes {
   const agents = new Map<Link, Listening>()
 
   function linked(link: Link, peer: Hello): void {
-    agents.set(link, { node: peer.node, num: 0, acked: 0, old: peer.epoch < DELTA_EPOCH, has: undefined })
+    agents.set(link, { node: peer.node, num: 0, acked: 0, old: peer.epoch < DELTA_LINK_VERSION, has: undefined })
   }
   function lost(link: Link): void {
     agents.delete(link)
   }
-  function wordFor(a: Listening, key: string, c: Cell): { value: Value } | Deltas | undefined {
-    const value = c.value as Value
-    if (a.old) return { value }
-    const base = a.has?.get(key)
+  function wordFor(
+    listener: Listening,
+    key: string,
+    entry: RegisterEntry,
+  ): { value: RegisterValue } | Deltas | undefined {
+    const value = entry.value as RegisterValue
+    if (listener.old) return { value }
+    const base = listener.has?.get(key)
     if (!base) return { value }
-    if (compareBallots(base, c.ballot) >= 0) return undefined
-    const deltas = chains.path(key, base, c.ballot)
+    if (compareBallots(base, entry.ballot) >= 0) return undefined
+    const deltas = chains.path(key, base, entry.ballot)
     return deltas ? { base, deltas } : { value }
   }
-  function tell(link: Link, a: Listening, key: string, c: Cell): void {
-    if (!a.old && !a.has) return
-    const word = wordFor(a, key, c)
+  function tell(link: Link, listener: Listening, key: string, entry: RegisterEntry): void {
+    if (!listener.old && !listener.has) return
+    const word = wordFor(listener, key, entry)
     if (!word) return
-    a.num++
-    a.has?.set(key, c.ballot)
-    link.tell({ t: 'push', num: a.num, key, ballot: c.ballot, ...word })
-    numbers.add('claynotch_core_pushes_total', [['as', 'value' in word ? 'value' : 'deltas']])
+    listener.num++
+    listener.has?.set(key, entry.ballot)
+    link.tell({ t: 'push', num: listener.num, key, ballot: entry.ballot, ...word })
+    metrics.add('claynotch_core_pushes_total', [['as', 'value' in word ? 'value' : 'deltas']])
   }
-  function pushable(key: string): Cell | undefined {
-    const c = store.cells().get(key)
+  function pushable(key: string): RegisterEntry | undefined {
+    const c = store.entries().get(key)
     return c?.value && isSettled(key, c) && store.isWritten(key) ? c : undefined
   }
   function push(key: string): void {
     const c = pushable(key)
-    if (c) for (const [link, a] of agents) tell(link, a, key, c)
+    if (c) for (const [link, listener] of agents) tell(link, listener, key, c)
   }
   function subscribe(link: Link, have: [string, Ballot][]): void {
     const a = agents.get(link)
     if (!a || a.old) return
     a.has = new Map(have)
-    for (const key of store.cells().keys()) {
+    for (const key of store.entries().keys()) {
       const c = pushable(key)
       if (c) tell(link, a, key, c)
     }
@@ -130,7 +134,7 @@
   }
   function nodes(): string[] {
     const out: string[] = []
-    for (const a of agents.values()) out.push(a.node)
+    for (const listener of agents.values()) out.push(listener.node)
     return out
   }
   function closeAll(): void {
--- a/packages/register/src/refill.ts
+++ b/packages/register/src/refill.ts
@@ -1,13 +1,13 @@
-import { REFILL_BATCH, ROUND_LIFE, type Held, type World } from '@claynotch/base'
-import { quorumOf, type CoreSet, type Quorum } from './coreset.js'
-import { gather, makeProposer, type Voter } from './proposer.js'
-import type { Cell } from './store.js'
+import { REFILL_BATCH_SIZE, ROUND_TIMEOUT_MS, type PersistentLink, type World } from '@claynotch/base'
+import { quorumOf, type CoreSet, type Quorum } from './core-set.js'
+import { gatherQuorum, makeProposer, type Voter } from './proposer.js'
+import type { RegisterEntry } from './register-store.js'
 
 /** Another voter, by the link that is held to it. */
-export type OtherVoter = { id: string; held: Pick<Held, 'ask' | 'tell'> }
+export type OtherVoter = { id: string; held: Pick<PersistentLink, 'ask' | 'tell'> }
 
 /** What a core that lost its storage needs to vote again. floor: prepares and accepts below it are refused for every key. */
-export type Refill = { cells: Map<string, Cell>; floor: number; keys: number }
+export type Refill = { cells: Map<string, RegisterEntry>; floor: number; keys: number }
 
 type KeysAnswer = { ok?: boolean; keys: string[]; top: number } | undefined
 
@@ -24,13 +24,13 @@
   const quorum = quorumOf(set)
   const asks: { id: string; got: Promise<KeysAnswer> }[] = []
   for (const other of others) {
-    const got = other.held.ask({ t: 'keys', epoch: set.epoch }, ROUND_LIFE) as Promise<KeysAnswer>
+    const got = other.held.ask({ t: 'keys', epoch: set.epoch }, ROUND_TIMEOUT_MS) as Promise<KeysAnswer>
     asks.push({ id: other.id, got })
   }
   const answered = new Set<string>()
   const keys = new Set<string>()
   let top = 0
-  for (const { id, val } of await gather(world, asks, quorum, hasKeys, ROUND_LIFE)) {
+  for (const { id, val } of await gatherQuorum(world, asks, quorum, hasKeys, ROUND_TIMEOUT_MS)) {
     if (!hasKeys(val)) continue
     answered.add(id)
     for (const key of val.keys) keys.add(key)
@@ -61,7 +61,7 @@
     return quorumOf(set)
   }
   const proposer = makeProposer(world, id, voters, quorum)
-  const cells = new Map<string, Cell>()
+  const cells = new Map<string, RegisterEntry>()
   async function readOne(key: string): Promise<boolean> {
     // A read that finds a majority alike writes nothing, yet its prepare has raised that majority's promise.
     const got = await proposer.read(key)
@@ -69,8 +69,8 @@
     return got.done
   }
   const keys = [...before.keys]
-  for (let from = 0; from < keys.length; from += REFILL_BATCH) {
-    const reads = await Promise.all(keys.slice(from, from + REFILL_BATCH).map(readOne))
+  for (let from = 0; from < keys.length; from += REFILL_BATCH_SIZE) {
+    const reads = await Promise.all(keys.slice(from, from + REFILL_BATCH_SIZE).map(readOne))
     if (reads.includes(false)) return undefined
   }
   // The floor covers the ballots just used and keys that no one has named yet.
--- a/packages/register/src/store.ts
+++ b/packages/register/src/register-store.ts
@@ -1,6 +1,6 @@
-import { makeFile, makeTurnstile, type World, type Finding } from '@claynotch/base'
-import { ZERO, compareBallots, type Ballot } from './ballot.js'
-import { NO_SET, type CorePlace, type CoreSet } from './coreset.js'
+import { makeDataFile, makeSerialQueue, type World, type Finding } from '@claynotch/base'
+import { ZERO_BALLOT, compareBallots, type Ballot } from './ballot.js'
+import { NO_SET, type CorePlace, type CoreSet } from './core-set.js'
 import { applyDelta, type Delta } from './delta.js'
 
 const FILE_FORMAT = 'format-2'
@@ -8,13 +8,13 @@
 // What a core knows of one register.
 // Invariants: promise >= ballot; both only grow; value is the one accepted at ballot;
 // nothing is answered from here before it is synced to the file.
-export type Cell = { promise: Ballot; ballot: Ballot; value: Value | undefined }
+export type RegisterEntry = { promise: Ballot; ballot: Ballot; value: RegisterValue | undefined }
 
 // A register's value. turn: how many changes made it; it grows by one with each change.
 // tag: unique to the change, so that its maker can find it again after an unclear round.
-export type Value = { turn: number; tag: string; body: unknown }
+export type RegisterValue = { turn: number; tag: string; body: unknown }
 
-export type Phase = 'none' | 'intent' | 'founded'
+export type FoundingPhase = 'none' | 'intent' | 'founded'
 
 // places: the set with its addresses; files of before this field have the ids alone. epoch, next: see CoreSet; files of
 // before these fields are of epoch 0. A set with phase none is kept by a
@@ -23,7 +23,7 @@
 // this file; it would lose what they hold.
 type SetRecord = {
   k: 'set'
-  phase: Phase
+  phase: FoundingPhase
   cores: string[]
   places?: CorePlace[]
   epoch?: number
@@ -32,47 +32,48 @@
 }
 type FloorRecord = { k: 'floor'; floor: number }
 type PromiseRecord = { k: 'promise'; key: string; promise: Ballot }
-type CellRecord = { k: 'cell'; key: string; promise: Ballot; ballot: Ballot; value: Value | undefined }
+type CellRecord = { k: 'cell'; key: string; promise: Ballot; ballot: Ballot; value: RegisterValue | undefined }
 // A value as what changed since the one accepted at base, which an earlier record of the file holds.
 type DeltaRecord = { k: 'delta'; key: string; promise: Ballot; ballot: Ballot; base: Ballot; delta: Delta }
 type Rec = SetRecord | FloorRecord | PromiseRecord | CellRecord | DeltaRecord
 
-export type PrepareAnswer = { ok: true; ballot: Ballot; value: Value | undefined } | { ok: false; promise: Ballot }
+export type PrepareAnswer =
+  { ok: true; ballot: Ballot; value: RegisterValue | undefined } | { ok: false; promise: Ballot }
 export type AcceptAnswer = { ok: true } | { ok: false; promise: Ballot }
 // lacksBase: the value accepted here isn't the one that the delta builds on; nothing was taken.
 export type DeltaAnswer = AcceptAnswer | { ok: false; lacksBase: true }
 
 // Told of each value taken, once it is on disk. delta: what it came as, where it did.
-export type Accepted = (key: string, before: Cell, after: Cell, delta: Delta | undefined) => void
+export type Accepted = (key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined) => void
 
 export type Store = {
   open: () => Promise<Finding[]>
-  phase: () => Phase
+  phase: () => FoundingPhase
   // The ids of the set that this disk knows, and the set whole where the file holds it.
   cores: () => string[]
   set: () => CoreSet
   // The token of this storage (see CorePlace); undefined for founders and for files of before this field.
   token: () => string | undefined
-  mark: (phase: Phase, set: CoreSet, token: string | undefined) => Promise<void>
+  writeSet: (phase: FoundingPhase, set: CoreSet, token: string | undefined) => Promise<void>
   // A newcomer whose storage never voted: it begins with nothing promised and nothing accepted.
   begin: (set: CoreSet) => Promise<void>
   // Reads the file again after a failed write and writes it anew; true once that is synced. What the file lacks was never
   // answered for.
   recover: () => Promise<boolean>
   prepare: (key: string, ballot: Ballot) => Promise<PrepareAnswer>
-  accept: (key: string, ballot: Ballot, value: Value) => Promise<AcceptAnswer>
+  accept: (key: string, ballot: Ballot, value: RegisterValue) => Promise<AcceptAnswer>
   // The same for a value told as what changed since the one accepted at base.
   acceptDelta: (key: string, ballot: Ballot, base: Ballot, delta: Delta) => Promise<DeltaAnswer>
   // Whether what cells() has of the register is on disk.
   isWritten: (key: string) => boolean
   // What was accepted last and is on disk.
-  accepted: (key: string) => Promise<{ ballot: Ballot; value: Value | undefined }>
-  cells: () => Map<string, Cell>
-  top: () => number
+  accepted: (key: string) => Promise<{ ballot: Ballot; value: RegisterValue | undefined }>
+  entries: () => Map<string, RegisterEntry>
+  highestNumber: () => number
   // Set once a write failed: what is in memory may not be on disk, so nothing is answered from here any more.
   failed: () => string | undefined
   // The last step of a refill: everything at once, then founded.
-  refill: (cells: Map<string, Cell>, floor: number, set: CoreSet, token: string | undefined) => Promise<void>
+  refill: (cells: Map<string, RegisterEntry>, floor: number, set: CoreSet, token: string | undefined) => Promise<void>
 }
 
 const LOST_MEMORY = 'has lost its memory'
@@ -82,10 +83,10 @@
 }
 
 export function makeStore(world: World, path: string, accepted?: Accepted): Store {
-  const file = makeFile(world, path)
-  const cells = new Map<string, Cell>()
-  const enter = makeTurnstile()
-  let phase: Phase = 'none'
+  const file = makeDataFile(world, path)
+  const cells = new Map<string, RegisterEntry>()
+  const enter = makeSerialQueue()
+  let phase: FoundingPhase = 'none'
   let cores: string[] = []
   let set: CoreSet = NO_SET
   let token: string | undefined
@@ -94,8 +95,8 @@
   // floor: prepares and accepts under this number are refused for every key (set by a refill).
   let floor = 0
 
-  function cell(key: string): Cell {
-    return cells.get(key) ?? { promise: floor > 0 ? [floor, ''] : ZERO, ballot: ZERO, value: undefined }
+  function cell(key: string): RegisterEntry {
+    return cells.get(key) ?? { promise: floor > 0 ? [floor, ''] : ZERO_BALLOT, ballot: ZERO_BALLOT, value: undefined }
   }
   function isCore(id: string): boolean {
     return id !== FILE_FORMAT
@@ -115,11 +116,11 @@
     return true
   }
   function replayDelta(rec: DeltaRecord): boolean {
-    const c = cell(rec.key)
-    if (compareBallots(c.ballot, rec.base) !== 0) return false
-    const got = applyDelta(c.value, rec.delta)
+    const entry = cell(rec.key)
+    if (compareBallots(entry.ballot, rec.base) !== 0) return false
+    const got = applyDelta(entry.value, rec.delta)
     if (got.err) return false
-    cells.set(rec.key, { promise: rec.promise, ballot: rec.ballot, value: got.val as Value })
+    cells.set(rec.key, { promise: rec.promise, ballot: rec.ballot, value: got.val as RegisterValue })
     return true
   }
   // Nothing that was read counts: what is missing may have been a promise of any register.
@@ -130,7 +131,8 @@
   }
   function live(): Rec[] {
     const out: Rec[] = [{ k: 'floor', floor }]
-    for (const [key, c] of cells) out.push({ k: 'cell', key, promise: c.promise, ballot: c.ballot, value: c.value })
+    for (const [key, entry] of cells)
+      out.push({ k: 'cell', key, promise: entry.promise, ballot: entry.ballot, value: entry.value })
     // The phase comes last: a file that lost its tail must not look founded.
     out.push({
       k: 'set',
@@ -206,7 +208,7 @@
   function failed(): string | undefined {
     return failure
   }
-  function keep(to: Phase, next: CoreSet, its: string | undefined): void {
+  function keep(to: FoundingPhase, next: CoreSet, its: string | undefined): void {
     phase = to
     set = next
     token = its
@@ -214,7 +216,7 @@
     for (const c of next.cores) cores.push(c.id)
     cores.sort()
   }
-  function mark(to: Phase, next: CoreSet, its: string | undefined): Promise<void> {
+  function mark(to: FoundingPhase, next: CoreSet, its: string | undefined): Promise<void> {
     async function run(): Promise<void> {
       keep(to, next, its)
       await rewrite()
@@ -248,43 +250,43 @@
   }
   function prepare(key: string, ballot: Ballot): Promise<PrepareAnswer> {
     async function run(): Promise<PrepareAnswer> {
-      const c = cell(key)
-      if (compareBallots(ballot, c.promise) <= 0) return { ok: false, promise: c.promise }
-      cells.set(key, { ...c, promise: ballot })
+      const entry = cell(key)
+      if (compareBallots(ballot, entry.promise) <= 0) return { ok: false, promise: entry.promise }
+      cells.set(key, { ...entry, promise: ballot })
       await save({ k: 'promise', key, promise: ballot })
-      return { ok: true, ballot: c.ballot, value: c.value }
+      return { ok: true, ballot: entry.ballot, value: entry.value }
     }
     return enter(run)
   }
-  function accept(key: string, ballot: Ballot, value: Value): Promise<AcceptAnswer> {
+  function accept(key: string, ballot: Ballot, value: RegisterValue): Promise<AcceptAnswer> {
     async function run(): Promise<AcceptAnswer> {
-      const c = cell(key)
-      if (compareBallots(ballot, c.promise) < 0) return { ok: false, promise: c.promise }
-      const next: Cell = { promise: ballot, ballot, value }
+      const entry = cell(key)
+      if (compareBallots(ballot, entry.promise) < 0) return { ok: false, promise: entry.promise }
+      const next: RegisterEntry = { promise: ballot, ballot, value }
       // The cell changes first: a rewrite inside save() must hold the new state, not the old.
       cells.set(key, next)
       writing = key
       await save({ k: 'cell', key, promise: ballot, ballot, value })
       writing = undefined
-      accepted?.(key, c, next, undefined)
+      accepted?.(key, entry, next, undefined)
       return { ok: true }
     }
     return enter(run)
   }
   function acceptDelta(key: string, ballot: Ballot, base: Ballot, delta: Delta): Promise<DeltaAnswer> {
     async function run(): Promise<DeltaAnswer> {
-      const c = cell(key)
-      if (compareBallots(ballot, c.promise) < 0) return { ok: false, promise: c.promise }
+      const entry = cell(key)
+      if (compareBallots(ballot, entry.promise) < 0) return { ok: false, promise: entry.promise }
       // A ballot names one value of a register, so the same base makes the same value at each core.
-      if (compareBallots(c.ballot, base) !== 0) return { ok: false, lacksBase: true }
-      const got = applyDelta(c.value, delta)
+      if (compareBallots(entry.ballot, base) !== 0) return { ok: false, lacksBase: true }
+      const got = applyDelta(entry.value, delta)
       if (got.err) return { ok: false, lacksBase: true }
-      const next: Cell = { promise: ballot, ballot, value: got.val as Value }
+      const next: RegisterEntry = { promise: ballot, ballot, value: got.val as RegisterValue }
       cells.set(key, next)
       writing = key
       await save({ k: 'delta', key, promise: ballot, ballot, base, delta })
       writing = undefined
-      accepted?.(key, c, next, delta)
+      accepted?.(key, entry, next, delta)
       return { ok: true }
     }
     return enter(run)
@@ -292,17 +294,22 @@
   function isWritten(key: string): boolean {
     return writing !== key
   }
-  function lastAccepted(key: string): Promise<{ ballot: Ballot; value: Value | undefined }> {
-    async function run(): Promise<{ ballot: Ballot; value: Value | undefined }> {
+  function lastAccepted(key: string): Promise<{ ballot: Ballot; value: RegisterValue | undefined }> {
+    async function run(): Promise<{ ballot: Ballot; value: RegisterValue | undefined }> {
       const { ballot, value } = cell(key)
       return { ballot, value }
     }
     return enter(run)
   }
-  function refill(from: Map<string, Cell>, least: number, now: CoreSet, its: string | undefined): Promise<void> {
+  function refill(
+    from: Map<string, RegisterEntry>,
+    least: number,
+    now: CoreSet,
+    its: string | undefined,
+  ): Promise<void> {
     async function run(): Promise<void> {
       cells.clear()
-      for (const [key, c] of from) cells.set(key, c)
+      for (const [key, entry] of from) cells.set(key, entry)
       floor = least
       keep('founded', now, its)
       await rewrite()
@@ -311,10 +318,10 @@
   }
   function top(): number {
     let most = floor
-    for (const c of cells.values()) most = Math.max(most, c.promise[0])
+    for (const entry of cells.values()) most = Math.max(most, entry.promise[0])
     return most
   }
-  function phaseNow(): Phase {
+  function phaseNow(): FoundingPhase {
     return phase
   }
   function coresNow(): string[] {
@@ -326,7 +333,7 @@
   function tokenNow(): string | undefined {
     return token
   }
-  function cellsNow(): Map<string, Cell> {
+  function cellsNow(): Map<string, RegisterEntry> {
     return cells
   }
   return {
@@ -335,7 +342,7 @@
     cores: coresNow,
     set: setNow,
     token: tokenNow,
-    mark,
+    writeSet: mark,
     begin,
     recover,
     prepare,
@@ -343,8 +350,8 @@
     acceptDelta,
     isWritten,
     accepted: lastAccepted,
-    cells: cellsNow,
-    top,
+    entries: cellsNow,
+    highestNumber: top,
     failed,
     refill,
   }
--- a/packages/requester/src/index.ts
+++ b/packages/requester/src/index.ts
@@ -1,5 +1,14 @@
 import * as t from 'io-ts'
-import { Name, readStrict, type Ask, type Finding, type Reply, Ok, Err, type Result } from '@claynotch/base'
+import {
+  Name,
+  readStrict,
+  type HttpRequest,
+  type Finding,
+  type HttpResponse,
+  Ok,
+  Err,
+  type Result,
+} from '@claynotch/base'
 
 // The requester's wire: what is asked, how each verdict is written. docs/wire.md tells it to users.
 
@@ -74,7 +83,7 @@
 ])
 
 // 503 and 429 promise that nothing was kept, so they are used only where that holds; 502 and 504 promise nothing.
-export function writeVerdict(v: Verdict): Reply {
+export function writeVerdict(v: Verdict): HttpResponse {
   const { after, lacks: _lacks, stamp: _stamp, mark: _mark, reads: _reads, ...body } = v
   if (v.outcome === 'done') return { status: 200, body }
   let status: number
@@ -89,7 +98,7 @@
 }
 
 // ms left to the caller, from the header x-deadline-ms.
-export function readDeadline(ask: Ask): Result<number | undefined, Finding[]> {
+export function readDeadline(ask: HttpRequest): Result<number | undefined, Finding[]> {
   const text = ask.header('x-deadline-ms')
   if (text === undefined) return Ok(undefined)
   const ms = Number(text)
@@ -102,7 +111,7 @@
   return readStrict(codec, value)
 }
 
-export function readWord(ask: Ask): Result<Word, { status: number; why: string; findings: Finding[] }> {
+export function readWord(ask: HttpRequest): Result<Word, { status: number; why: string; findings: Finding[] }> {
   const parts = ask.path.split('/').filter(Boolean)
   const verb = ask.method
   function bad(findings: Finding[]): Result<never, { status: number; why: string; findings: Finding[] }> {
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -29,7 +29,7 @@
     edits: [
       [
         'proxy/dist/freshness.js',
-        'return (!exact || mark.epoch === need.epoch) && compareMarks(mark, need) >= 0;',
+        'return (!exact || mark.epoch === need.epoch) && comparePositions(mark, need) >= 0;',
         'return !exact || mark.epoch === need.epoch;',
       ],
     ],
@@ -39,7 +39,7 @@
     rule: 'a read misses a write of its own session',
     scenario: 'lagging-followers',
     seeds: [1, 6],
-    edits: [['proxy/dist/freshness.js', 'return compareMarks(token, floor) > 0 ? token : floor;', 'return floor;']],
+    edits: [['proxy/dist/freshness.js', 'return comparePositions(token, floor) > 0 ? token : floor;', 'return floor;']],
   },
   {
     name: 'sample-by-answer',
@@ -98,7 +98,7 @@
     rule: 'promotion before each proxy stopped or ran out of its term',
     scenario: 'split',
     seeds: [1, 12],
-    edits: [['duty/dist/duty.js', 'if (!(await stopped(turn, m.since)))', 'if (false)']],
+    edits: [['duty/dist/duty.js', 'if (!(await stopped(version, memory.since)))', 'if (false)']],
   },
   {
     name: 'pool-unclear',
@@ -131,12 +131,12 @@
     seeds: [1, 6],
     edits: [
       [
-        'register/dist/store.js',
+        'register/dist/register-store.js',
         "await save({ k: 'cell', key, promise: ballot, ballot, value });",
         "void save({ k: 'cell', key, promise: ballot, ballot, value });",
       ],
       [
-        'register/dist/store.js',
+        'register/dist/register-store.js',
         "await save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
         "void save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
       ],
@@ -162,10 +162,10 @@
     seeds: [1, 1],
     edits: [
       ['proxy/dist/state.js', 'if (old && c.turn < old.turn)\n                continue;', ''],
-      ['agent/dist/registers.js', 'if (mine && compareBallots(mine.ballot, push.ballot) >= 0)', 'if (false)'],
-      ['agent/dist/registers.js', 'if (old && value.turn < old.value.turn)\n            return;', ''],
+      ['agent/dist/register-cache.js', 'if (mine && compareBallots(mine.ballot, push.ballot) >= 0)', 'if (false)'],
+      ['agent/dist/register-cache.js', 'if (old && value.turn < old.value.turn)\n            return;', ''],
       [
-        'agent/dist/registers.js',
+        'agent/dist/register-cache.js',
         'const newer = !old || value.turn > old.value.turn;',
         'const newer = !old || value.turn !== old.value.turn;',
       ],
@@ -177,7 +177,7 @@
     rule: 'an acknowledged configuration goes unheeded after 3 s',
     scenario: 'news-cut-off',
     seeds: [1, 6],
-    edits: [['agent/dist/registers.js', 'if (k && compareBallots(h.ballot, k.ballot) <= 0) {', 'if (k) {']],
+    edits: [['agent/dist/register-cache.js', 'if (k && compareBallots(h.ballot, k.ballot) <= 0) {', 'if (k) {']],
   },
   {
     name: 'leaving-used',
@@ -194,12 +194,12 @@
     edits: [
       [
         'proxy/dist/proxy.js',
-        'await http.close(set.grace === undefined ? SEND_LIMIT + DRAIN_TAIL : half - LINE_GRACE);',
+        'await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : half - CONNECTION_GRACE_MS);',
         '',
       ],
       [
         'proxy/dist/proxy.js',
-        'while (world.now() < until && (world.now() < from + NOTICE || sessions.transactions() > 0 || http.lines() > 0))',
+        'while (world.now() < until && (world.now() < from + NOT_READY_NOTICE_MS || sessions.transactions() > 0 || http.lines() > 0))',
         'while (false)',
       ],
     ],
@@ -212,8 +212,8 @@
     edits: [
       [
         'duty/dist/duty.js',
-        'const spent = world.now() - m.since;',
-        'const spent = world.now() - m.since;\n        if (spent >= 0) return await stopFor(turn, rec, false);',
+        'const spent = world.now() - memory.since;',
+        'const spent = world.now() - memory.since;\n        if (spent >= 0) return await stopFor(turn, rec, false);',
       ],
     ],
   },
@@ -256,7 +256,7 @@
     rule: 'reads leave their area without need',
     scenario: 'own-area',
     seeds: [1, 2],
-    edits: [['proxy/dist/interpret.js', 'one.area === state.area() ? 0 : AREA_COST', '0']],
+    edits: [['proxy/dist/interpret.js', 'one.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST', '0']],
   },
   {
     name: 'no-tokens',
@@ -300,7 +300,7 @@
     rule: 'an open transaction goes on in a lane that was moved',
     scenario: 'lanes-changed',
     seeds: [1, 8],
-    edits: [['proxy/dist/sessions.js', 'if (tx.stray !== undefined && world.now() - tx.stray > DRAIN)', 'if (false)']],
+    edits: [['proxy/dist/sessions.js', 'if (tx.stray !== undefined && world.now() - tx.stray > DRAIN_TIMEOUT_MS)', 'if (false)']],
   },
   {
     name: 'move-no-wait',
@@ -309,8 +309,8 @@
     seeds: [1, 40],
     edits: [
       [
-        'duty/dist/move.js',
-        'return haveStopped(world, view, CONFIG_KEY, m.turn, from);',
+        'duty/dist/route-moves.js',
+        'return haveStopped(world, view, CONFIG_KEY, memory.turn, from);',
         'return Promise.resolve(true);',
       ],
     ],
@@ -320,7 +320,7 @@
     rule: 'a move to a target that lacks acknowledged writes',
     scenario: 'move-harmed',
     seeds: [1, 40],
-    edits: [['duty/dist/move.js', 'if (mark && (head.source?.group', 'if (false && (head.source?.group']],
+    edits: [['duty/dist/route-moves.js', 'if (position && (head.source?.group', 'if (false && (head.source?.group']],
   },
   {
     name: 'begin-in-drain',
@@ -334,28 +334,28 @@
     rule: 'a leader is brought home without a pause',
     scenario: 'homecoming',
     seeds: [1, 2],
-    edits: [['duty/dist/duty.js', 'world.now() - m.homeSince > HOME_PAUSE', 'world.now() >= m.homeSince']],
+    edits: [['duty/dist/duty.js', 'world.now() - memory.homeSince > HOME_RETURN_DELAY_MS', 'world.now() >= memory.homeSince']],
   },
   {
     name: 'claim-fight',
     rule: 'a duty changes hands as fast as rounds go',
     scenario: 'move-harmed',
     seeds: [14, 14],
-    edits: [['duty/dist/duty.js', 'if (world.now() - seen.at < DUTY_BEAT)', 'if (false)']],
+    edits: [['duty/dist/duty.js', 'if (world.now() - seen.at < FAILOVER_INTERVAL_MS)', 'if (false)']],
   },
   {
     name: 'history-short',
     rule: "an acknowledged change is missing at day's end",
     scenario: 'day-ends',
     seeds: [1, 1],
-    edits: [['base/dist/constants.js', 'HISTORY_KEPT = 2048', 'HISTORY_KEPT = 32']],
+    edits: [['base/dist/constants.js', 'MAX_HISTORY_ENTRIES = 2048', 'MAX_HISTORY_ENTRIES = 32']],
   },
   {
     name: 'leaving-talks',
     rule: 'an open transaction goes on at a leaving instance',
     scenario: 'leaving-through',
     seeds: [1, 12],
-    edits: [['proxy/dist/sessions.js', 'if (state.goneFor(tx.loan.instance) > LEAVING_WORK)', 'if (false)']],
+    edits: [['proxy/dist/sessions.js', 'if (state.goneFor(tx.loan.instance) > LEAVING_GRACE_MS)', 'if (false)']],
   },
   {
     name: 'caps',
@@ -379,14 +379,14 @@
     rule: 'majorities of two core sets have nobody in common',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['register/dist/coreset.js', '&& (set.next === undefined || hasMost(set.next, ids))', '']],
+    edits: [['register/dist/core-set.js', '&& (set.next === undefined || hasMost(set.next, ids))', '']],
   },
   {
     name: 'set-unfenced',
     rule: 'two core sets of one epoch',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['agent/dist/coreset.js', 'return epoch === from.epoch ?', 'return epoch !== next.epoch + 9 ?']],
+    edits: [['agent/dist/core-set-duty.js', 'return epoch === from.epoch ?', 'return epoch !== next.epoch + 9 ?']],
   },
   {
     name: 'removed-votes',
@@ -400,21 +400,21 @@
     rule: 'a newcomer that does not come leaves the set joint for ever',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['agent/dist/coreset.js', 'if (missing.length > 0 && gone.length === 0)', 'if (missing.length > 0)']],
+    edits: [['agent/dist/core-set-duty.js', 'if (missing.length > 0 && gone.length === 0)', 'if (missing.length > 0)']],
   },
   {
     name: 'hasty-replacement',
     rule: 'a voter that was away for a moment is replaced',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['agent/dist/voterplan.js', 'isFull ? CORE_GONE : VOTER_SILENT', '3000']],
+    edits: [['agent/dist/voter-plan.js', 'isFull ? CORE_GONE_MS : VOTER_SILENCE_MS', '3000']],
   },
   {
     name: 'pending-accepted',
     rule: 'a value that a majority is only writing is taken for chosen',
     test: 'registers.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/registers.js', 'if (k.pending === true)', 'if (false)']],
+    edits: [['agent/dist/register-cache.js', 'if (k.pending === true)', 'if (false)']],
   },
   {
     name: 'pending-untold',
@@ -428,7 +428,7 @@
     rule: 'a duty taken over waits for a leader that nobody hears',
     test: 'takeover.test.js',
     seeds: [1, 1],
-    edits: [['duty/dist/duty.js', 'strong || wentWithHolder(m, sight, told.good)', 'strong']],
+    edits: [['duty/dist/duty.js', 'strong || wentWithHolder(memory, sight, told.good)', 'strong']],
   },
   {
     name: 'old-storage',
@@ -438,7 +438,7 @@
     edits: [
       ['register/dist/core.js', 'const sameStorage = !lost && place.token === token;', 'const sameStorage = true;'],
       [
-        'register/dist/store.js',
+        'register/dist/register-store.js',
         "cells.clear(); floor = 0; keep('founded', next, token);",
         "keep('founded', next, token);",
       ],
@@ -450,7 +450,7 @@
     test: 'voterplan.test.js',
     seeds: [1, 1],
     edits: [
-      ['agent/dist/voterplan.js', 'quorumOf({ epoch: set.epoch, cores: voters, next }).met(well)', 'well.size > 0'],
+      ['agent/dist/voter-plan.js', 'quorumOf({ epoch: set.epoch, cores: voters, next }).met(well)', 'well.size > 0'],
     ],
   },
   {
@@ -458,14 +458,14 @@
     rule: 'the machine that replaces another joins beside it',
     test: 'voterplan.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/voterplan.js', 'const room = isDoubtful ? 0 :', 'const room =']],
+    edits: [['agent/dist/voter-plan.js', 'const room = isDoubtful ? 0 :', 'const room =']],
   },
   {
     name: 'even-stays',
     rule: 'a set of an even number keeps a voter that is gone in its quorum',
     test: 'voterplan.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/voterplan.js', 'if (gone.length === 0)', 'if (gone.length >= 0)']],
+    edits: [['agent/dist/voter-plan.js', 'if (gone.length === 0)', 'if (gone.length >= 0)']],
   },
   {
     name: 'disk-stays-failed',
@@ -486,14 +486,14 @@
     rule: 'a value chosen under the old set is at no quorum of the new one',
     test: 'controlguards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/coreset.js', 'if (!(await sweep(set))) return;', '']],
+    edits: [['agent/dist/core-set-duty.js', 'if (!(await sweep(set))) return;', '']],
   },
   {
     name: 'newcomer-sure',
     rule: 'a newcomer says that it knows of all leases, though others counted some before it voted',
     test: 'controlguards.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/terms.js', 'function doubt() { start = world.now(); }', 'function doubt() { }']],
+    edits: [['register/dist/leases.js', 'function doubt() { start = world.now(); }', 'function doubt() { }']],
   },
   {
     name: 'newcomer-unrefilled',
@@ -559,7 +559,7 @@
   {
     on: 'platform',
     name: 'platform-leaving',
-    rule: 'DRAIN: new work at an instance that leaves',
+    rule: 'DRAIN_TIMEOUT_MS: new work at an instance that leaves',
     scenario: 'all copies',
     seeds: [1, 3],
     edits: [['proxy/dist/interpret.js', ' || state.gone(one.name)', '']],
@@ -570,7 +570,7 @@
     rule: 'STALE: promotion before each proxy stopped or ran out of its term',
     scenario: 'split',
     seeds: [1, 6],
-    edits: [['duty/dist/duty.js', 'if (!(await stopped(turn, m.since)))', 'if (false)']],
+    edits: [['duty/dist/duty.js', 'if (!(await stopped(version, memory.since)))', 'if (false)']],
   },
   {
     on: 'platform',
@@ -596,12 +596,12 @@
     seeds: [1, 4],
     edits: [
       [
-        'register/dist/store.js',
+        'register/dist/register-store.js',
         "await save({ k: 'cell', key, promise: ballot, ballot, value });",
         "void save({ k: 'cell', key, promise: ballot, ballot, value });",
       ],
       [
-        'register/dist/store.js',
+        'register/dist/register-store.js',
         "await save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
         "void save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
       ],
@@ -612,14 +612,14 @@
     rule: 'a delta is applied to another value than the one that it builds on',
     test: 'deltas.test.js',
     seeds: [1, 2],
-    edits: [['register/dist/store.js', 'if (compareBallots(c.ballot, base) !== 0)', 'if (false)']],
+    edits: [['register/dist/register-store.js', 'if (compareBallots(entry.ballot, base) !== 0)', 'if (false)']],
   },
   {
     name: 'delta-replay-any-base',
     rule: 'a file that lacks a record is taken for whole',
     test: 'deltas.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/store.js', 'if (compareBallots(c.ballot, rec.base) !== 0)', 'if (false)']],
+    edits: [['register/dist/register-store.js', 'if (compareBallots(entry.ballot, rec.base) !== 0)', 'if (false)']],
   },
   {
     name: 'push-any-base',
@@ -643,42 +643,42 @@
     rule: 'a node holds duties before it knows what was settled while it was away',
     test: 'deltastorms.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/agent.js', 'if (current || registers.wants())', 'if (current)']],
+    edits: [['agent/dist/agent.js', 'if (current || registers.isBehind())', 'if (current)']],
   },
   {
     name: 'two-promotions',
     rule: 'one promotion call of a group is on its way at a time',
     test: 'promotions.test.js',
     seeds: [1, 1],
-    edits: [['duty/dist/calls.js', 'if (underWay.has(group))', 'if (false)']],
+    edits: [['duty/dist/promotion-calls.js', 'if (underWay.has(group))', 'if (false)']],
   },
   {
     name: 'promotion-after-term',
     rule: 'nothing is written once what allowed the call has ended',
     test: 'promotions.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/httpclient.js', 'if (may && !may())', 'if (false)']],
+    edits: [['base/dist/http-client.js', 'if (may && !may())', 'if (false)']],
   },
   {
     name: 'http-stray',
     rule: 'bytes that come while nothing is asked end the connection',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/httpclient.js', 'if (!asked) close();', '']],
+    edits: [['base/dist/http-client.js', 'if (!asked) close();', '']],
   },
   {
     name: 'http-two-asks',
     rule: 'one request is under way on a connection at a time',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/httpclient.js', 'if (closed.fired() || asked)', 'if (closed.fired())']],
+    edits: [['base/dist/http-client.js', 'if (closed.fired() || asked)', 'if (closed.fired())']],
   },
   {
     name: 'http-kept-unclear',
     rule: 'a connection whose answer did not come whole is closed',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/httpclient.js', 'if (r.err) close();', '']],
+    edits: [['base/dist/http-client.js', 'if (r.err) close();', '']],
   },
   {
     name: 'link-any-answer',
@@ -772,7 +772,7 @@
     rule: 'news of an instance is acknowledged once a majority has it',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/telling.js', 'untold.set(name, begun);', '']],
+    edits: [['agent/dist/instance-reports.js', 'untold.set(name, begun);', '']],
   },
   {
     name: 'beat-one-core',
@@ -786,14 +786,14 @@
     rule: 'no word is acknowledged while the last round reached no majority',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/telling.js', 'if (!reached) return false;', '']],
+    edits: [['agent/dist/instance-reports.js', 'if (!reached) return false;', '']],
   },
   {
     name: 'beat-same-round',
     rule: 'news is told by a round that began after it',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/telling.js', 'if (at < round)', 'if (true)']],
+    edits: [['agent/dist/instance-reports.js', 'if (at < round)', 'if (true)']],
   },
   {
     name: 'call-without-term',
@@ -814,7 +814,7 @@
     rule: 'a seed that tells no later set is passed over',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/coreset.js', '&& (told.val.epoch ?? 0) > above', '']],
+    edits: [['register/dist/core-set.js', '&& (told.val.epoch ?? 0) > above', '']],
   },
   {
     name: 'look-again-any',
@@ -832,7 +832,7 @@
     edits: [
       [
         'agent/dist/agent.js',
-        'const got = await proposer.look(CONFIG_KEY, CHANGE_ANSWER);',
+        'const got = await proposer.look(CONFIG_KEY, CHANGE_ANSWER_TIMEOUT_MS);',
         'const got = { done: true, value: known.get(CONFIG_KEY)?.value };',
       ],
       ['agent/dist/agent.js', 'if (isCutOff()) return undefined;', ''],
@@ -873,7 +873,7 @@
     rule: 'a proxy is handed nothing beyond the term',
     test: '../../../../platform/dist/test/cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/agent.js', 'const until = Math.min(k.until, termUntil);', 'const until = now + TERM;']],
+    edits: [['agent/dist/agent.js', 'const until = Math.min(k.currentUntil, termUntil);', 'const until = now + LEASE_DURATION_MS;']],
   },
   {
     on: 'platform',
@@ -881,7 +881,7 @@
     rule: 'an instance that is not kept is not acknowledged',
     test: '../../../../platform/dist/test/control.test.js',
     seeds: [1, 1],
-    edits: [['../platform/dist/control.js', 'if (!desk.heard(got.val))', 'if (!desk.heard(got.val) && false)']],
+    edits: [['../platform/dist/control.js', 'if (!desk.heardInstance(got.val))', 'if (!desk.heardInstance(got.val) && false)']],
   },
   // Racing and repeated orders (docs/design/control-safety.md, 2).
   {
@@ -916,7 +916,7 @@
     rule: 'an order that an earlier program dropped is refused when it is sent again',
     test: 'packages/operator/dist/test/orders.test.js',
     seeds: [1, 1],
-    edits: [['operator/dist/kept.js', 'named ? NAMED_KEPT_LEAST : HISTORY_KEPT', '1024']],
+    edits: [['operator/dist/kept.js', 'named ? MIN_NAMED_CHANGES : MAX_HISTORY_ENTRIES', '1024']],
   },
   {
     name: 'coming-refused',
@@ -953,7 +953,7 @@
     rule: 'an order that was taken is refused after some changes',
     test: 'platform/dist/test/orders.test.js',
     seeds: [1, 1],
-    edits: [['operator/dist/kept.js', 'lastOf(body.history, true, NAMED_KEPT - 1)', 'lastOf(body.history, true, 200)']],
+    edits: [['operator/dist/kept.js', 'lastOf(body.history, true, MAX_NAMED_CHANGES - 1)', 'lastOf(body.history, true, 200)']],
   },
   {
     name: 'losses-of-the-whole',
@@ -961,7 +961,7 @@
     test: 'corestatus.test.js',
     seeds: [1, 1],
     edits: [
-      ['register/dist/coreset.js', 'set.next === undefined ? [set.cores] : [set.cores, set.next]', '[set.cores]'],
+      ['register/dist/core-set.js', 'set.next === undefined ? [set.cores] : [set.cores, set.next]', '[set.cores]'],
     ],
   },
   {
@@ -1000,7 +1000,7 @@
     rule: 'what a fleet tells of its members while it starts grows with the square of its nodes, not nine times that',
     test: 'members.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/agent.js', 'set.http === undefined ? MEMBER_SOURCES : Infinity', 'Infinity']],
+    edits: [['agent/dist/agent.js', 'set.http === undefined ? MEMBER_SOURCE_COUNT : Infinity', 'Infinity']],
   },
   {
     name: 'member-sources-stay',
@@ -1008,7 +1008,7 @@
     test: 'members.test.js',
     seeds: [1, 1],
     edits: [
-      ['agent/dist/member-sources.js', 'candidate.isUp && world.now() - candidate.heard <= MEMBER_SOURCE_QUIET', 'true'],
+      ['agent/dist/member-sources.js', 'candidate.isUp && world.now() - candidate.heard <= MEMBER_SOURCE_SILENCE_MS', 'true'],
     ],
   },
 ]
