--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -300,7 +300,13 @@
     rule: 'an open transaction goes on in a lane that was moved',
     scenario: 'lanes-changed',
     seeds: [1, 8],
-    edits: [['proxy/dist/sessions.js', 'if (tx.stray !== undefined && world.now() - tx.stray > DRAIN_TIMEOUT_MS)', 'if (false)']],
+    edits: [
+      [
+        'proxy/dist/sessions.js',
+        'if (tx.stray !== undefined && world.now() - tx.stray > DRAIN_TIMEOUT_MS)',
+        'if (false)',
+      ],
+    ],
   },
   {
     name: 'move-no-wait',
@@ -334,7 +340,9 @@
     rule: 'a leader is brought home without a pause',
     scenario: 'homecoming',
     seeds: [1, 2],
-    edits: [['duty/dist/duty.js', 'world.now() - memory.homeSince > HOME_RETURN_DELAY_MS', 'world.now() >= memory.homeSince']],
+    edits: [
+      ['duty/dist/duty.js', 'world.now() - memory.homeSince > HOME_RETURN_DELAY_MS', 'world.now() >= memory.homeSince'],
+    ],
   },
   {
     name: 'claim-fight',
@@ -873,7 +881,13 @@
     rule: 'a proxy is handed nothing beyond the term',
     test: '../../../../platform/dist/test/cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/agent.js', 'const until = Math.min(k.currentUntil, termUntil);', 'const until = now + LEASE_DURATION_MS;']],
+    edits: [
+      [
+        'agent/dist/agent.js',
+        'const until = Math.min(k.currentUntil, termUntil);',
+        'const until = now + LEASE_DURATION_MS;',
+      ],
+    ],
   },
   {
     on: 'platform',
@@ -881,7 +895,13 @@
     rule: 'an instance that is not kept is not acknowledged',
     test: '../../../../platform/dist/test/control.test.js',
     seeds: [1, 1],
-    edits: [['../platform/dist/control.js', 'if (!desk.heardInstance(got.val))', 'if (!desk.heardInstance(got.val) && false)']],
+    edits: [
+      [
+        '../platform/dist/control.js',
+        'if (!desk.heardInstance(got.val))',
+        'if (!desk.heardInstance(got.val) && false)',
+      ],
+    ],
   },
   // Racing and repeated orders (docs/design/control-safety.md, 2).
   {
@@ -953,7 +973,9 @@
     rule: 'an order that was taken is refused after some changes',
     test: 'platform/dist/test/orders.test.js',
     seeds: [1, 1],
-    edits: [['operator/dist/kept.js', 'lastOf(body.history, true, MAX_NAMED_CHANGES - 1)', 'lastOf(body.history, true, 200)']],
+    edits: [
+      ['operator/dist/kept.js', 'lastOf(body.history, true, MAX_NAMED_CHANGES - 1)', 'lastOf(body.history, true, 200)'],
+    ],
   },
   {
     name: 'losses-of-the-whole',
@@ -1008,7 +1030,11 @@
     test: 'members.test.js',
     seeds: [1, 1],
     edits: [
-      ['agent/dist/member-sources.js', 'candidate.isUp && world.now() - candidate.heard <= MEMBER_SOURCE_SILENCE_MS', 'true'],
+      [
+        'agent/dist/member-sources.js',
+        'candidate.isUp && world.now() - candidate.heard <= MEMBER_SOURCE_SILENCE_MS',
+        'true',
+      ],
     ],
   },
 ]
