--- a/packages/base/src/constants.ts
+++ b/packages/base/src/constants.ts
@@ -150,6 +150,9 @@
 export const SUMMARY_INTERVAL_MS = 500
 // ms. Longest pause between two summaries of a node that has something to say, though nothing of it changed.
 export const SUMMARY_MAX_INTERVAL_MS = 2000
+// ms. What each proxy's node adds to the pause between summaries that tell all others nothing new: every node then hears at
+// most 20 of them a second. Up to ten such nodes the pause stays what it was.
+export const SUMMARY_SPACING_MS = 50
 // count. Beats on which a change is told, as datagrams are lost now and then.
 export const SUMMARY_REPEATS = 3
 // ms. A summary older than this is no longer a hint: two slow ones may be lost.
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -7,7 +7,7 @@
   RequestError,
   InstanceAddress,
 } from '@claynotch/instance'
-import { lendable, type Config } from '@claynotch/operator'
+import { isShareBelowOne, lendable, type Config } from '@claynotch/operator'
 import { makePool, startWatch, type Instance, type ConnectionRequirements, type State } from '@claynotch/proxy'
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
@@ -135,6 +135,40 @@
 }
 void t.test('the pool against a plain model of connections', lends)
 
+// Fewer connections than proxies: one that is given back is open for nobody, so that others can have it.
+async function closesAfterUse(c: Test): Promise<void> {
+  async function run(world: World): Promise<void> {
+    const lines: Line[] = []
+    const pool = makePool(world, modelEdge(lines, 3), makeFlag(), makeMetrics())
+    const need: ConnectionRequirements = {
+      database: 'd',
+      settings: [],
+      shapes: new Map(),
+      team: '',
+      share: 1,
+      closesAfterUse: true,
+    }
+    function borrow() {
+      return pool.borrow(who, 1, need, { free: 200, dial: 100 }, makeFlag())
+    }
+    const first = await borrow()
+    if (first.err) throw new Error(first.val.why)
+    const second = borrow()
+    await pause(world, 10)
+    first.val.end(true)
+    const handed = await second
+    if (handed.err) throw new Error(handed.val.why)
+    c.equal(lines.length, 1, 'whoever waits is given the same connection')
+    c.equal(lines[0].open, true)
+    handed.val.end(true)
+    c.equal(lines[0].open, false, 'nobody waits: it is closed')
+    c.equal(pool.open(who.name), 0)
+    pool.close()
+  }
+  await inWorld(run)
+}
+void t.test('a connection of which there are fewer than proxies is not kept idle', closesAfterUse)
+
 async function dials(c: Test): Promise<void> {
   async function run(world: World): Promise<void> {
     const lines: Line[] = []
@@ -218,6 +252,11 @@
   c.equal(lendable(config, 'g', 9), 9, 'a ninth, less the one that is kept back')
   c.equal(lendable(config, 'g', 1), 91)
   c.ok(lendable(config, 'g', 200) >= 1, 'never none')
+  c.strictSame(
+    [isShareBelowOne(config, 'g', 92), isShareBelowOne(config, 'g', 93), isShareBelowOne(config, 'none', 93)],
+    [false, true, false],
+    'more proxies than connections',
+  )
   for (let live = 1; live <= 40; live++)
     c.ok(live * lendable(config, 'g', live) <= 92, `${live} live proxies together stay under the limit`)
   c.end()
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -77,6 +77,15 @@
   return 0
 }
 
+/**
+ * Whether there are fewer connections to an instance than proxies that share them by the live members. A proxy that kept one
+ * idle would keep others from having any.
+ */
+export function isShareBelowOne(config: Config, group: string, live: number): boolean {
+  for (const g of config.groups) if (g.name === group) return config.proxies === 'live' && g.connections < live
+  return false
+}
+
 export function guardOf(config: Config | undefined, group: string): number | undefined {
   for (const g of config?.groups ?? []) if (g.name === group) return g.guard
   return undefined
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -13,6 +13,7 @@
   SUMMARY_LIFETIME_MS,
   SUMMARY_LIMIT_BYTES,
   SUMMARY_MAX_INTERVAL_MS,
+  SUMMARY_SPACING_MS,
   type Address,
   type Flag,
   type Metrics,
@@ -97,15 +98,23 @@
     for (const [, , retries] of tries) if (retries > 0) return true
     return false
   }
+  /** ms between two summaries to all that tell nothing new: each node hears so many of them, however many nodes there are. */
+  function intervalOf(sum: Omit<Summary, 'seen' | 'bad'>): number {
+    if (sum.moving.length === 0 && sum.leaving.length === 0 && sum.tries.length === 0) return Infinity
+    const isQuick = sum.moving.length > 0 || hasRetries(sum.tries)
+    let receivers = 0
+    for (const peer of members()) if (peer.proxy) receivers++
+    const spacing = receivers * SUMMARY_SPACING_MS
+    const least = isQuick ? 0 : SUMMARY_MAX_INTERVAL_MS
+    return spacing <= SUMMARY_INTERVAL_MS ? least : Math.max(least, spacing)
+  }
   function send(): void {
     const sum = mine.all()
     const now = world.now()
     const text = JSON.stringify([sum.moving, sum.leaving])
     if (text !== said) again = SUMMARY_REPEATS
     said = text
-    const holds = sum.moving.length > 0 || sum.leaving.length > 0 || sum.tries.length > 0
-    const due =
-      again > 0 || sum.moving.length > 0 || hasRetries(sum.tries) || (holds && now - slow >= SUMMARY_MAX_INTERVAL_MS)
+    const due = again > 0 || now - slow >= intervalOf(sum)
     if (again > 0) again--
     if (due) slow = now
     for (const to of members()) {
--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -25,7 +25,7 @@
   type Result,
 } from '@claynotch/base'
 import type { StatementResult, InstanceAdapter, LogPosition, RequestError } from '@claynotch/instance'
-import { guardOf, lendable } from '@claynotch/operator'
+import { guardOf, isShareBelowOne, lendable } from '@claynotch/operator'
 import { refusal, type Verdict } from '@claynotch/requester'
 import { floorOf, isForeign, isFresh, needOf, provedWithin, type Token } from './freshness.js'
 import type { CheckedOutConnection, ConnectionRequirements, Pool } from './pool.js'
@@ -418,10 +418,12 @@
   async function borrow(call: Call): Promise<Turn> {
     const { instance } = call.target!
     const config = state.config()
-    const limit = config ? lendable(config, call.lane.group, state.live()) : 0
+    const { group } = call.lane
+    const limit = config ? lendable(config, group, state.live()) : 0
+    const closesAfterUse = config !== undefined && isShareBelowOne(config, group, state.live())
     instance.usage++
     const asked = world.now()
-    const got = await pool.borrow(instance, limit, call.need, waits(call), call.gone)
+    const got = await pool.borrow(instance, limit, { ...call.need, closesAfterUse }, waits(call), call.gone)
     instance.usage--
     if (got.ok) {
       call.loan = got.val
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -19,6 +19,8 @@
   shapes: Map<string, string>
   team: string
   share: number
+  /** The connection isn't kept idle, as there are fewer of them than proxies: who gives it back closes it. */
+  closesAfterUse?: boolean
 }
 
 // Invariants:
@@ -254,7 +256,9 @@
       over = true
       p.lent--
       usageOf(p, need.team, -1)
-      if (clean && conn.port.alive() && places.get(instance) === p && count(p) < p.limit && !stop.fired()) {
+      const isKept = need.closesAfterUse !== true || p.waiters.length > 0
+      const hasRoom = places.get(instance) === p && count(p) < p.limit
+      if (clean && conn.port.alive() && hasRoom && isKept && !stop.fired()) {
         conn.idleSince = world.now()
         p.idle.push(conn)
       } else conn.port.close()
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -1037,4 +1037,18 @@
       ],
     ],
   },
+  {
+    name: 'summaries-each-to-each',
+    rule: 'what a node hears of the others is bounded',
+    test: 'summaries.test.js',
+    seeds: [1, 1],
+    edits: [['peer/dist/index.js', 'const spacing = receivers * SUMMARY_SPACING_MS;', 'const spacing = 0;']],
+  },
+  {
+    name: 'scarce-kept-idle',
+    rule: 'a connection is not kept idle where there are fewer than proxies',
+    test: 'lend.test.js',
+    seeds: [1, 1],
+    edits: [['proxy/dist/pool.js', 'need.closesAfterUse !== true || p.waiters.length > 0', 'true']],
+  },
 ]
