--- a/packages/duty/src/duty.ts
+++ b/packages/duty/src/duty.ts
@@ -66,7 +66,7 @@
   // What the nodes that have a proxy told last.
   reports: () => InstanceObservations[]
   // A majority's word on the members; undefined without a majority.
-  askMembers: () => Promise<{ members: Member[]; sure: boolean } | undefined>
+  askMembers: () => Promise<{ members: Member[]; isComplete: boolean } | undefined>
   // The configuration as this node knows it.
   body: () => Body | undefined
   metrics: Metrics
@@ -187,7 +187,7 @@
 ): Promise<boolean> {
   if (world.now() - since > LEASE_DURATION_MS + 2 * LEASE_CLOCK_SLACK_MS) return true
   const got = await view.askMembers()
-  if (!got || !got.sure) return false
+  if (!got || !got.isComplete) return false
   for (const m of got.members) if (!hasAcked(m, key, version)) return false
   return true
 }
--- a/packages/fleet/src/test/changes.test.ts
+++ b/packages/fleet/src/test/changes.test.ts
@@ -281,22 +281,22 @@
   }
 }
 function words(c: Test): void {
-  const old = { sight: sight(7, { leaving: true }), at: 1000 }
-  c.equal(laterStatus(old, sight(6), 1500).sight.leaving, true, 'one held up on its way takes nothing back')
-  c.equal(laterStatus(old, sight(8), 1500).sight.leaving, false, 'ready again after it was leaving')
-  c.equal(laterStatus(old, sight(8), 900).sight.sequence, 8, 'a later word that was heard earlier elsewhere')
+  const old = { status: sight(7, { leaving: true }), at: 1000 }
+  c.equal(laterStatus(old, sight(6), 1500).status.leaving, true, 'one held up on its way takes nothing back')
+  c.equal(laterStatus(old, sight(8), 1500).status.leaving, false, 'ready again after it was leaving')
+  c.equal(laterStatus(old, sight(8), 900).status.sequence, 8, 'a later word that was heard earlier elsewhere')
   c.equal(
-    laterStatus(old, sight(1), 1000 + MAX_ANNOUNCEMENT_DELAY_MS).sight.sequence,
+    laterStatus(old, sight(1), 1000 + MAX_ANNOUNCEMENT_DELAY_MS).status.sequence,
     1,
     'one that starts anew, once nothing can be on its way any more',
   )
   c.equal(
-    laterStatus(old, sight(1, { addr: '10.0.0.2:1' }), 1500).sight.sequence,
+    laterStatus(old, sight(1, { addr: '10.0.0.2:1' }), 1500).status.sequence,
     1,
     'another life, at another address',
   )
-  c.equal(laterStatus(old, sight(undefined), 1500).sight.sequence, undefined, 'without a count, by time')
-  c.equal(laterStatus({ sight: sight(undefined), at: 1000 }, sight(3), 900).sight.sequence, undefined)
+  c.equal(laterStatus(old, sight(undefined), 1500).status.sequence, undefined, 'without a count, by time')
+  c.equal(laterStatus({ status: sight(undefined), at: 1000 }, sight(3), 900).status.sequence, undefined)
   // Two nodes that hear the same words in whatever order come to hold the same.
   const rnd = makeRandom(3)
   for (let k = 0; k < 400; k++) {
@@ -306,9 +306,9 @@
         s: sight(n, { leaving: n > 3, role: n % 2 ? 'leader' : 'follower' }),
         at: 1000 + rnd() * (MAX_ANNOUNCEMENT_DELAY_MS - 1),
       })
-    let has: { sight: InstanceStatus; at: number } | undefined
+    let has: { status: InstanceStatus; at: number } | undefined
     for (const one of shuffle(said, rnd)) has = laterStatus(has, one.s, one.at)
-    if (has?.sight.sequence !== 5) c.fail(`held ${has?.sight.sequence} of 0 to 5`)
+    if (has?.status.sequence !== 5) c.fail(`held ${has?.status.sequence} of 0 to 5`)
   }
 }
 function shuffle<T>(list: T[], rnd: () => number): T[] {
--- a/packages/fleet/src/test/pictures.test.ts
+++ b/packages/fleet/src/test/pictures.test.ts
@@ -123,7 +123,7 @@
   const members = new Map<string, MemberEntry>()
   for (const [node, one] of p.members()) members.set(node, one.line)
   const sights = new Map<string, InstanceStatus>()
-  for (const [name, one] of p.instances()) sights.set(name, one.sight)
+  for (const [name, one] of p.instances()) sights.set(name, one.status)
   return show({ keys: p.registers(), members, sights })
 }
 
--- a/packages/register/src/core-view.ts
+++ b/packages/register/src/core-view.ts
@@ -71,8 +71,8 @@
   reset: () => void
   registers: () => Map<string, RegisterSummary>
   members: () => Map<string, { line: MemberEntry; at: number }>
-  // at: when the announcement behind the sight was heard, by this machine's clock.
-  instances: () => Map<string, { sight: InstanceStatus; at: number }>
+  // at: when the announcement behind the status was heard, by this machine's clock.
+  instances: () => Map<string, { status: InstanceStatus; at: number }>
   // When it last answered; what it tells is alive as of then.
   heard: () => number
 }
@@ -83,7 +83,7 @@
   let heard = -Infinity
   let keys = new Map<string, RegisterSummary>()
   let members = new Map<string, { line: MemberEntry; at: number }>()
-  let instances = new Map<string, { sight: InstanceStatus; at: number }>()
+  let instances = new Map<string, { status: InstanceStatus; at: number }>()
 
   function reset(): void {
     core = ''
@@ -124,7 +124,7 @@
   function membersNow(): Map<string, { line: MemberEntry; at: number }> {
     return members
   }
-  function sightsNow(): Map<string, { sight: InstanceStatus; at: number }> {
+  function instancesNow(): Map<string, { status: InstanceStatus; at: number }> {
     return instances
   }
   function heardNow(): number {
@@ -137,7 +137,7 @@
     reset,
     registers: keysNow,
     members: membersNow,
-    instances: sightsNow,
+    instances: instancesNow,
     heard: heardNow,
   }
 }
--- a/packages/register/src/leases.ts
+++ b/packages/register/src/leases.ts
@@ -53,14 +53,14 @@
 export function makeLeases(world: World): Leases {
   let start = world.now()
   const terms = new Map<string, Term>()
-  const seen = new Map<string, { sight: InstanceStatus; at: number }>()
+  const seen = new Map<string, { status: InstanceStatus; at: number }>()
   let revision = 0
 
   function see(s: InstanceStatus, now: number): void {
     const old = seen.get(s.name)
     const next = laterStatus(old, s, now - s.age)
     seen.set(s.name, next)
-    if (!old || signStatus(old.sight) !== signStatus(next.sight)) revision++
+    if (!old || signStatus(old.status) !== signStatus(next.status)) revision++
   }
   function expire(): void {
     const now = world.now()
@@ -70,7 +70,7 @@
       revision++
     }
     for (const [name, one] of seen) {
-      if (now - one.at <= (one.sight.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) continue
+      if (now - one.at <= (one.status.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) continue
       seen.delete(name)
       revision++
     }
@@ -138,12 +138,12 @@
     expire()
     const now = world.now()
     const out: InstanceStatus[] = []
-    for (const one of seen.values()) out.push({ ...one.sight, age: now - one.at })
+    for (const one of seen.values()) out.push({ ...one.status, age: now - one.at })
     return out
   }
-  function sight(name: string): InstanceStatus | undefined {
+  function status(name: string): InstanceStatus | undefined {
     const one = seen.get(name)
-    return one && { ...one.sight, age: world.now() - one.at }
+    return one && { ...one.status, age: world.now() - one.at }
   }
   function revisionNow(): number {
     expire()
@@ -162,7 +162,7 @@
     members,
     memberEntries: memberLines,
     instances: sights,
-    instance: sight,
+    instance: status,
     revision: revisionNow,
     isComplete: sure,
     beginUnknown: doubt,
--- a/packages/register/src/messages.ts
+++ b/packages/register/src/messages.ts
@@ -133,7 +133,7 @@
 // sure: false while this core has run for less than a whole term, as it may have forgotten members. unknown: this core has
 // no Self of the node and asks for a whole renewal. replaced: another life of the node holds its term.
 // core, since, count: the lines are what changed in this life of the core from since to count; since 0: all there is.
-// left, lost: members and instances that went. A sight is told when what it says changes, with its age; it is alive until lost.
+// left, lost: members and instances that went. A status is told when what it says changes, with its age; it is alive until lost.
 export const LeaseRenewalAnswer = t.intersection([
   t.type({ ok: t.boolean }),
   t.partial({
@@ -163,21 +163,21 @@
   if (a.sequence === undefined || b.sequence === undefined || a.sequence === b.sequence) return bAt > aAt
   return a.addr === b.addr && Math.abs(bAt - aAt) < MAX_ANNOUNCEMENT_DELAY_MS ? b.sequence > a.sequence : bAt > aAt
 }
-/** What an instance says, as text; neither the sight's age nor how far the instance has counted. */
-export function signStatus(sight: InstanceStatus): string {
-  return `${sight.group} ${sight.addr} ${sight.area} ${sight.role} ${sight.leaving}`
+/** What an instance says, as text; neither the status's age nor how far the instance has counted. */
+export function signStatus(status: InstanceStatus): string {
+  return `${status.group} ${status.addr} ${status.area} ${status.role} ${status.leaving}`
 }
 // Of two sights of one instance the later, with the earliest notice of either.
 export function laterStatus(
-  old: { sight: InstanceStatus; at: number } | undefined,
+  old: { status: InstanceStatus; at: number } | undefined,
   next: InstanceStatus,
   at: number,
-): { sight: InstanceStatus; at: number } {
-  if (!old) return { sight: next, at }
-  const late = isLater(next, at, old.sight, old.at) ? { sight: next, at } : old
-  if (!next.leaving || !old.sight.leaving) return late
+): { status: InstanceStatus; at: number } {
+  if (!old) return { status: next, at }
+  const late = isLater(next, at, old.status, old.at) ? { status: next, at } : old
+  if (!next.leaving || !old.status.leaving) return late
   return {
-    sight: { ...late.sight, gone: late.at - Math.min(at - (next.gone ?? 0), old.at - (old.sight.gone ?? 0)) },
+    status: { ...late.status, gone: late.at - Math.min(at - (next.gone ?? 0), old.at - (old.status.gone ?? 0)) },
     at: late.at,
   }
 }
--- a/packages/register/src/renewals.ts
+++ b/packages/register/src/renewals.ts
@@ -26,7 +26,7 @@
   const count = { at: 0 }
   const keyTable = makeChangeTable(count, signKey)
   const memberTable = makeChangeTable(count, signMember)
-  const sightTable = makeChangeTable(count, signStatus)
+  const instanceTable = makeChangeTable(count, signStatus)
 
   // tallied: the revision of members and instances that the tables hold; they are walked only where it changed.
   let tallied = -1
@@ -41,12 +41,12 @@
     const members = new Map<string, MemberEntry>()
     for (const line of leases.memberEntries()) members.set(line.node, line)
     const instances = new Map<string, InstanceStatus>()
-    for (const sight of leases.instances()) instances.set(sight.name, sight)
+    for (const status of leases.instances()) instances.set(status.name, status)
     memberTable.update(members)
-    sightTable.update(instances)
+    instanceTable.update(instances)
   }
   // As they are now, with their age: the table's may be older, and say the same.
-  function sightsNow(lines: InstanceStatus[]): InstanceStatus[] {
+  function instancesNow(lines: InstanceStatus[]): InstanceStatus[] {
     const out: InstanceStatus[] = []
     for (const line of lines) out.push(leases.instance(line.name) ?? line)
     return out
@@ -55,11 +55,11 @@
     const end = leases.renew(renewal)
     if (end !== 'held') return { ok: false, [end]: true }
     tally()
-    const whole = renewal.core !== life || renewal.count < Math.max(memberTable.least(), sightTable.least())
+    const whole = renewal.core !== life || renewal.count < Math.max(memberTable.least(), instanceTable.least())
     const since = whole ? 0 : renewal.count
     const keys = keyTable.since(since).lines
     const members = renewal.brief === true ? NO_LINES : memberTable.since(since)
-    const instances = sightTable.since(since)
+    const instances = instanceTable.since(since)
     metrics.add('claynotch_core_member_lines_total', [], members.lines.length)
     return {
       ok: true,
@@ -69,7 +69,7 @@
       count: count.at,
       ...(keys.length > 0 ? { keys } : {}),
       ...(members.lines.length > 0 ? { members: members.lines } : {}),
-      ...(instances.lines.length > 0 ? { sights: sightsNow(instances.lines) } : {}),
+      ...(instances.lines.length > 0 ? { sights: instancesNow(instances.lines) } : {}),
       ...(members.gone.length > 0 ? { left: members.gone } : {}),
       ...(instances.gone.length > 0 ? { lost: instances.gone } : {}),
     }
--- a/tools/mutants.js
+++ b/tools/mutants.js
@@ -2,7 +2,17 @@
 // is meant to catch it, or the test named instead (its seeds are those of random histories), and expects findings. A mutant that no seed catches is reported as MISSED, exit 1.
 //   node tools/mutants.js [name, or on:platform, or --check: only whether each guard stands in the build]
 import { spawn } from 'node:child_process'
-import { cpSync, mkdirSync, mkdtempSync, readdirSync, readFileSync, rmSync, symlinkSync, writeFileSync } from 'node:fs'
+import {
+  cpSync,
+  existsSync,
+  mkdirSync,
+  mkdtempSync,
+  readdirSync,
+  readFileSync,
+  rmSync,
+  symlinkSync,
+  writeFileSync,
+} from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join, resolve } from 'node:path'
 import { mutants } from './mutants.list.js'
@@ -46,10 +56,19 @@
   }
 }
 
-// Every guard must stand once in the build, or its mutant shows nothing.
+// A test by its name alone is one of the fleet's; else its place in the build is given.
+function testOf(dir, m) {
+  return m.test?.includes('/') ? join(dir, m.test) : join(dir, 'packages/fleet/dist/test', m.test ?? '')
+}
+
+// Every guard must stand once in the build and its test be there, or its mutant shows nothing.
 function checkPatterns() {
   let faults = 0
   for (const m of mutants) {
+    if (m.test !== undefined && !existsSync(testOf(root, m))) {
+      faults++
+      process.stdout.write(`${m.name}: there is no test ${m.test}\n`)
+    }
     for (const [file, from] of m.edits) {
       const count = [...readFileSync(join(root, 'packages', file), 'utf8').matchAll(patternOf(from))].length
       if (count === 1) continue
@@ -72,8 +91,7 @@
     String(seed),
   ]
   const platform = [join(dir, 'platform/dist/test/sweep.js'), m.scenario, String(seed), String(seed)]
-  // A test by its name alone is one of the fleet's; else its place in the build is given.
-  const test = m.test?.includes('/') ? join(dir, m.test) : join(dir, 'packages/fleet/dist/test', m.test ?? '')
+  const test = testOf(dir, m)
   const args = m.test ? [test] : m.on === 'platform' ? platform : own
   function start(done) {
     const child = spawn(process.execPath, args, {
