--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -20,7 +20,7 @@
   type PersistentLink,
   type World,
 } from '@claynotch/base'
-import { startFailover, startRouteMoves } from '@claynotch/duty'
+import { startFailover, startRouteMoves } from '@claynotch/failover'
 import type { Announcement } from '@claynotch/instance'
 import { CONFIG_KEY, makeOperatorEdge, type Body, type Credential, type Edit } from '@claynotch/operator'
 import { startPeers, type Summary } from '@claynotch/peer'
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -14,7 +14,7 @@
   type PersistentLink,
   type World,
 } from '@claynotch/base'
-import { holderOf } from '@claynotch/duty'
+import { holderOf } from '@claynotch/failover'
 import {
   CoreSet,
   CORESET_KEY,
--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -1,5 +1,5 @@
 import { MAX_KNOWN_INSTANCES, SUMMARY_VERSION, type World } from '@claynotch/base'
-import { holderOf, type InstanceObservations } from '@claynotch/duty'
+import { holderOf, type InstanceObservations } from '@claynotch/failover'
 import type { Saying, Summary } from '@claynotch/peer'
 import { groupKey, type GroupRecord, type ProxyReport } from '@claynotch/register'
 import type { InstanceTable } from './instance-table.js'
--- /dev/null
+++ b/packages/failover/src/index.ts
@@ -0,0 +1,6 @@
+export * from './duty-holder.js'
+export * from './evidence.js'
+export * from './failover-view.js'
+export * from './failover.js'
+export * from './promotion-calls.js'
+export * from './route-moves.js'
--- a/packages/duty/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -13,7 +13,9 @@
 import { comparePositions, type LogPosition, type Status } from '@claynotch/instance'
 import { callOff, CONFIG_KEY, stepMove, switchMove, type Body, type Move } from '@claynotch/operator'
 import { groupKey, type GroupRecord, type RegisterValue } from '@claynotch/register'
-import { addressOf, haveStopped, holderOf, leadsAs, type FailoverView } from './duty.js'
+import { holderOf } from './duty-holder.js'
+import type { Duty } from './failover.js'
+import { addressOf, haveStopped, leadsAs, type FailoverView } from './failover-view.js'
 
 // Moves of lanes from one group to another: docs/design/moves.md. Every step is a change of the configuration's register
 // that names the move and the phase it was in, so whoever holds the duty goes on from what the register says, and one
@@ -29,7 +31,7 @@
   heads: { at: number; mark: LogPosition }[]
 }
 
-export function startRouteMoves(world: World, view: FailoverView, stop: Flag): { ring: () => void } {
+export function startRouteMoves(world: World, view: FailoverView, stop: Flag): Duty {
   const signal: Signal = makeSignal()
   const memories = new Map<number, Memory>()
   let count = 0
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -1,4 +1,4 @@
-import { holderOf } from '@claynotch/duty'
+import { holderOf } from '@claynotch/failover'
 import type { Body, Config, Move } from '@claynotch/operator'
 import { leaderIndex, newestOf, pick, wait, type Scenario } from './harm.js'
 import { lawOf, smallShape, type Decided, type Shape, type SimFleet } from './simfleet.js'
--- a/packages/fleet/src/spent.ts
+++ b/packages/fleet/src/spent.ts
@@ -6,7 +6,7 @@
 const rules: Rule[] = [
   { file: 'peer/dist/', mechanism: 'summaries' },
   { file: 'node:dgram', mechanism: 'summaries' },
-  { file: 'duty/dist/', mechanism: 'duty' },
+  { file: 'failover/dist/', mechanism: 'duty' },
   { file: 'register/dist/leases.js', mechanism: 'terms' },
   { file: 'register/dist/proposer.js', mechanism: 'registers' },
   { file: 'register/dist/register-store.js', mechanism: 'registers' },
--- a/packages/fleet/src/test/capacity.test.ts
+++ b/packages/fleet/src/test/capacity.test.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs'
 import t, { type Test } from 'tap'
 import { encode } from '@claynotch/base'
-import { holderOf } from '@claynotch/duty'
+import { holderOf } from '@claynotch/failover'
 import { groupKey } from '@claynotch/register'
 import {
   breaksAt,
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -1,7 +1,7 @@
 import t, { type Test } from 'tap'
 import { ownAdapters as ownAgentEdges, type AgentAdapters } from '@claynotch/agent'
 import { pause, type Address, type World } from '@claynotch/base'
-import { weighEvidence, type InstanceObservations } from '@claynotch/duty'
+import { weighEvidence, type InstanceObservations } from '@claynotch/failover'
 import type { Promotion, PromotionEnd } from '@claynotch/host'
 import { ownAdapters as ownProxyEdges } from '@claynotch/proxy'
 import { httpInstance, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
--- a/packages/fleet/src/test/parts.test.ts
+++ b/packages/fleet/src/test/parts.test.ts
@@ -19,7 +19,7 @@
   type Decision,
 } from '@claynotch/operator'
 import { backoff, floorOf, isFresh, makeBreaker, makeTokens, needOf, type Sample } from '@claynotch/proxy'
-import { holderOf } from '@claynotch/duty'
+import { holderOf } from '@claynotch/failover'
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
 
--- a/packages/fleet/src/test/promotions.test.ts
+++ b/packages/fleet/src/test/promotions.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import { makeFlag, pause, serveHttp, type HttpRequest, type Flag, type HttpResponse, type World } from '@claynotch/base'
-import { onePerGroup } from '@claynotch/duty'
+import { onePerGroup } from '@claynotch/failover'
 import { promote, type Promotion, type PromotionEnd } from '@claynotch/host'
 import { makeSim } from '../sim.js'
 
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -98,7 +98,13 @@
     rule: 'promotion before each proxy stopped or ran out of its term',
     scenario: 'split',
     seeds: [1, 12],
-    edits: [['duty/dist/duty.js', 'if (!(await stopped(version, memory.since)))', 'if (false)']],
+    edits: [
+      [
+        'failover/dist/promotion.js',
+        'if (!(await haveStopped(world, view, groupKey(group), version, memory.since)))',
+        'if (false)',
+      ],
+    ],
   },
   {
     name: 'pool-unclear',
@@ -211,9 +217,9 @@
     seeds: [1, 12],
     edits: [
       [
-        'duty/dist/duty.js',
-        'const spent = world.now() - memory.since;',
-        'const spent = world.now() - memory.since;\n        if (spent >= 0) return await stopFor(turn, rec, false);',
+        'failover/dist/planned-replacement.js',
+        'const spentMs = world.now() - memory.since;',
+        'const spentMs = world.now() - memory.since;\n        if (spentMs >= 0) return await stopForCandidate(context, version, record, false);',
       ],
     ],
   },
@@ -315,7 +321,7 @@
     seeds: [1, 40],
     edits: [
       [
-        'duty/dist/route-moves.js',
+        'failover/dist/route-moves.js',
         'return haveStopped(world, view, CONFIG_KEY, memory.turn, from);',
         'return Promise.resolve(true);',
       ],
@@ -326,7 +332,9 @@
     rule: 'a move to a target that lacks acknowledged writes',
     scenario: 'move-harmed',
     seeds: [1, 40],
-    edits: [['duty/dist/route-moves.js', 'if (position && (head.source?.group', 'if (false && (head.source?.group']],
+    edits: [
+      ['failover/dist/route-moves.js', 'if (position && (head.source?.group', 'if (false && (head.source?.group'],
+    ],
   },
   {
     name: 'begin-in-drain',
@@ -341,7 +349,11 @@
     scenario: 'homecoming',
     seeds: [1, 2],
     edits: [
-      ['duty/dist/duty.js', 'world.now() - memory.homeSince > HOME_RETURN_DELAY_MS', 'world.now() >= memory.homeSince'],
+      [
+        'failover/dist/planned-replacement.js',
+        'world.now() - memory.homeSince > HOME_RETURN_DELAY_MS',
+        'world.now() >= memory.homeSince',
+      ],
     ],
   },
   {
@@ -349,7 +361,7 @@
     rule: 'a duty changes hands as fast as rounds go',
     scenario: 'move-harmed',
     seeds: [14, 14],
-    edits: [['duty/dist/duty.js', 'if (world.now() - seen.at < FAILOVER_INTERVAL_MS)', 'if (false)']],
+    edits: [['failover/dist/group-failover.js', 'if (world.now() - seen.at < FAILOVER_INTERVAL_MS)', 'if (false)']],
   },
   {
     name: 'history-short',
@@ -436,7 +448,13 @@
     rule: 'a duty taken over waits for a leader that nobody hears',
     test: 'takeover.test.js',
     seeds: [1, 1],
-    edits: [['duty/dist/duty.js', 'strong || wentWithHolder(memory, sight, told.good)', 'strong']],
+    edits: [
+      [
+        'failover/dist/leader-watch.js',
+        'strong || wentWithHolder(world.now(), memory, status, evidence.good)',
+        'strong',
+      ],
+    ],
   },
   {
     name: 'old-storage',
@@ -578,7 +596,13 @@
     rule: 'STALE: promotion before each proxy stopped or ran out of its term',
     scenario: 'split',
     seeds: [1, 6],
-    edits: [['duty/dist/duty.js', 'if (!(await stopped(version, memory.since)))', 'if (false)']],
+    edits: [
+      [
+        'failover/dist/promotion.js',
+        'if (!(await haveStopped(world, view, groupKey(group), version, memory.since)))',
+        'if (false)',
+      ],
+    ],
   },
   {
     on: 'platform',
@@ -658,7 +682,7 @@
     rule: 'one promotion call of a group is on its way at a time',
     test: 'promotions.test.js',
     seeds: [1, 1],
-    edits: [['duty/dist/promotion-calls.js', 'if (underWay.has(group))', 'if (false)']],
+    edits: [['failover/dist/promotion-calls.js', 'if (underWay.has(group))', 'if (false)']],
   },
   {
     name: 'promotion-after-term',
@@ -808,7 +832,7 @@
     rule: 'a promotion call is not written once the term has ended',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['duty/dist/duty.js', 'may: mayCall,', '']],
+    edits: [['failover/dist/promotion.js', 'may: mayCall,', '']],
   },
   {
     name: 'summary-without-term',
