--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -155,9 +155,9 @@
     seeds: [1, 6],
     edits: [
       [
-        'register/dist/core.js',
+        'register/dist/core-founding.js',
         'return await refill();',
-        "await store.mark('founded', coreSet, store.token());\n            return true;",
+        "await store.writeSet('founded', follower.coreSet(), store.token());\n            return true;",
       ],
     ],
   },
@@ -390,8 +390,12 @@
     test: 'cores.test.js',
     seeds: [100, 102],
     edits: [
-      ['register/dist/core.js', 'if (coreSet.cores.length > 0 && at < coreSet.epoch)', 'if (false)'],
-      ['register/dist/core.js', 'if (at > coreSet.epoch)', 'if (false)'],
+      [
+        'register/dist/core-messages.js',
+        'if (epoch !== undefined && set.cores.length > 0 && epoch < set.epoch)',
+        'if (false)',
+      ],
+      ['register/dist/core-messages.js', 'if (epoch !== undefined && epoch > set.epoch)', 'if (false)'],
     ],
   },
   {
@@ -413,7 +417,7 @@
     rule: 'a core that was removed from the set votes',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['register/dist/core.js', 'if (!voter) stopServing();', '']],
+    edits: [['register/dist/core-set-follower.js', 'if (!isVoter) stopServing();', '']],
   },
   {
     name: 'never-called-off',
@@ -441,7 +445,7 @@
     rule: 'a core tells a ballot as accepted that is not on its disk',
     test: 'storage.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/core.js', 'store.isWritten(key) ? line : { ...line, pending: true }', 'line']],
+    edits: [['register/dist/core.js', 'store.isWritten(key) ? summary : { ...summary, pending: true }', 'summary']],
   },
   {
     name: 'takeover-waits',
@@ -462,7 +466,11 @@
     test: 'storage.test.js',
     seeds: [1, 1],
     edits: [
-      ['register/dist/core.js', 'const sameStorage = !lost && place.token === token;', 'const sameStorage = true;'],
+      [
+        'register/dist/core-set-follower.js',
+        'const isSameStorage = !isLost && place.token === token;',
+        'const isSameStorage = true;',
+      ],
       [
         'register/dist/register-store.js',
         "cells.clear(); floor = 0; keep('founded', next, token);",
@@ -498,7 +506,7 @@
     rule: 'a core whose disk refused writes once votes never again',
     test: 'voters.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/core.js', 'if (store.failed() !== undefined) await recoverDisk();', '']],
+    edits: [['register/dist/core-founding.js', 'if (store.failed() !== undefined) await follower.recoverDisk();', '']],
   },
   {
     name: 'seeds-once',
@@ -528,9 +536,9 @@
     seeds: [1, 1],
     edits: [
       [
-        'register/dist/core.js',
+        'register/dist/core-founding.js',
         'return await refill();',
-        "await store.mark('founded', coreSet, store.token());\n            return true;",
+        "await store.writeSet('founded', follower.coreSet(), store.token());\n            return true;",
       ],
     ],
   },
@@ -666,7 +674,7 @@
     test: 'deltas.test.js',
     seeds: [1, 2],
     edits: [
-      ['register/dist/core.js', '|| compareBallots(got.ballot, have) !== 0', ''],
+      ['register/dist/core-messages.js', '|| compareBallots(promise.ballot, have) !== 0', ''],
       ['register/dist/proposer.js', 'else if (have && compareBallots(ballot, have.ballot) === 0)', 'else if (have)'],
     ],
   },
