--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,6 +1,5 @@
 import {
   acceptLinks,
-  CHANGE_ANSWER_TIMEOUT_MS,
   LEASE_RENEWAL_INTERVAL_MS,
   loop,
   makeFlag,
@@ -16,22 +15,17 @@
   SUSPICION_TIMEOUT_MS,
   type Address,
   type Finding,
-  type Metrics,
   type PersistentLink,
   type World,
 } from '@claynotch/base'
 import { startFailover, startRouteMoves } from '@claynotch/failover'
-import type { Announcement } from '@claynotch/instance'
-import { CONFIG_KEY, makeOperatorEdge, type Body, type Credential, type Edit } from '@claynotch/operator'
+import { makeOperatorEdge, type Credential, type Edit } from '@claynotch/operator'
 import { startPeers, type Summary } from '@claynotch/peer'
 import {
   CoreSet,
   CORESET_KEY,
-  groupKey,
   makeProposer,
   type Committed,
-  type CorePlace,
-  type GroupRecord,
   type HeldValue,
   type MemberDescription,
   type ProxyReport,
@@ -39,14 +33,17 @@
   type RegisterSummary,
   type RegisterValue,
 } from '@claynotch/register'
-import { ownAdapters, type AgentAdapters, type ControlService } from './adapter.js'
-import { makeConfigurationService } from './configuration-service.js'
+import { makeAcknowledgements } from './acknowledgements.js'
+import { ownAdapters, type AgentAdapters } from './adapter.js'
+import type { Agent, AgentReload, AgentSettings } from './agent-settings.js'
 import { startConnectionShare } from './connection-share.js'
+import { makeControlService } from './control-service.js'
 import { makeCoreLinks } from './core-links.js'
 import { startCoreSetDuty } from './core-set-duty.js'
 import { readCoreStatus } from './core-status.js'
 import { makeInstanceReports } from './instance-reports.js'
 import { makeInstanceTable } from './instance-table.js'
+import { makeKnownConfiguration } from './known-configuration.js'
 import { makeLeaseRenewal } from './lease-renewal.js'
 import { makeMembership } from './membership.js'
 import { checkMoves } from './move-check.js'
@@ -59,42 +56,6 @@
 
 // The control side of one machine, put together: each part below has a file of its own and a state of its own.
 
-export type AgentSettings = {
-  node: string
-  area: string
-  /** Where the proxy of this machine finds its agent; none: it has no proxy. */
-  link?: Address
-  /** UDP, for summaries. */
-  peer: Address
-  /** For operators, instances, the platform, and nodes that look for the cores; none: it serves none and holds no duties. */
-  http?: Address
-  /** HTTP addresses of three other processes. */
-  seeds: Address[]
-  /** The core set where this process knows it by itself; it is asked before the seeds. */
-  coreSet?: () => CoreSet
-  /** The core machine that runs in this process, which is told each later set. */
-  core?: { place: () => CorePlace; adopt: (next: CoreSet) => Promise<void> }
-  /** Default: MAX_VOTERS. */
-  mostVoters?: number
-  /** Where promotion calls go. */
-  platform?: Address
-  operators?: Credential[]
-  build: string
-  /** ms; default: SUSPICION_TIMEOUT_MS. */
-  suspect?: number
-}
-
-/** What a changed settings file may change while the agent runs. */
-export type AgentReload = { seeds: Address[]; platform: Address | undefined; operators: Credential[] | undefined }
-
-export type Agent = {
-  stop: () => Promise<void>
-  metrics: Metrics
-  leaseExpiresAt: () => number
-  register: (key: string) => RegisterValue | undefined
-  apply: (next: AgentReload) => void
-}
-
 export async function startAgent(
   world: World,
   settings: AgentSettings,
@@ -107,9 +68,6 @@
   const registerChanged = makeSignal()
   const cacheBehind = makeSignal()
   const renewNow = makeSignal()
-  // acknowledged: the version of each register that is applied on this machine. pushNumbers: the last push of each core.
-  const acknowledged = new Map<string, number>()
-  const pushNumbers = new Map<string, number>()
   // isCurrent: all that a majority showed since this life, or its last long silence, began is known here; no duty is held before.
   let isCurrent = false
   let { seeds, platform, operators } = settings
@@ -139,14 +97,15 @@
     if (lease.expiresAt() === 0) renewNow.notify()
   }
   function corePushed(core: string, push: RegisterPush): void {
-    pushNumbers.set(`${core} ${push.key}`, push.num)
+    acknowledgements.pushed(core, push.key, push.num)
     void takePush(core, push)
   }
   async function takePush(core: string, push: RegisterPush): Promise<void> {
     await registers.takePush(core, push)
-    tellAcknowledged(core, push.key)
+    acknowledgements.tell(core, push.key)
   }
 
+  const acknowledgements = makeAcknowledgements(links)
   const proposer = makeProposer(world, node, links.voters, links.quorum, links.adopt, heldValue)
   const registers = makeRegisterCache(world, {
     epoch: epochNow,
@@ -155,6 +114,7 @@
     onNewer: registerUpdated,
     onBehind: cacheBehind.notify,
   })
+  const { body, config, groups, recordOf } = makeKnownConfiguration(registers)
   const subscription = makeSubscription(world, node, area, registers.ballots)
   function heldValue(key: string): HeldValue | undefined {
     return registers.held(key)
@@ -179,32 +139,6 @@
     proxy.changed()
     registerChanged.notify()
   }
-  function body(): Body | undefined {
-    return registers.value(CONFIG_KEY)?.body as Body | undefined
-  }
-  function config() {
-    return body()?.config ?? undefined
-  }
-  function groups(): string[] {
-    const out: string[] = []
-    for (const { name } of config()?.groups ?? []) out.push(name)
-    return out
-  }
-  function recordOf(group: string): GroupRecord | undefined {
-    return registers.value(groupKey(group))?.body as GroupRecord | undefined
-  }
-  /** Tells one core which version is applied on this machine. */
-  function tellAcknowledged(core: string, key: string): void {
-    const turn = acknowledged.get(key)
-    if (turn === undefined) return
-    linkTo(core)?.tell({ t: 'ack', num: pushNumbers.get(`${core} ${key}`) ?? 0, key, turn })
-  }
-  function applied(key: string, version: number): void {
-    if ((acknowledged.get(key) ?? 0) >= version) return
-    acknowledged.set(key, version)
-    for (const core of links.all().keys()) tellAcknowledged(core, key)
-  }
-
   // --- the lease, and what its renewals tell and bring ---
 
   const instances = makeInstanceTable(world)
@@ -215,7 +149,7 @@
     node,
     life,
     describe,
-    acknowledged: acknowledgedNow,
+    acknowledged: acknowledgements.all,
     report: proxyReport,
     ownInstances: instances.own,
     remembers: knowsRegisters,
@@ -236,9 +170,6 @@
       ...(settings.core ? { core: settings.core.place() } : {}),
     }
   }
-  function acknowledgedNow(): ReadonlyMap<string, number> {
-    return acknowledged
-  }
   function knowsRegisters(): boolean {
     return registers.all().size > 0
   }
@@ -315,7 +246,7 @@
       proxyCount: membership.proxyCount,
     },
     metrics,
-    { applied, instanceFailing },
+    { applied: acknowledgements.applied, instanceFailing },
   )
   const summarySource = makeSummarySource(world, {
     node,
@@ -399,43 +330,6 @@
 
   // --- instances, operators and the platform ---
 
-  function heardInstance(announcement: Announcement): boolean {
-    metrics.add('claynotch_announcements_total')
-    const heard = instances.hear(announcement)
-    if (!heard.isKept) metrics.add('claynotch_announcements_dropped_total')
-    if (heard.isUnreported) {
-      reports.changed(announcement.name)
-      renewNow.notify()
-    }
-    if (heard.isDraining)
-      world.log.info('instance-draining', { instance: announcement.name, group: announcement.group })
-    // The proxy is told at once of what changed, and of all else with the next renewal.
-    if (heard.isChanged) {
-      failover.ring()
-      proxy.feed()
-    }
-    return heard.isKept
-  }
-  function instanceLeft(name: string): boolean {
-    const last = instances.lastOf(name)
-    if (last) heardInstance(last)
-    return last !== undefined
-  }
-  /** Why an announcement can't be acknowledged, as no majority has been told of it. */
-  async function reportFailure(name: string): Promise<string | undefined> {
-    const why = notReady()
-    if (why !== undefined) return why
-    if (!(await reports.acknowledged(name, CHANGE_ANSWER_TIMEOUT_MS))) return 'no majority of cores could be told of it'
-    return notReady()
-  }
-  function notReady(): string | undefined {
-    if (stop.fired()) return 'draining'
-    return lease.isValid() ? undefined : 'no valid term'
-  }
-  /** The lease ran out. A process that has just started, and never had one, may still reach the cores. */
-  function isCutOff(): boolean {
-    return lease.wasHeld() && !lease.isValid()
-  }
   function credentials(): Credential[] | undefined {
     return operators
   }
@@ -463,19 +357,20 @@
     metrics,
     credentials,
   )
-  const configuration = makeConfigurationService(world, proposer, isCutOff, metrics)
-  const control: ControlService = {
-    metrics,
-    heardInstance,
-    instanceLeft,
-    reportFailure,
-    change: configuration.change,
-    read: configuration.read,
+  const control = makeControlService(world, {
+    stop,
+    lease,
+    instances,
+    reports,
+    proxy,
+    proposer,
+    renewNow,
+    failover,
     body,
     coreSet: links.coreSet,
-    ready: notReady,
     operator,
-  }
+    metrics,
+  })
   const http = settings.http !== undefined ? await adapters.control(world, settings.http, control) : undefined
   const hello = makeHello('agent', node)
   const listener =
--- /dev/null
+++ b/packages/agent/src/control-service.ts
@@ -0,0 +1,83 @@
+import { CHANGE_ANSWER_TIMEOUT_MS, type Flag, type Metrics, type Signal, type World } from '@claynotch/base'
+import type { Duty } from '@claynotch/failover'
+import type { Announcement } from '@claynotch/instance'
+import type { Body } from '@claynotch/operator'
+import type { CoreSet, Proposer } from '@claynotch/register'
+import type { ControlService } from './adapter.js'
+import { makeConfigurationService } from './configuration-service.js'
+import type { InstanceReports } from './instance-reports.js'
+import type { InstanceTable } from './instance-table.js'
+import type { LeaseRenewal } from './lease-renewal.js'
+import type { ProxyLink } from './proxy-link.js'
+
+export type ControlServiceParts = {
+  stop: Flag
+  lease: LeaseRenewal
+  instances: InstanceTable
+  reports: InstanceReports
+  proxy: ProxyLink
+  proposer: Proposer
+  /** Has the next renewal begin now. */
+  renewNow: Signal
+  failover: Duty
+  body: () => Body | undefined
+  coreSet: () => CoreSet
+  operator: ControlService['operator']
+  metrics: Metrics
+}
+
+/** What instances, operators and the platform may have of this node. */
+export function makeControlService(world: World, parts: ControlServiceParts): ControlService {
+  const { lease, instances, reports, metrics } = parts
+
+  function heardInstance(announcement: Announcement): boolean {
+    metrics.add('claynotch_announcements_total')
+    const heard = instances.hear(announcement)
+    if (!heard.isKept) metrics.add('claynotch_announcements_dropped_total')
+    if (heard.isUnreported) {
+      reports.changed(announcement.name)
+      parts.renewNow.notify()
+    }
+    if (heard.isDraining)
+      world.log.info('instance-draining', { instance: announcement.name, group: announcement.group })
+    // The proxy is told at once of what changed, and of all else with the next renewal.
+    if (heard.isChanged) {
+      parts.failover.ring()
+      parts.proxy.feed()
+    }
+    return heard.isKept
+  }
+  function instanceLeft(name: string): boolean {
+    const last = instances.lastOf(name)
+    if (last) heardInstance(last)
+    return last !== undefined
+  }
+  function notReady(): string | undefined {
+    if (parts.stop.fired()) return 'draining'
+    return lease.isValid() ? undefined : 'no valid term'
+  }
+  /** Why an announcement can't be acknowledged, as no majority has been told of it. */
+  async function reportFailure(name: string): Promise<string | undefined> {
+    const why = notReady()
+    if (why !== undefined) return why
+    if (!(await reports.acknowledged(name, CHANGE_ANSWER_TIMEOUT_MS))) return 'no majority of cores could be told of it'
+    return notReady()
+  }
+  /** The lease ran out. A process that has just started, and never had one, may still reach the cores. */
+  function isCutOff(): boolean {
+    return lease.wasHeld() && !lease.isValid()
+  }
+  const configuration = makeConfigurationService(world, parts.proposer, isCutOff, metrics)
+  return {
+    metrics,
+    heardInstance,
+    instanceLeft,
+    reportFailure,
+    change: configuration.change,
+    read: configuration.read,
+    body: parts.body,
+    coreSet: parts.coreSet,
+    ready: notReady,
+    operator: parts.operator,
+  }
+}
--- /dev/null
+++ b/packages/agent/src/known-configuration.ts
@@ -0,0 +1,30 @@
+import { CONFIG_KEY, type Body, type Config } from '@claynotch/operator'
+import { groupKey, type GroupRecord } from '@claynotch/register'
+import type { RegisterCache } from './register-cache.js'
+
+/** The configuration and the groups' records as this node knows them now. */
+export type KnownConfiguration = {
+  body: () => Body | undefined
+  config: () => Config | undefined
+  /** The names of the configured groups. */
+  groups: () => string[]
+  recordOf: (group: string) => GroupRecord | undefined
+}
+
+export function makeKnownConfiguration(registers: RegisterCache): KnownConfiguration {
+  function body(): Body | undefined {
+    return registers.value(CONFIG_KEY)?.body as Body | undefined
+  }
+  function config(): Config | undefined {
+    return body()?.config ?? undefined
+  }
+  function groups(): string[] {
+    const out: string[] = []
+    for (const { name } of config()?.groups ?? []) out.push(name)
+    return out
+  }
+  function recordOf(group: string): GroupRecord | undefined {
+    return registers.value(groupKey(group))?.body as GroupRecord | undefined
+  }
+  return { body, config, groups, recordOf }
+}
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -875,7 +875,7 @@
     rule: 'a configuration is read at a majority',
     test: 'platform/dist/test/cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/agent.js', 'read: configuration.read,', 'read: async () => body(),']],
+    edits: [['agent/dist/control-service.js', 'read: configuration.read,', 'read: async () => parts.body(),']],
   },
   {
     name: 'order-unsettled',
