--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -51,7 +51,7 @@
 import { makeProxyLink } from './proxy-link.js'
 import { makeRegisterCache } from './register-cache.js'
 import { makeRenewalMessages } from './renewal-messages.js'
-import { makeSubscription, type SubscriptionSource } from './subscription.js'
+import { makeSubscription, sourcesOf } from './subscription.js'
 import { makeSummarySource } from './summary-source.js'
 
 // The control side of one machine, put together: each part below has a file of its own and a state of its own.
@@ -183,7 +183,7 @@
     mergeInstances()
     registers.takeSummaries(summaries, links.quorum(), beganAt)
     judgeCurrent()
-    void subscription.choose(subscriptionSources(), epochNow())
+    void subscription.choose(sourcesOf(links, membership), epochNow())
   }
   /** Who leads, and who leaves, is looked at at once. */
   function mergeInstances(): void {
@@ -191,14 +191,6 @@
     for (const { view } of links.all().values()) views.push(view)
     if (instances.merge(views)) failover.ring()
   }
-  function subscriptionSources(): SubscriptionSource[] {
-    const areas = new Map<string, string>()
-    for (const { core, area: coreArea } of membership.list()) if (core) areas.set(core.id, coreArea)
-    const out: SubscriptionSource[] = []
-    for (const [id, { link, view }] of links.all())
-      out.push({ id, held: link, heard: view.heard(), area: areas.get(id), lines: view.registers() })
-    return out
-  }
   /** What was heard while a round ran is told by another at once: its acknowledgement waits for it. */
   async function renew(): Promise<void> {
     if (links.all().size === 0) await links.discover()
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -9,6 +9,8 @@
   type World,
 } from '@claynotch/base'
 import { compareBallots, type Ballot, type RegisterSummary } from '@claynotch/register'
+import type { CoreLinks } from './core-links.js'
+import type { Membership } from './membership.js'
 import { spread } from './spread.js'
 
 /**
@@ -28,6 +30,16 @@
   lines: Map<string, RegisterSummary>
 }
 
+/** The present voters as places to take pushes from. */
+export function sourcesOf(links: CoreLinks, membership: Membership): SubscriptionSource[] {
+  const areas = new Map<string, string>()
+  for (const { core, area } of membership.list()) if (core) areas.set(core.id, area)
+  const out: SubscriptionSource[] = []
+  for (const [id, { link, view }] of links.all())
+    out.push({ id, held: link, heard: view.heard(), area: areas.get(id), lines: view.registers() })
+  return out
+}
+
 export type Subscription = {
   /** Looks, after a renewal, whether another core should be subscribed at. */
   choose: (sources: SubscriptionSource[], epoch: number) => Promise<void>
