--- a/packages/failover/src/duty-holder.ts
+++ b/packages/failover/src/duty-holder.ts
@@ -1,18 +1,18 @@
 import { mixedHashOf } from '@claynotch/base'
 
 /**
- * The live node that a key's duty falls to, by rendezvous hashing: one node's coming or going moves only the keys that it
- * takes or leaves.
+ * The live node that holds a key's duty, by rendezvous hashing: when a node joins or leaves, only the keys assigned to
+ * that node move.
  */
 export function holderOf(key: string, live: string[]): string | undefined {
-  let best: string | undefined
-  let most = -1
+  let holder: string | undefined
+  let highestWeight = -1
   for (const node of [...live].sort()) {
     const weight = mixedHashOf(`${node}|${key}`)
-    if (weight > most) {
-      most = weight
-      best = node
+    if (weight > highestWeight) {
+      highestWeight = weight
+      holder = node
     }
   }
-  return best
+  return holder
 }
--- a/packages/failover/src/evidence.ts
+++ b/packages/failover/src/evidence.ts
@@ -1,20 +1,22 @@
 import { GOOD_OBSERVATION_MS, OBSERVATION_SKEW_MS } from '@claynotch/base'
 
-/**
- * What one node told of instances. goodAgeMs: ms since each last answered it. badAgeMs: ms since the first send that failed
- * there, or still waits, with no sign of life after it.
- */
-export type InstanceObservations = { goodAgeMs: Map<string, number>; badAgeMs: Map<string, number> }
+/** What one node reports about instances, by instance name. */
+export type InstanceObservations = {
+  /** Time in ms since each instance last answered the node. */
+  goodAgeMs: Map<string, number>
+  /** Time in ms since the node's first request that failed or is still pending, with no sign of life after it. */
+  badAgeMs: Map<string, number>
+}
 
-/** What nodes told of one instance, weighed. */
+/** The observations of all nodes about one instance, summarized. */
 export type Evidence = {
-  /** Nodes for which it answered within GOOD_OBSERVATION_MS. */
+  /** Number of nodes that had an answer within GOOD_OBSERVATION_MS and report no failure. */
   good: number
-  /** Those of them for which it answered after the trouble of most others began. */
+  /** How many of these had an answer after the median start of the failures of other nodes. */
   hears: number
-  /** Nodes for which it fails. */
+  /** Number of nodes that report failures. */
   bad: number
-  /** ms for which it has failed at two nodes, or at the only one that tells of it. */
+  /** Time in ms for which requests of two nodes have failed, or those of the only failing node. */
   since: number
 }
 
@@ -23,18 +25,18 @@
 }
 
 export function weighEvidence(observations: InstanceObservations[], name: string): Evidence {
-  const bads: number[] = []
-  const goods: number[] = []
+  const failingAgesMs: number[] = []
+  const goodAgesMs: number[] = []
   for (const { goodAgeMs, badAgeMs } of observations) {
     const bad = badAgeMs.get(name)
     const good = goodAgeMs.get(name)
-    if (bad !== undefined) bads.push(bad)
-    else if (good !== undefined && good < GOOD_OBSERVATION_MS) goods.push(good)
+    if (bad !== undefined) failingAgesMs.push(bad)
+    else if (good !== undefined && good < GOOD_OBSERVATION_MS) goodAgesMs.push(good)
   }
-  bads.sort(descending)
-  const since = bads[Math.min(1, bads.length - 1)] ?? 0
-  const median = bads[Math.floor(bads.length / 2)] ?? 0
+  failingAgesMs.sort(descending)
+  const since = failingAgesMs[Math.min(1, failingAgesMs.length - 1)] ?? 0
+  const medianFailingAgeMs = failingAgesMs[Math.floor(failingAgesMs.length / 2)] ?? 0
   let hears = 0
-  for (const age of goods) if (age + OBSERVATION_SKEW_MS < median) hears++
-  return { good: goods.length, hears, bad: bads.length, since }
+  for (const age of goodAgesMs) if (age + OBSERVATION_SKEW_MS < medianFailingAgeMs) hears++
+  return { good: goodAgesMs.length, hears, bad: failingAgesMs.length, since }
 }
--- a/packages/failover/src/failover-view.ts
+++ b/packages/failover/src/failover-view.ts
@@ -5,45 +5,49 @@
 import type { GroupRecord, InstanceStatus, Member, Proposer, RegisterValue } from '@claynotch/register'
 import type { InstanceObservations } from './evidence.js'
 
-/** What duties need of the node that they run on. */
+/** What failover and route moves need from the node that runs them. */
 export type FailoverView = {
   node: string
-  /** ms without a good answer after which a leader is suspected. */
+  /** Time in ms without a good answer after which a leader is suspected. */
   suspect: number
   instance: InstanceAdapter
   promotion: PromotionEdge
-  /** Where the promotion call goes. */
+  /** The address that receives promotion calls. */
   platform: () => string | undefined
   proposer: Proposer
-  /** Up to when (local time, ms) this node may hold duties. */
+  /** When the lease expires with which this node may hold duties (local time, ms). */
   leaseExpiresAt: () => number
-  /** The nodes that may hold duties. */
+  /** The live nodes, which may hold duties. */
   live: () => string[]
   groups: () => string[]
+  /** The newest known value of a register. */
   register: (key: string) => RegisterValue | undefined
+  /** Applies a committed register value on this node. */
   learn: (key: string, value: RegisterValue, ballot: [number, string]) => void
-  /** What is known of the group's instances. */
+  /** The last known status of each of the group's instances. */
   instancesOf: (group: string) => InstanceStatus[]
-  /** What the nodes that have a proxy told last. */
+  /** The latest observations of the nodes that run a proxy. */
   reports: () => InstanceObservations[]
-  /** A majority's word on the members; undefined without a majority. */
+  /** Reads the members from a quorum; undefined if no majority answers. */
   askMembers: () => Promise<{ members: Member[]; isComplete: boolean } | undefined>
   /** The configuration as this node knows it. */
   body: () => Body | undefined
   metrics: Metrics
 }
 
-/** The number in which an instance says that it leads or follows: its own where it counts leaders, else that of its position. */
+/**
+ * The epoch in which an instance reports to lead or follow: its own leader term if it has one, else its log position's.
+ */
 export function leaderEpochOf(status: Status): number {
   return status.epoch ?? status.mark.epoch
 }
 
-/** The number in which the record's leader leads, as instances count. */
+/** The epoch of the recorded leader in the instances' own numbering. */
 export function recordedEpochOf(record: GroupRecord): number {
   return record.term ?? record.epoch
 }
 
-/** Whether it leads as the record says. */
+/** Whether the status confirms the leadership that the record states. */
 export function leadsAs(record: GroupRecord, status: Status): boolean {
   return status.role === 'leader' && leaderEpochOf(status) === recordedEpochOf(record)
 }
@@ -54,8 +58,10 @@
 }
 
 /**
- * Whether each proxy stopped: all acknowledged this version of the register, or any that did not has run out of its lease.
- * since: local time (ms) from which no lease was given that allows the version before.
+ * Whether each proxy has stopped: every member has acknowledged this register version, or the leases of the others have
+ * expired.
+ *
+ * @param since local time (ms) from which on no lease was granted that permits the previous version
  */
 export async function haveStopped(
   world: World,
@@ -71,7 +77,7 @@
   return true
 }
 
-/** Where an instance says that it is goes before where the record says it was. */
+/** The announced address of an instance, or the recorded one if it isn't announced. */
 export function addressOf(
   view: Pick<FailoverView, 'instancesOf'>,
   group: string,
--- a/packages/failover/src/failover.ts
+++ b/packages/failover/src/failover.ts
@@ -3,28 +3,28 @@
 import { startGroupFailover } from './group-failover.js'
 import { onePerGroup } from './promotion-calls.js'
 
-/** A duty that may be told to look at once. */
+/** A background duty that can be told to run its next step at once. */
 export type Duty = { ring: () => void }
 
-type GroupTask = { end: Flag; signal: Signal }
+type GroupTask = { stopFlag: Flag; signal: Signal }
 
-/** Replaces leaders: one task for each configured group, started and ended as the configuration says. */
+/** Runs failover: one task per configured group, started and stopped as the configuration changes. */
 export function startFailover(world: World, view: FailoverView, stop: Flag): Duty {
   const tasks = new Map<string, GroupTask>()
   const promote = onePerGroup(view.promotion)
 
   function start(group: string): GroupTask {
-    const end = makeFlag()
+    const stopFlag = makeFlag()
     const signal = makeSignal()
-    stop.watch(end.fire)
-    startGroupFailover(world, view, promote, group, end, signal)
-    return { end, signal }
+    stop.watch(stopFlag.fire)
+    startGroupFailover(world, view, promote, group, stopFlag, signal)
+    return { stopFlag, signal }
   }
   function reconcile(): void {
-    const wanted = new Set(view.groups())
-    for (const group of wanted) if (!tasks.has(group)) tasks.set(group, start(group))
-    for (const [group, { end }] of tasks) {
-      if (wanted.has(group)) continue
+    const configuredGroups = new Set(view.groups())
+    for (const group of configuredGroups) if (!tasks.has(group)) tasks.set(group, start(group))
+    for (const [group, { stopFlag: end }] of tasks) {
+      if (configuredGroups.has(group)) continue
       end.fire()
       tasks.delete(group)
     }
--- a/packages/failover/src/first-record.ts
+++ b/packages/failover/src/first-record.ts
@@ -1,25 +1,26 @@
 import type { InstanceStatus } from '@claynotch/register'
 import { leaderEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
-import type { Probed } from './group-instances.js'
+import type { ProbedInstance } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
 
 function leadersOf(instances: InstanceStatus[]): InstanceStatus[] {
-  const out: InstanceStatus[] = []
-  for (const instance of instances) if (instance.role === 'leader') out.push(instance)
-  return out
+  const leaders: InstanceStatus[] = []
+  for (const instance of instances) if (instance.role === 'leader') leaders.push(instance)
+  return leaders
 }
 
-/** Of those that say that they lead, the one of the latest epoch. */
-function latestLeader({ instances }: GroupContext, probed: Probed[]): Probed | undefined {
-  const leaders: Probed[] = []
-  for (const one of probed) if (one.status.role === 'leader') leaders.push(one)
-  let latest = instances.furthest(leaders, undefined)
-  for (const one of leaders) if (latest && leaderEpochOf(one.status) > leaderEpochOf(latest.status)) latest = one
+/** Of the instances that report to lead, the one with the highest epoch. */
+function latestLeader({ instances }: GroupContext, probed: ProbedInstance[]): ProbedInstance | undefined {
+  const leaders: ProbedInstance[] = []
+  for (const instance of probed) if (instance.status.role === 'leader') leaders.push(instance)
+  let latest = instances.mostAdvanced(leaders, undefined)
+  for (const instance of leaders)
+    if (latest && leaderEpochOf(instance.status) > leaderEpochOf(latest.status)) latest = instance
   return latest
 }
 
-async function recordLeader({ view, write }: GroupContext, leader: Probed): Promise<boolean> {
+async function recordLeader({ view, write }: GroupContext, leader: ProbedInstance): Promise<boolean> {
   const term = leader.status.epoch
   const isWritten = await write(0, {
     epoch: leaderEpochOf(leader.status),
@@ -33,7 +34,7 @@
   return isWritten === true
 }
 
-async function recordCandidate({ view, write }: GroupContext, candidate: Probed): Promise<boolean> {
+async function recordCandidate({ view, write }: GroupContext, candidate: ProbedInstance): Promise<boolean> {
   const isWritten = await write(0, {
     epoch: leaderEpochOf(candidate.status) + 1,
     phase: 'stop',
@@ -45,16 +46,16 @@
   return isWritten === true
 }
 
-/** Writes the first record of a group: its leader where one says that it leads, else a candidate. */
+/** Writes a group's first record: with its leader if an instance reports to lead, else with a candidate to promote. */
 export async function writeFirstRecord(context: GroupContext, memory: GroupMemory): Promise<boolean> {
   const { world, view, instances } = context
-  // Those that say that they lead are asked; all only when none does, after announcements had time to come in.
+  // Only announced leaders are probed at first. All instances are probed once announcements have had time to arrive.
   const hasWaited = world.now() - memory.since >= view.suspect
   const leaders = leadersOf(instances.list())
   if (leaders.length === 0 && !hasWaited) return false
   const probed = await instances.probe(hasWaited ? instances.list() : leaders)
   const leader = latestLeader(context, probed)
   if (leader) return await recordLeader(context, leader)
-  const candidate = hasWaited ? instances.furthest(probed, undefined) : undefined
+  const candidate = hasWaited ? instances.mostAdvanced(probed, undefined) : undefined
   return candidate !== undefined && (await recordCandidate(context, candidate))
 }
--- a/packages/failover/src/group-context.ts
+++ b/packages/failover/src/group-context.ts
@@ -4,7 +4,7 @@
 import type { GroupInstances } from './group-instances.js'
 import type { WriteRecord } from './group-record-writer.js'
 
-/** What each step of a group's duty works with. */
+/** The dependencies of each step of a group's failover. */
 export type GroupContext = {
   world: World
   view: FailoverView
@@ -12,6 +12,6 @@
   instances: GroupInstances
   write: WriteRecord
   promote: PromotionEdge
-  /** Looks again after so many ms. */
-  lookAgainIn: (ms: number) => void
+  /** Schedules another step after a delay in ms. */
+  scheduleCheck: (ms: number) => void
 }
--- a/packages/failover/src/group-failover.ts
+++ b/packages/failover/src/group-failover.ts
@@ -14,15 +14,15 @@
 import { writeFirstRecord } from './first-record.js'
 import type { GroupContext } from './group-context.js'
 import { makeGroupInstances } from './group-instances.js'
-import { firstMemory, nextMemory, type GroupMemory } from './group-memory.js'
+import { initialMemory, nextMemory, type GroupMemory } from './group-memory.js'
 import { makeRecordWriter } from './group-record-writer.js'
 import { watchLeader } from './leader-watch.js'
 import { drainLeader } from './planned-replacement.js'
-import { awaitStop, promoteCandidate } from './promotion.js'
+import { awaitWritesStopped, promoteCandidate } from './promotion.js'
 
 /**
- * The duty for one group, in a task of its own: whoever holds it takes one step after another by what the group's record says,
- * and any later holder goes on from there.
+ * Runs the failover duty of one group in its own task. The node that holds the duty takes each step as the group's
+ * record prescribes, so a later holder continues where an earlier one stopped.
  */
 export function startGroupFailover(
   world: World,
@@ -35,83 +35,89 @@
   const key = groupKey(group)
   const instances = makeGroupInstances(world, view, group)
   const write = makeRecordWriter(world, view, group)
-  const context: GroupContext = { world, view, group, instances, write, promote, lookAgainIn }
+  const context: GroupContext = { world, view, group, instances, write, promote, scheduleCheck }
   let memory: GroupMemory | undefined
-  // seen: the newest version, and since when it is known here.
-  let seen = { version: -1, at: 0 }
-  // isNotified: a signal came while a look was under way; what it told may have come after that look.
+  /** The newest record version known here, and when (local time, ms) it was first seen. */
+  let newestVersion = { version: -1, at: 0 }
+  /**
+   * A signal arrived during a step; that step may not have seen the change that it announced, so another one follows.
+   */
   let isNotified = false
-  let isLookPlanned = false
+  let isCheckScheduled = false
 
-  function lookAgainIn(ms: number): void {
+  function scheduleCheck(ms: number): void {
     world.later(ms, signal.notify)
   }
-  function isHolderGone(record: GroupRecord): boolean {
+  function isHolderExpired(record: GroupRecord): boolean {
     return record.holder !== view.node && !view.live().includes(record.holder)
   }
   function holdsDuty(): boolean {
     return world.now() < view.leaseExpiresAt() && holderOf(key, view.live()) === view.node
   }
-  /** Two nodes that see different members would else take it from each other as fast as rounds go. */
+  /**
+   * Takes the duty over from the recorded holder once the record has been unchanged for FAILOVER_INTERVAL_MS. Without
+   * this delay, two nodes with different views of the membership would take it from each other as fast as consensus
+   * allows.
+   */
   async function takeOver(version: number, record: GroupRecord): Promise<void> {
-    if (world.now() - seen.at < FAILOVER_INTERVAL_MS) return
+    if (world.now() - newestVersion.at < FAILOVER_INTERVAL_MS) return
     await write(version, { ...record, holder: view.node, fence: record.fence + 1 })
   }
-  async function stepByRecord(version: number, record: GroupRecord, known: GroupMemory): Promise<boolean> {
+  async function runPhase(version: number, record: GroupRecord, currentMemory: GroupMemory): Promise<boolean> {
     switch (record.phase) {
       case 'steady':
-        return await watchLeader(context, version, record, known)
+        return await watchLeader(context, version, record, currentMemory)
       case 'drain':
-        return await drainLeader(context, version, record, known)
+        return await drainLeader(context, version, record, currentMemory)
       case 'stop':
-        return await awaitStop(context, version, record, known)
+        return await awaitWritesStopped(context, version, record, currentMemory)
       case 'promote':
-        return await promoteCandidate(context, version, record, known)
+        return await promoteCandidate(context, version, record, currentMemory)
     }
   }
-  /** One look at the group: true when its record moved on, so that the next look comes at once. */
-  async function step(): Promise<boolean> {
+  /** Takes one step for the group; true: its record changed, so the next step follows at once. */
+  async function runStep(): Promise<boolean> {
     const value = view.register(key)
     const version = value?.turn ?? 0
-    instances.remember()
-    if (version !== seen.version) seen = { version, at: world.now() }
+    instances.updateFirstSeen()
+    if (version !== newestVersion.version) newestVersion = { version, at: world.now() }
     if (!holdsDuty()) {
       memory = undefined
       return false
     }
     if (!value) {
-      memory ??= firstMemory(world.now())
+      memory ??= initialMemory(world.now())
       return await writeFirstRecord(context, memory)
     }
     const record = value.body as GroupRecord
-    if (memory?.version !== version) memory = nextMemory(memory, version, record, world.now(), isHolderGone(record))
-    if (record.holder === view.node) return await stepByRecord(version, record, memory)
+    if (memory?.version !== version) memory = nextMemory(memory, version, record, world.now(), isHolderExpired(record))
+    if (record.holder === view.node) return await runPhase(version, record, memory)
     await takeOver(version, record)
     return false
   }
-  function notified(): void {
+  function recordNotification(): void {
     isNotified = true
   }
-  async function steps(): Promise<void> {
-    const unwatch = signal.watch(notified)
+  async function runSteps(): Promise<void> {
+    const unwatch = signal.watch(recordNotification)
     do {
       isNotified = false
-      while (!stop.fired() && (await step()));
+      while (!stop.fired() && (await runStep()));
     } while (isNotified && !stop.fired())
     unwatch()
-    planNextLook()
+    scheduleNextCheck()
   }
-  /** While writes are stopped, looks come quicker than the interval. */
-  function planNextLook(): void {
+  /** Outside the steady phase, checks run more often than FAILOVER_INTERVAL_MS, as writes are stopped. */
+  function scheduleNextCheck(): void {
     const phase = (view.register(key)?.body as GroupRecord | undefined)?.phase ?? 'steady'
-    if (!memory || memory.version === 0 || phase === 'steady' || isLookPlanned) return
-    isLookPlanned = true
+    if (!memory || memory.version === 0 || phase === 'steady' || isCheckScheduled) return
+    isCheckScheduled = true
     const ms = phase === 'promote' ? CANDIDATE_PROBE_INTERVAL_MS : (memory.intervalMs ?? PROMOTION_INTERVAL_MS)
-    world.later(ms, lookAgain)
+    world.later(ms, runScheduledCheck)
   }
-  function lookAgain(): void {
-    isLookPlanned = false
+  function runScheduledCheck(): void {
+    isCheckScheduled = false
     signal.notify()
   }
-  void loop(world, `failover ${group}`, FAILOVER_INTERVAL_MS, stop, steps, signal)
+  void loop(world, `failover ${group}`, FAILOVER_INTERVAL_MS, stop, runSteps, signal)
 }
--- a/packages/failover/src/group-instances.ts
+++ b/packages/failover/src/group-instances.ts
@@ -11,71 +11,74 @@
 import type { InstanceStatus } from '@claynotch/register'
 import { addressOf, type FailoverView } from './failover-view.js'
 
-/** Where an instance is asked for its status. */
-export type Target = { name: string; addr: string }
+/** An instance to probe, and the address for it. */
+export type ProbeTarget = { name: string; addr: string }
 
 /** An instance that answered, with its status. */
-export type Probed = Target & { status: Status }
+export type ProbedInstance = ProbeTarget & { status: Status }
 
 export type ProbeOptions = {
-  /** One that is suspected, and is not waited for as long as the others. */
+  /** A suspected instance, which is probed with a shorter timeout than the others. */
   suspect?: string | undefined
-  /** Runs for each that lives and has no time to answer. */
+  /** Called for each instance that is alive but answers that it is busy. */
   onBusy?: () => void
 }
 
-/** The instances of one group as the holder of its duty sees them. */
+/** The instances of one group, as seen by the node that holds the group's failover duty. */
 export type GroupInstances = {
   list: () => InstanceStatus[]
-  /** Those that don't leave, without the one of that name. */
-  staying: (without?: string) => InstanceStatus[]
-  /** Whether a commit is acknowledged only once a replica has received it too. */
+  /** The instances that aren't leaving, except the named one. */
+  stayingInstances: (without?: string) => InstanceStatus[]
+  /** Whether a commit is acknowledged only after a replica has received it too. */
   isSynchronous: () => boolean
   get: (name: string) => InstanceStatus | undefined
+  /** The announced address of an instance, or the recorded one where it isn't announced. */
   addressOf: (name: string, recorded: string) => string
-  /** Notes who is there now, and since when. */
-  remember: () => void
-  probe: (targets: Target[], options?: ProbeOptions) => Promise<Probed[]>
+  /** Updates the times at which the instances announced now were first seen. */
+  updateFirstSeen: () => void
+  /** Asks the targets for their status in parallel; instances that don't answer in time are left out. */
+  probe: (targets: ProbeTarget[], options?: ProbeOptions) => Promise<ProbedInstance[]>
   /**
-   * The most caught-up; among equals one at home. The old leader, and one that leaves, only where it is strictly ahead of all
-   * others.
+   * The instance with the highest log position; among equals, one in a home zone is preferred. The old leader or a
+   * leaving instance is chosen only if it is strictly ahead of all others.
    */
-  furthest: (probed: Probed[], old: string | undefined) => Probed | undefined
-  /** Tells one to follow; nothing rests on it, as no proxy sends it writes any more. */
-  demote: (who: Target, epoch: number) => Promise<Status | undefined>
+  mostAdvanced: (probed: ProbedInstance[], old: string | undefined) => ProbedInstance | undefined
+  /** Tells an instance to follow. Safety doesn't depend on it, as proxies no longer send it writes. */
+  demote: (who: ProbeTarget, epoch: number) => Promise<Status | undefined>
   homeZones: () => string[]
   isHome: (name: string) => boolean
-  /** ms to wait for acknowledged commits that the furthest instance lacks. */
+  /** Time in ms to wait for acknowledged commits that the most advanced instance lacks. */
   missingCommitsWait: () => number
-  /** The highest commit that any node saw acknowledged. */
+  /** The highest acknowledged commit that any node has seen. */
   highestCommit: () => Promise<LogPosition | undefined>
 }
 
+/** Creates the holder's view of one group's instances. */
 export function makeGroupInstances(world: World, view: FailoverView, group: string): GroupInstances {
-  // firstSeen: when this node first knew of each instance that is announced now.
+  /** When this node first saw each instance that is announced now. */
   const firstSeen = new Map<string, number>()
-  // demotedAt: when each instance that leads beside the record's leader was last told to step down.
+  /** When each instance that claims to lead besides the recorded leader was last told to follow. */
   const demotedAt = new Map<string, number>()
 
   function list(): InstanceStatus[] {
     return view.instancesOf(group)
   }
-  function staying(without?: string): InstanceStatus[] {
-    const out: InstanceStatus[] = []
-    for (const instance of list()) if (!instance.leaving && instance.name !== without) out.push(instance)
-    return out
+  function stayingInstances(without?: string): InstanceStatus[] {
+    const remaining: InstanceStatus[] = []
+    for (const instance of list()) if (!instance.leaving && instance.name !== without) remaining.push(instance)
+    return remaining
   }
   function isSynchronous(): boolean {
-    return (configured()?.sync ?? 0) > 0
+    return (configuredGroup()?.sync ?? 0) > 0
   }
   function get(name: string): InstanceStatus | undefined {
     for (const instance of list()) if (instance.name === name) return instance
     return undefined
   }
-  function addressIn(name: string, recorded: string): string {
+  function currentAddressOf(name: string, recorded: string): string {
     return addressOf(view, group, name, recorded)
   }
-  function remember(): void {
+  function updateFirstSeen(): void {
     const present = new Set<string>()
     for (const { name } of list()) {
       present.add(name)
@@ -84,27 +87,28 @@
     for (const name of firstSeen.keys()) if (!present.has(name)) firstSeen.delete(name)
     for (const name of demotedAt.keys()) if (!present.has(name)) demotedAt.delete(name)
   }
-  async function probeOne(target: Target, options: ProbeOptions): Promise<Probed | undefined> {
+  async function probeOne(target: ProbeTarget, options: ProbeOptions): Promise<ProbedInstance | undefined> {
     const { name, addr } = target
-    const limit = name === options.suspect ? SUSPECT_PROBE_TIMEOUT_MS : LEADER_PROBE_TIMEOUT_MS
-    const status = await view.instance.status(world, { name, addr, group }, limit)
+    const timeoutMs = name === options.suspect ? SUSPECT_PROBE_TIMEOUT_MS : LEADER_PROBE_TIMEOUT_MS
+    const status = await view.instance.status(world, { name, addr, group }, timeoutMs)
     if (status.err && status.val === BUSY) options.onBusy?.()
-    // Another instance may answer at an address that was used before.
+    // The address may have been reused by another instance.
     return status.ok && status.val.name === name ? { name, addr, status: status.val } : undefined
   }
-  async function probe(targets: Target[], options: ProbeOptions = {}): Promise<Probed[]> {
-    const asks: Promise<Probed | undefined>[] = []
-    for (const target of targets) asks.push(probeOne(target, options))
-    const out: Probed[] = []
-    for (const probed of await Promise.all(asks)) if (probed) out.push(probed)
-    return out
+  async function probe(targets: ProbeTarget[], options: ProbeOptions = {}): Promise<ProbedInstance[]> {
+    const probes: Promise<ProbedInstance | undefined>[] = []
+    for (const target of targets) probes.push(probeOne(target, options))
+    const answers: ProbedInstance[] = []
+    for (const probed of await Promise.all(probes)) if (probed) answers.push(probed)
+    return answers
   }
-  function configured(): Group | undefined {
-    for (const one of view.body()?.config?.groups ?? []) if (one.name === group) return one
+  function configuredGroup(): Group | undefined {
+    for (const candidateGroup of view.body()?.config?.groups ?? [])
+      if (candidateGroup.name === group) return candidateGroup
     return undefined
   }
   function homeZones(): string[] {
-    return configured()?.home ?? []
+    return configuredGroup()?.home ?? []
   }
   function isHome(name: string): boolean {
     const instance = get(name)
@@ -113,22 +117,23 @@
   function isLeaving(name: string): boolean {
     return get(name)?.leaving === true
   }
-  function goesBefore(a: string, b: string, old: string | undefined): boolean {
-    if (a === old || b === old) return b === old
+  function isPreferred(a: string, b: string, oldLeader: string | undefined): boolean {
+    if (a === oldLeader || b === oldLeader) return b === oldLeader
     if (isLeaving(a) !== isLeaving(b)) return isLeaving(b)
     if (isHome(a) !== isHome(b)) return isHome(a)
-    const by = (firstSeen.get(a) ?? 0) - (firstSeen.get(b) ?? 0)
-    return Math.abs(by) > NEWER_INSTANCE_MS ? by > 0 : a < b
-  }
-  function furthest(probed: Probed[], old: string | undefined): Probed | undefined {
-    let best: Probed | undefined
-    for (const one of probed) {
-      const by = best ? comparePositions(one.status.mark, best.status.mark) : 1
-      if (!best || by > 0 || (by === 0 && goesBefore(one.name, best.name, old))) best = one
+    const ageDifferenceMs = (firstSeen.get(a) ?? 0) - (firstSeen.get(b) ?? 0)
+    return Math.abs(ageDifferenceMs) > NEWER_INSTANCE_MS ? ageDifferenceMs > 0 : a < b
+  }
+  function mostAdvanced(probed: ProbedInstance[], oldLeader: string | undefined): ProbedInstance | undefined {
+    let best: ProbedInstance | undefined
+    for (const instance of probed) {
+      const difference = best ? comparePositions(instance.status.mark, best.status.mark) : 1
+      if (!best || difference > 0 || (difference === 0 && isPreferred(instance.name, best.name, oldLeader)))
+        best = instance
     }
     return best
   }
-  async function demote(who: Target, epoch: number): Promise<Status | undefined> {
+  async function demote(who: ProbeTarget, epoch: number): Promise<Status | undefined> {
     const last = demotedAt.get(who.name) ?? -DEMOTION_INTERVAL_MS
     if (!view.instance.demote || world.now() - last < DEMOTION_INTERVAL_MS) return undefined
     demotedAt.set(who.name, world.now())
@@ -139,27 +144,28 @@
     return status.ok && status.val.name === who.name ? status.val : undefined
   }
   function missingCommitsWait(): number {
-    // Where it is said that no follower holds a commit when it is acknowledged, the loss is accepted.
-    return configured()?.sync === undefined ? MISSING_COMMITS_WAIT_MS : 0
+    // With sync configured as 0, commits are acknowledged before any follower holds them: their loss is accepted.
+    return configuredGroup()?.sync === undefined ? MISSING_COMMITS_WAIT_MS : 0
   }
   async function highestCommit(): Promise<LogPosition | undefined> {
     const read = await view.askMembers()
-    let best: LogPosition | undefined
+    let highest: LogPosition | undefined
     for (const member of read?.members ?? []) {
-      for (const [of, epoch, position] of member.highs)
-        if (of === group && (!best || comparePositions({ epoch, position }, best) > 0)) best = { epoch, position }
+      for (const [observedGroup, epoch, position] of member.highs)
+        if (observedGroup === group && (!highest || comparePositions({ epoch, position }, highest) > 0))
+          highest = { epoch, position }
     }
-    return best
+    return highest
   }
   return {
     list,
-    staying,
+    stayingInstances,
     isSynchronous,
     get,
-    addressOf: addressIn,
-    remember,
+    addressOf: currentAddressOf,
+    updateFirstSeen,
     probe,
-    furthest,
+    mostAdvanced,
     demote,
     homeZones,
     isHome,
--- a/packages/failover/src/group-memory.ts
+++ b/packages/failover/src/group-memory.ts
@@ -1,67 +1,73 @@
 import type { GroupRecord } from '@claynotch/register'
-import { noAbsence, type ReplicaAbsence } from './replica-absence.js'
+import { initialAbsence, type ReplicaAbsence } from './replica-absence.js'
 
 /**
- * What the holder of a group's duty remembers between looks. It is lost with the process, and nothing rests on it but how long
- * things are waited for. Times are local, in ms.
+ * What the holder of a group's duty remembers between steps. It is lost with the process; only the length of waits
+ * depends on it. Times are local, in ms.
  */
 export type GroupMemory = {
-  /** The version of the record that it is of. */
+  /** The record version that this memory belongs to; 0 before there is a record. */
   version: number
   /** When this version was first seen here. */
   since: number
   leader: string | undefined
-  /** When the leader was last known to be as it should. */
-  leaderOkAt: number
-  /** When the duty was taken over from a holder that was gone. */
-  tookOverAt: number | undefined
-  candidateOkAt: number
+  /** When the leader was last known to be healthy. */
+  leaderHealthyAt: number
+  /** When the duty was taken over from a holder that was no longer live. */
+  takeoverAt: number | undefined
+  /** When the candidate last gave any answer. */
+  candidateRespondedAt: number
   isSuspected: boolean
-  /** Since when an instance of a home zone has been well, while the leader lives elsewhere. */
+  /** Since when a follower in a home zone has been healthy while the leader is elsewhere. */
   homeSince?: number
-  /** When the leader was last probed, and whether it answered well. */
-  probed?: { at: number; isWell: boolean }
-  /** The latest promotion call for this record, and how long the next one waits. */
-  called?: { at: number; pauseMs: number }
-  /** Replicas that haven't been heard, under this leader. */
+  /** When the leader was last probed, and whether it was healthy. */
+  lastProbe?: { at: number; isHealthy: boolean }
+  /** When the latest promotion call for this record ended, and the delay before the next one. */
+  lastPromotionCall?: { at: number; pauseMs: number }
+  /** Replicas that have been absent under this leader. */
   absence: ReplicaAbsence
-  /** When it was last told which replicas are waited for. */
+  /** When the replicas that the promotion waits for were last logged. */
   waitLoggedAt?: number
-  /** ms between looks while it waits for instances. */
+  /** Time in ms between steps while waiting for instances. */
   intervalMs?: number
 }
 
-/** Before there is a record. */
-export function firstMemory(now: number): GroupMemory {
+/** The memory before there is a record. */
+export function initialMemory(now: number): GroupMemory {
   return {
     version: 0,
     since: now,
     leader: undefined,
-    leaderOkAt: 0,
-    tookOverAt: undefined,
-    candidateOkAt: 0,
+    leaderHealthyAt: 0,
+    takeoverAt: undefined,
+    candidateRespondedAt: 0,
     isSuspected: false,
-    absence: noAbsence(),
+    absence: initialAbsence(),
   }
 }
 
-/** A record that kept its leader (a claim, a wish) doesn't make us forget how long that one was quiet. */
+/**
+ * The memory for a new record version. If the leader is unchanged (a takeover, a request), its health state is kept.
+ */
 export function nextMemory(
-  old: GroupMemory | undefined,
+  previousMemory: GroupMemory | undefined,
   version: number,
   record: GroupRecord,
   now: number,
-  isHolderGone: boolean,
+  isHolderExpired: boolean,
 ): GroupMemory {
-  const kept = old && old.version !== 0 && old.leader === record.leader ? old : undefined
+  const sameLeaderMemory =
+    previousMemory && previousMemory.version !== 0 && previousMemory.leader === record.leader
+      ? previousMemory
+      : undefined
   return {
     version,
     since: now,
     leader: record.leader,
-    leaderOkAt: kept ? kept.leaderOkAt : now,
-    tookOverAt: kept ? kept.tookOverAt : isHolderGone ? now : undefined,
-    candidateOkAt: now,
-    isSuspected: kept ? kept.isSuspected : false,
-    absence: kept ? kept.absence : noAbsence(),
+    leaderHealthyAt: sameLeaderMemory ? sameLeaderMemory.leaderHealthyAt : now,
+    takeoverAt: sameLeaderMemory ? sameLeaderMemory.takeoverAt : isHolderExpired ? now : undefined,
+    candidateRespondedAt: now,
+    isSuspected: sameLeaderMemory ? sameLeaderMemory.isSuspected : false,
+    absence: sameLeaderMemory ? sameLeaderMemory.absence : initialAbsence(),
   }
 }
--- a/packages/failover/src/leader-watch.ts
+++ b/packages/failover/src/leader-watch.ts
@@ -10,28 +10,32 @@
 import { weighEvidence, type Evidence } from './evidence.js'
 import { leaderEpochOf, leadsAs, recordedEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
-import type { Probed, Target } from './group-instances.js'
+import type { ProbedInstance, ProbeTarget } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
-import { replaceAsPlanned } from './planned-replacement.js'
-import { stopForCandidate } from './promotion.js'
+import { startPlannedReplacement } from './planned-replacement.js'
+import { enterStopPhase } from './promotion.js'
 import { trackReplicas } from './replica-tracking.js'
 
-// The steady phase: the leader is watched by what nodes tell, and asked itself where they say that it is in trouble.
+/**
+ * The steady phase: the leader's health is judged by announcements and the nodes' observations. The leader is probed
+ * only if they don't show it as healthy.
+ */
 
 /**
- * Whether the instance has said this since the record stands. A status's age is that of what it last said anew; one that
- * stands for longer than an announcement's lifetime was said again.
+ * Whether the instance has announced this status since the record was written. A status's age counts from its last
+ * change, so an unchanged status counts as announced again once the record is older than an announcement's lifetime.
  */
-function isSaidSince({ world }: GroupContext, status: InstanceStatus, memory: GroupMemory): boolean {
+function isReportedSinceRecord({ world }: GroupContext, status: InstanceStatus, memory: GroupMemory): boolean {
   const recordAge = world.now() - memory.since
   return status.age < recordAge || recordAge > ANNOUNCEMENT_LIFETIME_MS + LEASE_DURATION_MS
 }
 
 /**
- * Others that say that they lead: told to follow, or, where one leads by a later promotion of ours than was recorded, made the
- * leader through the record like any other. true: the record moved on.
+ * Demotes other instances that report to be the leader. One that leads in a later epoch than the record's was promoted
+ * by a later promotion call than the recorded one: it becomes the leader through the record like any other candidate.
+ * Returns whether the record changed.
  */
-async function handleRivals(
+async function demoteRivalLeaders(
   context: GroupContext,
   version: number,
   record: GroupRecord,
@@ -40,103 +44,126 @@
   const { view, instances } = context
   if (!view.instance.demote) return false
   for (const rival of instances.list()) {
-    if (rival.role !== 'leader' || rival.name === record.leader || !isSaidSince(context, rival, memory)) continue
+    if (rival.role !== 'leader' || rival.name === record.leader || !isReportedSinceRecord(context, rival, memory))
+      continue
     const status = await instances.demote(rival, recordedEpochOf(record))
     if (status?.role !== 'leader' || leaderEpochOf(status) <= recordedEpochOf(record)) continue
-    return await stopForCandidate(context, version, record, false, { name: rival.name, addr: rival.addr, status })
+    return await enterStopPhase(context, version, record, false, { name: rival.name, addr: rival.addr, status })
   }
   return false
 }
 
-/** Single failures among good answers are no trouble of the leader's. */
-function isCalm(evidence: Evidence, status: InstanceStatus | undefined, followsNow: boolean): boolean {
-  if (followsNow) return false
+/** Whether observations show no problem with the leader. Isolated failures among good answers don't count as one. */
+function isLeaderHealthy(evidence: Evidence, status: InstanceStatus | undefined, reportsFollowing: boolean): boolean {
+  if (reportsFollowing) return false
   return evidence.bad === 0 ? evidence.good > 0 || status !== undefined : evidence.hears >= evidence.bad
 }
 
-/** One that answered well is asked again at once only for trouble that began after it did. */
+/**
+ * Whether to probe the leader now. After a healthy answer, an early probe needs failures that began after that answer.
+ */
 function isProbeDue(now: number, memory: GroupMemory, evidence: Evidence): boolean {
-  const { probed } = memory
-  if (probed?.isWell !== true || now - probed.at >= LEADER_PROBE_INTERVAL_MS) return true
-  return evidence.bad > 1 && evidence.hears === 0 && now - evidence.since > probed.at
+  const { lastProbe } = memory
+  if (lastProbe?.isHealthy !== true || now - lastProbe.at >= LEADER_PROBE_INTERVAL_MS) return true
+  return evidence.bad > 1 && evidence.hears === 0 && now - evidence.since > lastProbe.at
 }
 
-/** refused: it answers, and doesn't lead as the record says. later: it leads by a later promotion than the record's. */
-type ProbeEnd = { refused: boolean; later: Probed | undefined }
+type LeaderProbeResult = {
+  /** It answers, and doesn't lead as the record says. */
+  isLeadershipDenied: boolean
+  /** Set if it leads by a later promotion than the recorded one. */
+  laterLeader: ProbedInstance | undefined
+}
 
 async function probeLeader(
   { world, instances }: GroupContext,
-  leader: Target,
+  leader: ProbeTarget,
   record: GroupRecord,
   memory: GroupMemory,
-): Promise<ProbeEnd> {
+): Promise<LeaderProbeResult> {
   let isBusy = false
   function onBusy(): void {
     isBusy = true
   }
   const suspect = memory.isSuspected ? leader.name : undefined
   const [probed] = await instances.probe([leader], { suspect, onBusy })
-  const isWell = probed ? leadsAs(record, probed.status) : isBusy
-  memory.probed = { at: world.now(), isWell }
-  if (isWell) memory.leaderOkAt = world.now()
-  if (isWell || !probed) return { refused: false, later: undefined }
-  const leadsLater = probed.status.role === 'leader' && leaderEpochOf(probed.status) > recordedEpochOf(record)
-  return leadsLater ? { refused: false, later: probed } : { refused: true, later: undefined }
+  const isHealthy = probed ? leadsAs(record, probed.status) : isBusy
+  memory.lastProbe = { at: world.now(), isHealthy }
+  if (isHealthy) memory.leaderHealthyAt = world.now()
+  if (isHealthy || !probed) return { isLeadershipDenied: false, laterLeader: undefined }
+  const leadsInLaterEpoch = probed.status.role === 'leader' && leaderEpochOf(probed.status) > recordedEpochOf(record)
+  return leadsInLaterEpoch
+    ? { isLeadershipDenied: false, laterLeader: probed }
+    : { isLeadershipDenied: true, laterLeader: undefined }
 }
 
 /**
- * Whether the leader seems to have gone together with the holder before us: soon after that one's lease ran out nobody has
- * heard the leader for ANNOUNCEMENT_LIFETIME_MS, no node reports an answer of it, and our own question had none. It was silent
- * for longer than our own clock since the takeover can tell.
+ * Whether the leader seems to have failed together with the previous holder of the duty: soon after that node's lease
+ * expired, no announcement of the leader has arrived for ANNOUNCEMENT_LIFETIME_MS, no node reports an answer from it,
+ * and this node's own probe went unanswered. It has then been silent for longer than the time since the takeover shows.
  */
-function wentWithHolder(now: number, memory: GroupMemory, status: InstanceStatus | undefined, good: number): boolean {
-  const { tookOverAt } = memory
-  return tookOverAt !== undefined && now - tookOverAt < TAKEOVER_DOUBT_MS && status === undefined && good === 0
+function failedWithHolder(now: number, memory: GroupMemory, status: InstanceStatus | undefined, good: number): boolean {
+  const { takeoverAt } = memory
+  return takeoverAt !== undefined && now - takeoverAt < TAKEOVER_DOUBT_MS && status === undefined && good === 0
 }
 
-/** Several nodes fail, more than may only not have told yet that they still hear it, and none has heard it since. */
-function isStrong(evidence: Evidence): boolean {
+/**
+ * Whether at least two nodes (or the only one that reports) see failures, more than see answers, and no answer is newer
+ * than the failures. Fewer failures may come from nodes that have not yet reported that they still hear the leader.
+ */
+function isEvidenceStrong(evidence: Evidence): boolean {
   const { bad, good, hears } = evidence
   return bad >= Math.min(2, bad + good) && hears === 0 && bad > good
 }
 
-type Doubt = { evidence: Evidence; refused: boolean; status: InstanceStatus | undefined }
+/** What speaks for and against the leader's failure. */
+type Suspicion = { evidence: Evidence; isLeadershipDenied: boolean; status: InstanceStatus | undefined }
 
-function noteSuspicion(context: GroupContext, leader: string, quietMs: number, doubt: Doubt): void {
+/** Counts and logs a new suspicion of the leader. */
+function reportSuspicion(context: GroupContext, leader: string, silenceMs: number, suspicion: Suspicion): void {
   const { view, world, group } = context
-  const { bad, good, hears } = doubt.evidence
+  const { bad, good, hears } = suspicion.evidence
   view.metrics.add('claynotch_duty_suspicions_total', [['group', group]])
   world.log.warn('leader-suspected', {
     group,
     leader,
-    quiet: Math.round(quietMs),
+    quiet: Math.round(silenceMs),
     bad,
     good,
     hears,
-    refused: doubt.refused,
+    refused: suspicion.isLeadershipDenied,
   })
 }
 
-/** Whether the leader has been in doubt for long enough, and nothing that nodes tell speaks against replacing it. */
-function isConfirmed(context: GroupContext, leader: string, memory: GroupMemory, doubt: Doubt): boolean {
-  const { world, view, lookAgainIn } = context
-  const { evidence, refused, status } = doubt
-  const strong = refused || isStrong(evidence)
-  // leaderOkAt is as of our own looks; where several nodes fail, they know better since when.
-  const quietMs = strong && !refused ? evidence.since : world.now() - memory.leaderOkAt
-  const isSure = strong || wentWithHolder(world.now(), memory, status, evidence.good)
+/** Whether the leader has been silent for long enough, and no observation speaks against replacing it. */
+function isSuspicionConfirmed(
+  context: GroupContext,
+  leader: string,
+  memory: GroupMemory,
+  suspicion: Suspicion,
+): boolean {
+  const { world, view, scheduleCheck } = context
+  const { evidence, isLeadershipDenied, status } = suspicion
+  const isStrong = isLeadershipDenied || isEvidenceStrong(evidence)
+  // leaderHealthyAt is only as precise as this node's checks; the reports of several failing nodes are more precise.
+  const silenceMs = isStrong && !isLeadershipDenied ? evidence.since : world.now() - memory.leaderHealthyAt
+  const isSure = isStrong || failedWithHolder(world.now(), memory, status, evidence.good)
   const neededMs = isSure ? Math.min(CONFIRMED_SUSPICION_TIMEOUT_MS, view.suspect) : view.suspect
-  if (quietMs < neededMs) {
-    if (strong) lookAgainIn(Math.min(neededMs - quietMs, PROMOTION_INTERVAL_MS * 2))
+  if (silenceMs < neededMs) {
+    if (isStrong) scheduleCheck(Math.min(neededMs - silenceMs, PROMOTION_INTERVAL_MS * 2))
     return false
   }
-  if (!memory.isSuspected) noteSuspicion(context, leader, quietMs, doubt)
+  if (!memory.isSuspected) reportSuspicion(context, leader, silenceMs, suspicion)
   memory.isSuspected = true
-  // Nodes of ours that still hear the leader speak against acting on our own link's trouble.
-  if (!refused && evidence.hears > 0 && evidence.hears >= evidence.bad) return false
-  return strong || evidence.good <= evidence.bad
+  // If other nodes still hear the leader, the failure may be that of a network link, which doesn't justify a failover.
+  if (!isLeadershipDenied && evidence.hears > 0 && evidence.hears >= evidence.bad) return false
+  return isStrong || evidence.good <= evidence.bad
 }
 
+/**
+ * The steady phase: checks the leader, and starts a planned replacement or a failover where needed. Returns whether the
+ * record changed.
+ */
 export async function watchLeader(
   context: GroupContext,
   version: number,
@@ -145,27 +172,28 @@
 ): Promise<boolean> {
   const { world, view, group, instances } = context
   if (await trackReplicas(context, version, record, memory)) return true
-  if (await handleRivals(context, version, record, memory)) return true
+  if (await demoteRivalLeaders(context, version, record, memory)) return true
   const name = record.leader as string
   const leader = { name, addr: instances.addressOf(name, record.addr as string) }
   const now = world.now()
   const status = instances.get(name)
-  const followsNow = status !== undefined && status.role !== 'leader' && isSaidSince(context, status, memory)
+  const reportsFollowing =
+    status !== undefined && status.role !== 'leader' && isReportedSinceRecord(context, status, memory)
   let evidence = weighEvidence(view.reports(), name)
-  let refused = false
-  const calm = isCalm(evidence, status, followsNow)
-  if (calm) memory.leaderOkAt = now
+  let isLeadershipDenied = false
+  const isHealthy = isLeaderHealthy(evidence, status, reportsFollowing)
+  if (isHealthy) memory.leaderHealthyAt = now
   else if (isProbeDue(now, memory, evidence)) {
-    const end = await probeLeader(context, leader, record, memory)
-    if (end.later) return await stopForCandidate(context, version, record, false, end.later)
-    refused = end.refused
+    const probeResult = await probeLeader(context, leader, record, memory)
+    if (probeResult.laterLeader) return await enterStopPhase(context, version, record, false, probeResult.laterLeader)
+    isLeadershipDenied = probeResult.isLeadershipDenied
     evidence = weighEvidence(view.reports(), name)
   }
-  if (calm || memory.probed?.isWell === true) {
+  if (isHealthy || memory.lastProbe?.isHealthy === true) {
     if (memory.isSuspected) world.log.info('leader-back', { group, leader: name })
     memory.isSuspected = false
-    return await replaceAsPlanned(context, version, record, memory)
+    return await startPlannedReplacement(context, version, record, memory)
   }
-  if (!isConfirmed(context, name, memory, { evidence, refused, status })) return false
-  return await stopForCandidate(context, version, record, false)
+  if (!isSuspicionConfirmed(context, name, memory, { evidence, isLeadershipDenied, status })) return false
+  return await enterStopPhase(context, version, record, false)
 }
--- a/packages/failover/src/promotion-calls.ts
+++ b/packages/failover/src/promotion-calls.ts
@@ -2,22 +2,23 @@
 import type { Promotion, PromotionEdge, PromotionEnd } from '@claynotch/host'
 
 /**
- * Promotion calls under way from this process.
+ * Limits this process to one promotion call per group at a time.
  *
- * Invariant: one call of a group at a time is on its way; a second one is not sent and ends unclear, as the first may
- * still be carried out. The group's record, not the edge that sends the call, says who is promoted: so this is decided
- * here, whatever the call looks like on the wire.
+ * Invariant: while a call is pending, a second one for the same group is not sent and ends as unclear, as the first may
+ * still be executed. The group's record, not the adapter that sends the call, decides which instance is promoted, so
+ * the limit is enforced here, independent of the wire protocol.
  */
 export function onePerGroup(call: PromotionEdge): PromotionEdge {
-  const underWay = new Set<string>()
-  async function promote(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
-    const { group } = what
-    if (underWay.has(group)) return { end: 'unclear', why: 'a call of this group is on its way' }
-    underWay.add(group)
+  const groupsInProgress = new Set<string>()
+  async function promote(world: World, platform: Address | undefined, promotion: Promotion): Promise<PromotionEnd> {
+    const { group } = promotion
+    if (groupsInProgress.has(group))
+      return { end: 'unclear', why: 'a promotion call for this group is already pending' }
+    groupsInProgress.add(group)
     try {
-      return await call(world, at, what)
+      return await call(world, platform, promotion)
     } finally {
-      underWay.delete(group)
+      groupsInProgress.delete(group)
     }
   }
   return promote
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -12,54 +12,62 @@
 import { departedOf, groupKey, type GroupRecord } from '@claynotch/register'
 import { haveStopped, leaderEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
-import type { Probed, Target } from './group-instances.js'
+import type { ProbedInstance, ProbeTarget } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
-import { replicasOf, replicasWithOld, unheardOf } from './replicas.js'
+import { replicasOf, replicasWithOldLeader, unansweredReplicas } from './replicas.js'
 
-// From the end of one leader to the next: the phases stop and promote.
+/** Failover from one leader to the next: the phases stop and promote of a group's record. */
 
-/** The leader that this record replaces, or would. */
+/** The leader that this record replaces, or would replace if a failover started now. */
 function oldLeaderOf(record: GroupRecord): string | undefined {
   return record.old ?? record.leader
 }
 
 /**
- * Those that may be promoted. With synchronous commits all that may hold an acknowledged commit are asked, one that leaves too:
- * it receives commits until it ends, and may be the only replica that holds the last ones.
+ * The instances that may be promoted. With synchronous commits these are all that may hold an acknowledged commit,
+ * including a leaving one: it receives commits until it ends, and may be the only replica that holds the last ones.
  */
-function electable({ instances }: GroupContext, record: GroupRecord): Target[] {
-  return instances.isSynchronous() ? replicasOf(record, instances.list(), undefined) : instances.staying()
+function promotableInstances({ instances }: GroupContext, record: GroupRecord): ProbeTarget[] {
+  return instances.isSynchronous() ? replicasOf(record, instances.list(), undefined) : instances.stayingInstances()
 }
 
-/** The furthest of those that may be promoted; the old leader, unless it is left as planned, only where nobody else answers. */
+/**
+ * The most advanced instance that may be promoted. Unless the replacement is planned, the old leader is considered only
+ * if no other instance answers.
+ */
 async function chooseCandidate(
   context: GroupContext,
   record: GroupRecord,
   planned: boolean,
-): Promise<Probed | undefined> {
+): Promise<ProbedInstance | undefined> {
   const { instances } = context
-  const old = oldLeaderOf(record)
-  const others: Target[] = []
-  const olds: Target[] = []
-  for (const instance of electable(context, record)) (instance.name === old && !planned ? olds : others).push(instance)
-  // Which one is furthest is looked at once more when all have stopped; the one that doesn't answer isn't waited for now.
+  const oldLeader = oldLeaderOf(record)
+  const others: ProbeTarget[] = []
+  const oldLeaderTargets: ProbeTarget[] = []
+  for (const instance of promotableInstances(context, record))
+    (instance.name === oldLeader && !planned ? oldLeaderTargets : others).push(instance)
+  // This choice is provisional: positions are compared again once writes have stopped, so a missing answer isn't
+  // awaited.
   return (
-    instances.furthest(await instances.probe(others), old) ??
-    instances.furthest(await instances.probe(olds, { suspect: old }), old)
+    instances.mostAdvanced(await instances.probe(others), oldLeader) ??
+    instances.mostAdvanced(await instances.probe(oldLeaderTargets, { suspect: oldLeader }), oldLeader)
   )
 }
 
-/** Records a new epoch with its candidate; from then on no proxy sends a write under the old one. */
-export async function stopForCandidate(
+/**
+ * Starts a failover: records a new epoch and its candidate, in phase stop. A proxy that has applied this record sends
+ * no write under the old epoch. Returns whether the record was written.
+ */
+export async function enterStopPhase(
   context: GroupContext,
   version: number,
   record: GroupRecord,
   planned: boolean,
-  to?: Probed,
+  chosenCandidate?: ProbedInstance,
 ): Promise<boolean> {
   const { view, write } = context
-  const old = oldLeaderOf(record)
-  const candidate = to ?? (await chooseCandidate(context, record, planned))
+  const oldLeader = oldLeaderOf(record)
+  const candidate = chosenCandidate ?? (await chooseCandidate(context, record, planned))
   if (!candidate) return false
   const { status } = candidate
   const next: GroupRecord = {
@@ -71,85 +79,98 @@
     candidate: candidate.name,
     candidateAddr: candidate.addr,
     planned,
-    ...(old !== undefined ? { old } : {}),
-    ...(context.instances.isSynchronous() ? { replicas: replicasWithOld(record, context.instances.list()) } : {}),
+    ...(oldLeader !== undefined ? { old: oldLeader } : {}),
+    ...(context.instances.isSynchronous() ? { replicas: replicasWithOldLeader(record, context.instances.list()) } : {}),
     ...departedOf(record),
   }
   return (await write(version, next)) === true
 }
 
-/** Says that the furthest instance lacks commits that were seen acknowledged; the note for the record. */
-function noteMissing(
+/**
+ * Reports that the most advanced instance lacks commits that were acknowledged; returns the note for the group's
+ * record.
+ */
+function reportMissingCommits(
   { world, view, group }: GroupContext,
   candidate: string | undefined,
-  seen: LogPosition,
-  best: Probed,
+  highestSeen: LogPosition,
+  mostAdvanced: ProbedInstance,
 ) {
-  const { mark } = best.status
+  const { mark } = mostAdvanced.status
   view.metrics.add('claynotch_duty_promoted_behind_total', [['group', group]])
   world.log.error('promotion-behind', {
     group,
     candidate,
-    seen: `${seen.epoch}/${seen.position}`,
+    seen: `${highestSeen.epoch}/${highestSeen.position}`,
     has: `${mark.epoch}/${mark.position}`,
   })
-  return `promoted behind: commits up to ${seen.epoch}/${seen.position} were seen, the furthest instance has ${mark.epoch}/${mark.position}`
+  return `promoted behind: commits up to ${highestSeen.epoch}/${highestSeen.position} were seen, the furthest instance has ${mark.epoch}/${mark.position}`
 }
 
-/** Whether a leader that is replaced as planned still holds commits that its replicas lack, and may yet send them. */
-function isAwaitingReplicas(
+/**
+ * Whether, in a planned replacement, the old leader holds commits that its replicas lack but may still receive in time.
+ */
+function shouldWaitForReplicas(
   { world, instances }: GroupContext,
   record: GroupRecord,
-  best: Probed,
+  mostAdvanced: ProbedInstance,
   memory: GroupMemory,
 ): boolean {
-  if (!instances.isSynchronous() || record.planned !== true || best.name !== record.old) return false
+  if (!instances.isSynchronous() || record.planned !== true || mostAdvanced.name !== record.old) return false
   return world.now() - memory.since < MISSING_COMMITS_WAIT_MS
 }
 
-/** Tells, at an interval, which replicas keep the promotion waiting, and up to which commit clients were told to be done. */
-async function logWait({ world, view, group, instances }: GroupContext, unheard: Target[], memory: GroupMemory) {
+/** Logs, at most once per interval, which replicas the promotion waits for and the highest acknowledged commit. */
+async function logPromotionWait(
+  { world, view, group, instances }: GroupContext,
+  unansweredReplicas: ProbeTarget[],
+  memory: GroupMemory,
+) {
   const now = world.now()
   if (now - (memory.waitLoggedAt ?? -Infinity) < PROMOTION_WAIT_LOG_INTERVAL_MS) return
   memory.waitLoggedAt = now
-  const seen = await instances.highestCommit()
+  const highestSeen = await instances.highestCommit()
   view.metrics.add('claynotch_duty_promotion_waits_total', [['group', group]])
-  const names: string[] = []
-  for (const { name } of unheard) names.push(name)
+  const replicaNames: string[] = []
+  for (const { name } of unansweredReplicas) replicaNames.push(name)
   world.log.warn('promotion-waits', {
     group,
-    replicas: names.join(' '),
-    seen: seen && `${seen.epoch}/${seen.position}`,
+    replicas: replicaNames.join(' '),
+    seen: highestSeen && `${highestSeen.epoch}/${highestSeen.position}`,
   })
 }
 
-/** Whether one that didn't answer may hold an acknowledged commit that nobody who answered holds. */
-async function isCommitUnheard(
+/** Whether a replica that didn't answer may hold an acknowledged commit that no answering instance holds. */
+async function mayUnansweredHoldCommit(
   context: GroupContext,
   record: GroupRecord,
-  probed: Probed[],
+  probed: ProbedInstance[],
   memory: GroupMemory,
 ): Promise<boolean> {
   const { instances } = context
   if (!instances.isSynchronous()) return false
-  const unheard = unheardOf(record, instances.list(), probed)
+  const unheard = unansweredReplicas(record, instances.list(), probed)
   if (unheard.length === 0) return false
-  await logWait(context, unheard, memory)
+  await logPromotionWait(context, unheard, memory)
   return true
 }
 
 /**
- * A commit that was seen acknowledged and that the furthest instance seems to lack. With synchronous commits there is none, as
- * all that may hold one were asked: proxies then see only the end of the leader's log, which is ahead of what is acknowledged.
+ * The highest acknowledged commit, if the most advanced instance seems to lack it. Always undefined with synchronous
+ * commits, as every instance that may hold an acknowledged commit was asked: the position that proxies see is then the
+ * end of the leader's log, which is ahead of what is acknowledged.
  */
-async function commitMissingAt({ instances }: GroupContext, best: Probed): Promise<LogPosition | undefined> {
+async function findMissingCommit(
+  { instances }: GroupContext,
+  mostAdvanced: ProbedInstance,
+): Promise<LogPosition | undefined> {
   if (instances.isSynchronous()) return undefined
   const highest = await instances.highestCommit()
-  return highest && comparePositions(best.status.mark, highest) < 0 ? highest : undefined
+  return highest && comparePositions(mostAdvanced.status.mark, highest) < 0 ? highest : undefined
 }
 
-/** The stop phase: once no proxy can write any more, the furthest instance is made the candidate for good. */
-export async function awaitStop(
+/** The stop phase: once no proxy can write any more, the most advanced instance becomes the final candidate. */
+export async function awaitWritesStopped(
   context: GroupContext,
   version: number,
   record: GroupRecord,
@@ -158,81 +179,88 @@
   const { world, view, group, instances, write } = context
   if (!(await haveStopped(world, view, groupKey(group), version, memory.since))) return false
   const suspect = record.planned ? undefined : record.old
-  const probed = await instances.probe(electable(context, record), { suspect })
-  const best = instances.furthest(probed, instances.isSynchronous() ? record.old : suspect)
-  if (!best) return false
+  const probed = await instances.probe(promotableInstances(context, record), { suspect })
+  const mostAdvanced = instances.mostAdvanced(probed, instances.isSynchronous() ? record.old : suspect)
+  if (!mostAdvanced) return false
   memory.intervalMs = FAILOVER_INTERVAL_MS / 2
-  if (await isCommitUnheard(context, record, probed, memory)) return false
-  if (isAwaitingReplicas(context, record, best, memory)) return false
-  const missing = await commitMissingAt(context, best)
-  if (missing && world.now() - memory.since < instances.missingCommitsWait()) return false
-  const mine = probed.find(isCandidate)
-  function isCandidate(one: Probed): boolean {
-    return one.name === record.candidate
+  if (await mayUnansweredHoldCommit(context, record, probed, memory)) return false
+  if (shouldWaitForReplicas(context, record, mostAdvanced, memory)) return false
+  const missingCommit = await findMissingCommit(context, mostAdvanced)
+  if (missingCommit && world.now() - memory.since < instances.missingCommitsWait()) return false
+  const probedCandidate = probed.find(isCandidate)
+  function isCandidate(instance: ProbedInstance): boolean {
+    return instance.name === record.candidate
   }
-  // Nobody writes now, so who is ahead now stays so; a candidate that isn't gives way.
-  const givesWay = !mine || comparePositions(best.status.mark, mine.status.mark) > 0
+  // Nobody writes now, so the most advanced instance stays ahead; it replaces a candidate that is behind it.
+  const isCandidateReplaced =
+    !probedCandidate || comparePositions(mostAdvanced.status.mark, probedCandidate.status.mark) > 0
   const next: GroupRecord = {
     ...record,
     phase: 'promote',
-    ...(givesWay ? { candidate: best.name, candidateAddr: best.addr } : {}),
+    ...(isCandidateReplaced ? { candidate: mostAdvanced.name, candidateAddr: mostAdvanced.addr } : {}),
   }
-  if (missing) next.note = noteMissing(context, next.candidate, missing, best)
+  if (missingCommit) next.note = reportMissingCommits(context, next.candidate, missingCommit, mostAdvanced)
   return (await write(version, next)) === true
 }
 
-/** Whether the candidate leads, and in which number where instances count by themselves; undefined: no answer. */
-type Confirmation = { leads: boolean; term: number | undefined } | undefined
+/** Whether the candidate leads, and its term where instances number their leaders themselves; undefined: no answer. */
+type Confirmation = { isLeading: boolean; term: number | undefined } | undefined
 
-async function confirm(
+/** Probes the candidate. Any answer, also a busy one, counts as a sign of life. */
+async function confirmLeadership(
   { world, instances }: GroupContext,
-  candidate: Target,
+  candidate: ProbeTarget,
   record: GroupRecord,
   memory: GroupMemory,
 ): Promise<Confirmation> {
   function onBusy(): void {
-    memory.candidateOkAt = world.now()
+    memory.candidateRespondedAt = world.now()
   }
   const [probed] = await instances.probe([candidate], { onBusy })
   if (!probed) return undefined
-  memory.candidateOkAt = world.now()
+  memory.candidateRespondedAt = world.now()
   const { status } = probed
-  // Where instances count by themselves, the one that leads now does so in a number that we learn only here.
-  const fits = status.epoch === undefined ? status.mark.epoch === record.epoch : status.epoch >= (record.term ?? 0)
-  return { leads: status.role === 'leader' && fits, term: status.epoch }
+  // Where instances number their leaders themselves, the new leader's term becomes known only here.
+  const isEpochCurrent =
+    status.epoch === undefined ? status.mark.epoch === record.epoch : status.epoch >= (record.term ?? 0)
+  return { isLeading: status.role === 'leader' && isEpochCurrent, term: status.epoch }
 }
 
-/** ms until the same candidate may be called again. */
-function callDelay(end: PromotionEnd['end'], memory: GroupMemory): number {
+/** Delay in ms before the promotion call may be repeated for the same candidate; doubles after each refusal. */
+function promotionRetryDelay(end: PromotionEnd['end'], memory: GroupMemory): number {
   if (end === 'done') return PROMOTION_DONE_DELAY_MS
   if (end === 'unclear') return PROMOTION_UNCLEAR_DELAY_MS
-  const last = Math.max(PROMOTION_REFUSED_DELAY_MS / 2, memory.called?.pauseMs ?? 0)
-  return Math.min(PROMOTION_DONE_DELAY_MS, 2 * last)
+  const previousDelayMs = Math.max(PROMOTION_REFUSED_DELAY_MS / 2, memory.lastPromotionCall?.pauseMs ?? 0)
+  return Math.min(PROMOTION_DONE_DELAY_MS, 2 * previousDelayMs)
 }
 
-/** The old leader, if it lives, is told to follow; nobody waits for its answer. */
-function demoteOld({ instances }: GroupContext, record: GroupRecord): void {
-  const old = record.old === undefined || record.old === record.candidate ? undefined : instances.get(record.old)
-  if (old) void instances.demote(old, (record.term ?? record.epoch - 1) + 1)
+/** Tells the old leader, if it is announced, to follow; its answer isn't awaited. */
+function demoteOldLeader({ instances }: GroupContext, record: GroupRecord): void {
+  const oldLeader = record.old === undefined || record.old === record.candidate ? undefined : instances.get(record.old)
+  if (oldLeader) void instances.demote(oldLeader, (record.term ?? record.epoch - 1) + 1)
 }
 
-/** Calls the platform; false: the record or our lease is not what the call needs. */
+/**
+ * Sends the promotion call to the platform; false: not sent, as the record has changed or this node's lease has
+ * expired.
+ */
 async function callPromotion(
   context: GroupContext,
   version: number,
   record: GroupRecord,
   memory: GroupMemory,
-  candidate: Target,
+  candidate: ProbeTarget,
 ): Promise<boolean> {
   const { world, view, group, promote } = context
   function mayCall(): boolean {
     return world.now() < view.leaseExpiresAt()
   }
-  // The fence, right before the call: the record is still the one read, and our lease still runs.
+  // Fencing check right before the call: the record must still be the version read, and this node's lease must be
+  // valid.
   const now = await view.proposer.read(groupKey(group))
   if (!now.done || now.value?.turn !== version || (now.value.body as GroupRecord).holder !== view.node) return false
   if (!mayCall()) return false
-  demoteOld(context, record)
+  demoteOldLeader(context, record)
   const { end, why } = await promote(world, view.platform(), {
     group,
     instance: candidate.name,
@@ -242,17 +270,18 @@
     fence: record.fence,
     may: mayCall,
   })
-  memory.called = { at: world.now(), pauseMs: callDelay(end, memory) }
+  memory.lastPromotionCall = { at: world.now(), pauseMs: promotionRetryDelay(end, memory) }
   view.metrics.add('claynotch_duty_promotions_total', [['end', end]])
   world.log.info('promotion-called', { group, candidate: candidate.name, epoch: record.epoch, end, why })
   return true
 }
 
+/** Records the promoted candidate as the leader, which ends the failover. */
 async function recordPromoted(
   { view, instances, write }: GroupContext,
   version: number,
   record: GroupRecord,
-  leader: Target,
+  leader: ProbeTarget,
   term: number | undefined,
 ): Promise<boolean> {
   const { note } = record
@@ -271,7 +300,7 @@
   return isWritten === true
 }
 
-/** The promote phase: the candidate is called until it leads, or is given up for another. */
+/** The promote phase: promotion calls are repeated until the candidate leads, or it is given up for another one. */
 export async function promoteCandidate(
   context: GroupContext,
   version: number,
@@ -281,17 +310,18 @@
   const { world, group, instances } = context
   const name = record.candidate as string
   const candidate = { name, addr: instances.addressOf(name, record.candidateAddr as string) }
-  let confirmation = await confirm(context, candidate, record, memory)
-  const isCallDue = !memory.called || world.now() - memory.called.at >= memory.called.pauseMs
-  if (confirmation?.leads === false && isCallDue) {
+  let confirmation = await confirmLeadership(context, candidate, record, memory)
+  const isCallDue =
+    !memory.lastPromotionCall || world.now() - memory.lastPromotionCall.at >= memory.lastPromotionCall.pauseMs
+  if (confirmation?.isLeading === false && isCallDue) {
     if (!(await callPromotion(context, version, record, memory, candidate))) return false
-    // One that counts by itself leads only some time after the call; it is looked at then.
-    if (confirmation.term === undefined) confirmation = await confirm(context, candidate, record, memory)
+    // An instance that numbers its terms itself leads only some time after the call, so a later step probes it.
+    if (confirmation.term === undefined) confirmation = await confirmLeadership(context, candidate, record, memory)
   }
-  if (confirmation?.leads) return await recordPromoted(context, version, record, candidate, confirmation.term)
-  const quietMs = world.now() - Math.max(memory.candidateOkAt, memory.since)
-  const isLate = confirmation !== undefined && world.now() - memory.since > 2 * CANDIDATE_TIMEOUT_MS
-  if (quietMs <= CANDIDATE_TIMEOUT_MS && !isLate) return false
+  if (confirmation?.isLeading) return await recordPromoted(context, version, record, candidate, confirmation.term)
+  const silenceMs = world.now() - Math.max(memory.candidateRespondedAt, memory.since)
+  const isPromotionOverdue = confirmation !== undefined && world.now() - memory.since > 2 * CANDIDATE_TIMEOUT_MS
+  if (silenceMs <= CANDIDATE_TIMEOUT_MS && !isPromotionOverdue) return false
   world.log.warn('candidate-given-up', { group, candidate: name, epoch: record.epoch })
-  return await stopForCandidate(context, version, record, false)
+  return await enterStopPhase(context, version, record, false)
 }
--- a/packages/failover/src/replica-absence.ts
+++ b/packages/failover/src/replica-absence.ts
@@ -1,14 +1,16 @@
 import type { LogPosition } from '@claynotch/instance'
 
-/** The absence of replicas, as the holder knows it; a later holder begins anew. */
+/** Absent replicas, as tracked by the holder of the duty; a later holder starts from nothing. */
 export type ReplicaAbsence = {
-  /** Local time (ms) since when each has been absent. */
+  /** Since when each replica has been absent (local time, ms). */
   since: Map<string, number>
+  /** When the replicas were last probed (local time, ms). */
   probedAt: number
-  /** The leader's position, read while all of these were absent for long enough. */
-  covering: { names: Set<string>; position: LogPosition } | undefined
+  /** The leader's log position, read while all the named replicas had been absent for long enough. */
+  leaderSnapshot: { names: Set<string>; position: LogPosition } | undefined
 }
 
-export function noAbsence(): ReplicaAbsence {
-  return { since: new Map(), probedAt: -Infinity, covering: undefined }
+/** The state before any replica is absent. */
+export function initialAbsence(): ReplicaAbsence {
+  return { since: new Map(), probedAt: -Infinity, leaderSnapshot: undefined }
 }
--- a/packages/failover/src/replica-tracking.ts
+++ b/packages/failover/src/replica-tracking.ts
@@ -4,63 +4,76 @@
 import { weighEvidence } from './evidence.js'
 import { leadsAs } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
-import type { Probed } from './group-instances.js'
+import type { ProbedInstance } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
 import type { ReplicaAbsence } from './replica-absence.js'
-import { isPresent, isSameList, replicasOf, type Replica } from './replicas.js'
+import { isPresent, areReplicaListsEqual, replicasOf, type Replica } from './replicas.js'
 
-// Keeps the record's list of replicas, where commits are synchronous. A replica is added as soon as it is announced. One is
-// dropped only when it has been absent for REPLICA_ABSENCE_MS and another holds all that the leader held after that: what it
-// may have acknowledged alone is then held twice.
+/**
+ * Maintains the record's list of replicas in groups with synchronous commits. A replica is added as soon as it is
+ * announced. It is removed only after it has been absent for REPLICA_ABSENCE_MS and another replica holds all that the
+ * leader held after that: every commit that only the absent replica may have acknowledged is then held twice.
+ */
 
-/** Notes who is absent now; those who have been for long enough. */
-function longAbsent({ world, view, instances }: GroupContext, replicas: Replica[], absence: ReplicaAbsence): Replica[] {
+/** Updates the absence times; returns the replicas that have been absent for at least REPLICA_ABSENCE_MS. */
+function findLongAbsent(
+  { world, view, instances }: GroupContext,
+  replicas: Replica[],
+  absence: ReplicaAbsence,
+): Replica[] {
   const announced = instances.list()
   const reports = view.reports()
-  const before = absence.since
+  const previousSince = absence.since
   absence.since = new Map()
-  const out: Replica[] = []
+  const longAbsent: Replica[] = []
   for (const replica of replicas) {
     const { name } = replica
     if (isPresent(name, announced) || weighEvidence(reports, name).good > 0) continue
-    const since = before.get(name) ?? world.now()
+    const since = previousSince.get(name) ?? world.now()
     absence.since.set(name, since)
-    if (world.now() - since >= REPLICA_ABSENCE_MS) out.push(replica)
+    if (world.now() - since >= REPLICA_ABSENCE_MS) longAbsent.push(replica)
   }
-  return out
+  return longAbsent
 }
 
 function namesOf(replicas: Replica[]): Set<string> {
-  const out = new Set<string>()
-  for (const { name } of replicas) out.add(name)
-  return out
+  const names = new Set<string>()
+  for (const { name } of replicas) names.add(name)
+  return names
 }
 
-/** The names that may be dropped: absent when the leader's position was read, and still, while another has come up to it. */
-function coveredBy(absence: ReplicaAbsence, gone: Set<string>, probed: Probed[], leader: string): Set<string> {
-  const out = new Set<string>()
-  const { covering } = absence
-  if (!covering) return out
+/**
+ * The replicas to remove: absent when the leader's position was read and still absent, while another has reached it.
+ */
+function findRemovable(
+  absence: ReplicaAbsence,
+  absentNames: Set<string>,
+  probed: ProbedInstance[],
+  leader: string,
+): Set<string> {
+  const removable = new Set<string>()
+  const { leaderSnapshot } = absence
+  if (!leaderSnapshot) return removable
   let isHeldTwice = false
   for (const { name, status } of probed) {
-    if (name === leader || gone.has(name)) continue
-    if (comparePositions(status.mark, covering.position) >= 0) isHeldTwice = true
+    if (name === leader || absentNames.has(name)) continue
+    if (comparePositions(status.mark, leaderSnapshot.position) >= 0) isHeldTwice = true
   }
-  if (isHeldTwice) for (const name of covering.names) if (gone.has(name)) out.add(name)
-  return out
+  if (isHeldTwice) for (const name of leaderSnapshot.names) if (absentNames.has(name)) removable.add(name)
+  return removable
 }
 
-/** The replicas without those that may be dropped. */
-async function withoutGone(
+/** The replicas without those that may be removed; probes all of them if some have been absent for long. */
+async function withoutRemovable(
   context: GroupContext,
   record: GroupRecord,
   replicas: Replica[],
   absence: ReplicaAbsence,
 ): Promise<Replica[]> {
   const { world, instances } = context
-  const absent = longAbsent(context, replicas, absence)
+  const absent = findLongAbsent(context, replicas, absence)
   if (absent.length === 0) {
-    absence.covering = undefined
+    absence.leaderSnapshot = undefined
     return replicas
   }
   if (world.now() - absence.probedAt < LEADER_PROBE_INTERVAL_MS) return replicas
@@ -70,19 +83,19 @@
   const probed = await instances.probe([target, ...replicas])
   const gone = namesOf(absent)
   for (const { name } of probed) {
-    // One that answers is there, whatever it announces.
+    // A replica that answers isn't absent, even if it is not announced.
     if (gone.delete(name)) absence.since.set(name, world.now())
   }
-  const dropped = coveredBy(absence, gone, probed, leader)
-  absence.covering = undefined
+  const removable = findRemovable(absence, gone, probed, leader)
+  absence.leaderSnapshot = undefined
   for (const { name, status } of probed)
-    if (name === leader && leadsAs(record, status)) absence.covering = { names: gone, position: status.mark }
-  const out: Replica[] = []
-  for (const replica of replicas) if (!dropped.has(replica.name)) out.push(replica)
-  return out
+    if (name === leader && leadsAs(record, status)) absence.leaderSnapshot = { names: gone, position: status.mark }
+  const remaining: Replica[] = []
+  for (const replica of replicas) if (!removable.has(replica.name)) remaining.push(replica)
+  return remaining
 }
 
-/** Brings the record's list up to date; true: the record moved on. */
+/** Updates the record's replica list; true: a changed list was written. */
 export async function trackReplicas(
   context: GroupContext,
   version: number,
@@ -92,8 +105,8 @@
   const { world, group, instances, write } = context
   if (!instances.isSynchronous()) return false
   const known = replicasOf(record, instances.list(), record.leader)
-  const replicas = await withoutGone(context, record, known, memory.absence)
-  if (isSameList(record.replicas, replicas)) return false
+  const replicas = await withoutRemovable(context, record, known, memory.absence)
+  if (areReplicaListsEqual(record.replicas, replicas)) return false
   world.log.info('replicas-tracked', { group, replicas: [...namesOf(replicas)].join(' ') })
   return (await write(version, { ...record, replicas })) === true
 }
--- a/packages/failover/src/replicas.ts
+++ b/packages/failover/src/replicas.ts
@@ -1,10 +1,13 @@
 import { hasSignedOff, type GroupRecord, type InstanceStatus } from '@claynotch/register'
-import type { Probed, Target } from './group-instances.js'
+import type { ProbedInstance, ProbeTarget } from './group-instances.js'
 
-// Where commits are synchronous, each acknowledged commit is held by the leader and by at least one replica. Without the leader
-// it is found for sure only by asking every replica that may hold it alone; the group's record names them.
+/**
+ * Replicas in groups with synchronous commits. Each acknowledged commit is held by the leader and at least one replica.
+ * If the leader is lost, finding that commit for certain means asking every replica that may be the only one to hold
+ * it; the group's record lists these replicas.
+ */
 
-/** A replica as the record names it. */
+/** A replica as listed in the group's record. */
 export type Replica = { name: string; addr: string }
 
 function byName(a: Replica, b: Replica): number {
@@ -12,8 +15,9 @@
 }
 
 /**
- * Whoever has the replica's log now: itself, or a new instance at its address, which has taken the log up. One that leaves or
- * signed off is no new instance: it may be the one before.
+ * The name of the instance that holds the replica's log now: the replica itself, or a new instance at its address,
+ * which has taken over the log. A leaving or signed-off instance doesn't count as new, as it may be an earlier one at
+ * that address.
  */
 function logHolderOf(replica: Replica, announced: InstanceStatus[]): string {
   let successor: string | undefined
@@ -26,8 +30,8 @@
 }
 
 /**
- * All that may hold an acknowledged commit: those that the record names and those that are announced, without the leader.
- * Sorted by name, so that equal sets are equal lists.
+ * All instances except the leader that may hold an acknowledged commit: those that the record lists and those that are
+ * announced. Sorted by name, so that equal sets give equal lists.
  */
 export function replicasOf(
   record: Pick<GroupRecord, 'replicas'>,
@@ -38,24 +42,24 @@
   for (const replica of record.replicas ?? []) known.set(replica.name, replica)
   for (const status of announced) {
     const { name, addr } = status
-    // One that signed off is asked for as long as the record names it.
+    // A signed-off instance is still asked while the record lists it.
     if (known.has(name) || !hasSignedOff(status)) known.set(name, { name, addr })
   }
-  const out: Replica[] = []
+  const replicas: Replica[] = []
   for (const replica of known.values())
-    if (replica.name !== leader && logHolderOf(replica, announced) === replica.name) out.push(replica)
-  return out.sort(byName)
+    if (replica.name !== leader && logHolderOf(replica, announced) === replica.name) replicas.push(replica)
+  return replicas.sort(byName)
 }
 
-export function isSameList(a: Replica[] | undefined, b: Replica[]): boolean {
+export function areReplicaListsEqual(a: Replica[] | undefined, b: Replica[]): boolean {
   if (a?.length !== b.length) return false
-  for (const [k, { name, addr }] of b.entries()) if (a[k].name !== name || a[k].addr !== addr) return false
+  for (const [index, { name, addr }] of b.entries()) if (a[index].name !== name || a[index].addr !== addr) return false
   return true
 }
 
 /**
- * Where the log of the leader that the record replaces, or would, is to be found: its name, and the address at which a new
- * instance takes its log up.
+ * The leader that the record replaces, or would replace: its name, and the address at which a new instance takes over
+ * its log.
  */
 function oldLeaderOf(record: GroupRecord, announced: InstanceStatus[]): Replica | undefined {
   const { leader, addr, old, replicas } = record
@@ -72,40 +76,42 @@
 }
 
 /**
- * The list for the phases stop and promote. The old leader is always among them, also where a new instance has its log already:
- * by its address that one is known to hold all that was acknowledged.
+ * The replica list for the phases stop and promote. It always includes the old leader, even if a new instance has
+ * already taken over its log: the address identifies that instance as one that holds all acknowledged commits.
  */
-export function replicasWithOld(record: GroupRecord, announced: InstanceStatus[]): Replica[] {
-  const old = oldLeaderOf(record, announced)
-  const others = replicasOf(record, announced, old?.name)
-  return old ? [...others, old].sort(byName) : others
+export function replicasWithOldLeader(record: GroupRecord, announced: InstanceStatus[]): Replica[] {
+  const oldLeader = oldLeaderOf(record, announced)
+  const others = replicasOf(record, announced, oldLeader?.name)
+  return oldLeader ? [...others, oldLeader].sort(byName) : others
 }
 
 /**
- * Whether the replica's log was heard: itself, or whoever answered at its address. One instance at a time is at an address, and
- * it has the log of all before it there.
+ * Whether the replica's log is covered by an answer: from the replica itself or from any instance at its address. Only
+ * one instance at a time uses an address, and it has the logs of all earlier ones there.
  */
-function isHeard(replica: Replica, probed: Probed[]): boolean {
+function isLogAnswered(replica: Replica, probed: ProbedInstance[]): boolean {
   for (const { name, addr } of probed) if (name === replica.name || addr === replica.addr) return true
   return false
 }
 
 /**
- * Those of whom an answer is missing, as one of them may hold an acknowledged commit that nobody who answered holds. None where
- * the old leader itself answered, or a new instance with its log, as it holds all that it acknowledged.
+ * The replicas whose answers are missing: one of them may hold an acknowledged commit that no answering instance holds.
+ * Empty if the old leader, or a new instance with its log, answered, as it holds all commits that it acknowledged.
  */
-export function unheardOf(
+export function unansweredReplicas(
   record: Pick<GroupRecord, 'replicas' | 'old'>,
   announced: InstanceStatus[],
-  probed: Probed[],
-): Target[] {
-  for (const replica of record.replicas ?? []) if (replica.name === record.old && isHeard(replica, probed)) return []
-  const out: Target[] = []
-  for (const replica of replicasOf(record, announced, record.old)) if (!isHeard(replica, probed)) out.push(replica)
-  return out
+  probed: ProbedInstance[],
+): ProbeTarget[] {
+  for (const replica of record.replicas ?? [])
+    if (replica.name === record.old && isLogAnswered(replica, probed)) return []
+  const unanswered: ProbeTarget[] = []
+  for (const replica of replicasOf(record, announced, record.old))
+    if (!isLogAnswered(replica, probed)) unanswered.push(replica)
+  return unanswered
 }
 
-/** Whether the instance is there by its own word: announced, and not signed off. */
+/** Whether the instance is announced and hasn't signed off. */
 export function isPresent(name: string, announced: InstanceStatus[]): boolean {
   for (const status of announced) if (status.name === name) return !hasSignedOff(status)
   return false
--- a/packages/failover/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -17,43 +17,50 @@
 import type { Duty } from './failover.js'
 import { addressOf, haveStopped, leadsAs, type FailoverView } from './failover-view.js'
 
-// Moves of lanes from one group to another: docs/design/moves.md. Every step is a change of the configuration's register
-// that names the move and the phase it was in, so whoever holds the duty goes on from what the register says, and one
-// that was replaced changes nothing.
+/**
+ * Moves of lanes from one group to another: docs/design/moves.md. Every step is a conditional change of
+ * the configuration register that names the move and the phase it was in, so a new holder of the duty continues from
+ * what the register says, and a node that no longer holds the duty changes nothing.
+ */
 
-// What the holder remembers of one move between beats; lost with it, and nothing rests on it but waiting anew.
-// turn: a turn of the register that has the phase. since: when it was first seen here. heads: the source by the time it was asked.
-type Memory = {
+/** What the holder remembers of one move between steps. If it is lost, the waits of the current phase start again. */
+type MoveMemory = {
   phase: Move['phase']
-  turn: number
+  /** A version of the register that has this phase. */
+  version: number
+  /** When the phase was first seen here (local time, ms). */
   since: number
+  /** The source's final position, once its writes have stopped. */
   mark: LogPosition | undefined
-  heads: { at: number; mark: LogPosition }[]
+  /** Positions of the source's leader over the last MOVE_NEAR_LAG_MS, with the time of each. */
+  sourcePositions: { at: number; mark: LogPosition }[]
 }
 
+/** Carries out the moves of the configuration whose duty falls to this node. */
 export function startRouteMoves(world: World, view: FailoverView, stop: Flag): Duty {
   const signal: Signal = makeSignal()
-  const memories = new Map<number, Memory>()
-  let count = 0
+  const memories = new Map<number, MoveMemory>()
+  let writeCount = 0
 
-  async function change(edit: (body: Body) => Body | undefined): Promise<boolean> {
-    const tag = `${view.node}~move~${world.now()}~${++count}`
-    function run(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
+  /** Edits the configuration register; true: this edit was committed. */
+  async function changeConfiguration(edit: (body: Body) => Body | undefined): Promise<boolean> {
+    const tag = `${view.node}~move~${world.now()}~${++writeCount}`
+    function editRegister(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       if (!now || now.tag === tag) return undefined
       const body = edit(now.body as Body)
       return body ? { body, tag } : undefined
     }
-    const got = await view.proposer.change(CONFIG_KEY, run)
-    if (!got.done) return false
-    if (got.value) view.learn(CONFIG_KEY, got.value, got.ballot)
-    return got.value?.tag === tag
+    const committed = await view.proposer.change(CONFIG_KEY, editRegister)
+    if (!committed.done) return false
+    if (committed.value) view.learn(CONFIG_KEY, committed.value, committed.ballot)
+    return committed.value?.tag === tag
   }
-  async function step(move: Move, next: Move['phase'], position?: LogPosition): Promise<boolean> {
+  async function advancePhase(move: Move, next: Move['phase'], position?: LogPosition): Promise<boolean> {
     function edit(body: Body): Body | undefined {
       return stepMove(body, move.id, move.phase, { phase: next, ...(position ? { mark: position } : {}) })
     }
-    const did = await change(edit)
-    if (did)
+    const hasAdvanced = await changeConfiguration(edit)
+    if (hasAdvanced)
       world.log.info('move-phase', {
         move: move.id,
         from: move.from,
@@ -62,139 +69,159 @@
         phase: next,
         ...(position ? { mark: `${position.epoch}/${position.position}` } : {}),
       })
-    return did
+    return hasAdvanced
   }
-  async function giveUp(move: Move, why: string): Promise<boolean> {
+  async function cancelMove(move: Move, why: string): Promise<boolean> {
     function edit(body: Body): Body | undefined {
       return callOff(body, move.id, move.phase, why)
     }
-    const did = await change(edit)
-    if (did) {
+    const isCancelled = await changeConfiguration(edit)
+    if (isCancelled) {
       view.metrics.add('claynotch_moves_total', [['end', 'called off']])
       world.log.warn('move-called-off', { move: move.id, from: move.from, to: move.to, why })
     }
-    return did
+    return isCancelled
   }
-  // Whether each proxy has applied this phase, or has run out of its term since then.
-  function stopped(memory: Memory, from = memory.since): Promise<boolean> {
-    return haveStopped(world, view, CONFIG_KEY, memory.turn, from)
+  /** Whether each proxy has applied this phase, or its lease has expired since then. */
+  function haveProxiesStopped(memory: MoveMemory, since = memory.since): Promise<boolean> {
+    return haveStopped(world, view, CONFIG_KEY, memory.version, since)
   }
-  // The leader of a group by its record, as it answers itself; undefined while there is none to rely on.
-  async function leader(group: string): Promise<Status | undefined> {
-    const rec = view.register(groupKey(group))?.body as GroupRecord | undefined
-    if (rec?.phase !== 'steady' || rec.leader === undefined || rec.addr === undefined) return undefined
-    const got = await view.instance.status(
+  /**
+   * The status of a group's recorded leader; undefined unless the record is steady and the instance confirms that it
+   * leads.
+   */
+  async function queryLeader(group: string): Promise<Status | undefined> {
+    const record = view.register(groupKey(group))?.body as GroupRecord | undefined
+    if (record?.phase !== 'steady' || record.leader === undefined || record.addr === undefined) return undefined
+    const status = await view.instance.status(
       world,
-      { name: rec.leader, group, addr: addressOf(view, group, rec.leader, rec.addr) },
+      { name: record.leader, group, addr: addressOf(view, group, record.leader, record.addr) },
       SAMPLE_TIMEOUT_MS,
     )
-    return got.ok && got.val.name === rec.leader && leadsAs(rec, got.val) ? got.val : undefined
+    return status.ok && status.val.name === record.leader && leadsAs(record, status.val) ? status.val : undefined
   }
-  // Whether the target's leader holds the mark, and one of its followers all that the leader had then, so that the loss
-  // of that leader right after the switch loses nothing.
-  async function holds(move: Move, position: LogPosition | undefined): Promise<boolean> {
-    const head = await leader(move.to)
-    if (!head) return false
-    if (position && (head.source?.group !== move.from || comparePositions(head.source.mark, position) < 0)) return false
-    const rest: { name: string; addr: string }[] = []
-    for (const s of view.instancesOf(move.to)) if (s.name !== head.name && !s.leaving) rest.push(s)
-    if (rest.length === 0) return true
-    async function has(s: { name: string; addr: string }): Promise<boolean> {
-      const got = await view.instance.status(world, { ...s, group: move.to }, SAMPLE_TIMEOUT_MS)
-      return got.ok && got.val.group === move.to && comparePositions(got.val.mark, head!.mark) >= 0
+  /**
+   * Whether the target's leader holds the source's log up to the position, and at least one of its followers, if it has
+   * any, holds all that the leader holds, so that a failure of that leader right after the switch loses nothing.
+   */
+  async function isTargetComplete(move: Move, position: LogPosition | undefined): Promise<boolean> {
+    const targetLeader = await queryLeader(move.to)
+    if (!targetLeader) return false
+    if (
+      position &&
+      (targetLeader.source?.group !== move.from || comparePositions(targetLeader.source.mark, position) < 0)
+    )
+      return false
+    const followers: { name: string; addr: string }[] = []
+    for (const instance of view.instancesOf(move.to))
+      if (instance.name !== targetLeader.name && !instance.leaving) followers.push(instance)
+    if (followers.length === 0) return true
+    async function holdsPosition(follower: { name: string; addr: string }): Promise<boolean> {
+      const status = await view.instance.status(world, { ...follower, group: move.to }, SAMPLE_TIMEOUT_MS)
+      return status.ok && status.val.group === move.to && comparePositions(status.val.mark, targetLeader!.mark) >= 0
     }
-    return (await Promise.all(rest.map(has))).includes(true)
+    return (await Promise.all(followers.map(holdsPosition))).includes(true)
   }
 
-  async function copy(move: Move, memory: Memory): Promise<boolean> {
-    if (move.proof === 'confirmed') return (await leader(move.to)) !== undefined && (await step(move, 'ease'))
+  /**
+   * copy: waits until the target reaches a recent position of the source; with proof 'confirmed', only until it has a
+   * leader.
+   */
+  async function awaitCopy(move: Move, memory: MoveMemory): Promise<boolean> {
+    if (move.proof === 'confirmed')
+      return (await queryLeader(move.to)) !== undefined && (await advancePhase(move, 'ease'))
     const now = world.now()
-    const [head, target] = await Promise.all([leader(move.from), leader(move.to)])
-    if (head) memory.heads.push({ at: now, mark: head.mark })
-    while (memory.heads.length > 0 && memory.heads[0].at < now - MOVE_NEAR_LAG_MS) memory.heads.shift()
-    if (target?.source?.group !== move.from) return false
-    for (const one of memory.heads)
-      if (comparePositions(target.source.mark, one.mark) >= 0) return await step(move, 'ease')
+    const [sourceLeader, targetLeader] = await Promise.all([queryLeader(move.from), queryLeader(move.to)])
+    if (sourceLeader) memory.sourcePositions.push({ at: now, mark: sourceLeader.mark })
+    while (memory.sourcePositions.length > 0 && memory.sourcePositions[0].at < now - MOVE_NEAR_LAG_MS)
+      memory.sourcePositions.shift()
+    if (targetLeader?.source?.group !== move.from) return false
+    for (const sourcePosition of memory.sourcePositions)
+      if (comparePositions(targetLeader.source.mark, sourcePosition.mark) >= 0) return await advancePhase(move, 'ease')
     return false
   }
-  // ease, drain: each proxy lets open transactions end.
-  async function drain(move: Move, memory: Memory): Promise<boolean> {
-    // A proxy acknowledges once the lanes are quiet there, at the latest after DRAIN; one that is silent runs out of its term.
+  /** ease, drain: each proxy lets open transactions end. */
+  async function awaitDrain(move: Move, memory: MoveMemory): Promise<boolean> {
+    // A proxy acknowledges once its lanes have no open transactions, at the latest after DRAIN_TIMEOUT_MS. One that
+    // sends no acknowledgement loses its lease.
     return (
-      (await stopped(memory, memory.since + DRAIN_TIMEOUT_MS)) &&
-      (await step(move, move.phase === 'ease' ? 'drain' : 'quiet'))
+      (await haveProxiesStopped(memory, memory.since + DRAIN_TIMEOUT_MS)) &&
+      (await advancePhase(move, move.phase === 'ease' ? 'drain' : 'quiet'))
     )
   }
-  async function quiet(move: Move, memory: Memory): Promise<boolean> {
+  /** quiet: writes of the lanes are stopped until the target holds everything. */
+  async function awaitTargetComplete(move: Move, memory: MoveMemory): Promise<boolean> {
     if (world.now() - memory.since > MOVE_PAUSE_LIMIT_MS)
-      return await giveUp(
+      return await cancelMove(
         move,
         move.proof === 'confirmed'
           ? 'nobody confirmed in time that the target holds everything'
           : 'the target did not hold everything in time',
       )
-    if (!(await stopped(memory))) return false
-    // No write of these lanes counts any more, so what the source's leader has now is all that there will be.
-    memory.mark ??= (await leader(move.from))?.mark
+    if (!(await haveProxiesStopped(memory))) return false
+    // No write of these lanes is acknowledged any more, so the source leader's current position is final.
+    memory.mark ??= (await queryLeader(move.from))?.mark
     if (!memory.mark) return false
     if (move.proof === 'confirmed' && move.confirmed !== true) return false
-    if (!(await holds(move, move.proof === 'reported' ? memory.mark : undefined))) return false
-    return await step(move, 'held', memory.mark)
+    if (!(await isTargetComplete(move, move.proof === 'reported' ? memory.mark : undefined))) return false
+    return await advancePhase(move, 'held', memory.mark)
   }
-  async function held(move: Move, memory: Memory): Promise<boolean> {
+  /** held: the routes are switched to the target once it is confirmed again that it holds everything. */
+  async function switchRoutes(move: Move, memory: MoveMemory): Promise<boolean> {
     if (world.now() - memory.since > MOVE_PAUSE_LIMIT_MS)
-      return await giveUp(move, 'the target had no leader that holds everything')
-    if (!(await stopped(memory))) return false
-    if (!(await holds(move, move.proof === 'reported' ? move.mark : undefined))) return false
+      return await cancelMove(move, 'the target had no leader that holds everything')
+    if (!(await haveProxiesStopped(memory))) return false
+    if (!(await isTargetComplete(move, move.proof === 'reported' ? move.mark : undefined))) return false
     function edit(body: Body): Body | undefined {
       return switchMove(body, move.id)
     }
-    const did = await change(edit)
-    if (did) {
+    const isSwitched = await changeConfiguration(edit)
+    if (isSwitched) {
       view.metrics.add('claynotch_moves_total', [['end', 'done']])
       world.log.info('move-done', { move: move.id, from: move.from, to: move.to, lanes: move.lanes.join(',') })
     }
-    return did
+    return isSwitched
   }
-  async function work(move: Move, version: number): Promise<boolean> {
-    let m = memories.get(move.id)
-    if (m?.phase !== move.phase) {
-      m = { phase: move.phase, turn: version, since: world.now(), mark: undefined, heads: [] }
-      memories.set(move.id, m)
+  /** Takes one step of a move; true: its phase advanced. */
+  async function runPhase(move: Move, version: number): Promise<boolean> {
+    let memory = memories.get(move.id)
+    if (memory?.phase !== move.phase) {
+      memory = { phase: move.phase, version, since: world.now(), mark: undefined, sourcePositions: [] }
+      memories.set(move.id, memory)
     }
     switch (move.phase) {
       case 'copy':
-        return await copy(move, m)
+        return await awaitCopy(move, memory)
       case 'ease':
       case 'drain':
-        return await drain(move, m)
+        return await awaitDrain(move, memory)
       case 'quiet':
-        return await quiet(move, m)
+        return await awaitTargetComplete(move, memory)
       case 'held':
-        return await held(move, m)
+        return await switchRoutes(move, memory)
     }
   }
-  async function steps(): Promise<void> {
-    for (let on = true; on && !stop.fired();) {
-      on = false
+  async function runSteps(): Promise<void> {
+    for (let hasAdvanced = true; hasAdvanced && !stop.fired();) {
+      hasAdvanced = false
       const moves = view.body()?.moves ?? []
       const ids = new Set<number>()
       for (const move of moves) {
         ids.add(move.id)
         if (world.now() >= view.leaseExpiresAt() || holderOf(`move/${move.id}`, view.live()) !== view.node)
           memories.delete(move.id)
-        else if (await work(move, view.register(CONFIG_KEY)?.turn ?? 0)) on = true
+        else if (await runPhase(move, view.register(CONFIG_KEY)?.turn ?? 0)) hasAdvanced = true
       }
       for (const id of memories.keys()) if (!ids.has(id)) memories.delete(id)
     }
   }
-  // While a move stops anything, looks come quicker than the beat, as requesters wait for its end.
-  async function tend(): Promise<void> {
-    await steps()
-    let near = false
-    for (const memory of memories.values()) if (memory.phase !== 'copy') near = true
-    if (near) world.later(FAILOVER_INTERVAL_MS / 8, signal.notify)
+  /** While a move stops traffic, steps run more often than FAILOVER_INTERVAL_MS, as requesters wait for its end. */
+  async function runAndReschedule(): Promise<void> {
+    await runSteps()
+    let isAnyRouteStopped = false
+    for (const memory of memories.values()) if (memory.phase !== 'copy') isAnyRouteStopped = true
+    if (isAnyRouteStopped) world.later(FAILOVER_INTERVAL_MS / 8, signal.notify)
   }
-  void loop(world, 'move', FAILOVER_INTERVAL_MS, stop, tend, signal)
+  void loop(world, 'move', FAILOVER_INTERVAL_MS, stop, runAndReschedule, signal)
   return { ring: signal.notify }
 }
