--- a/packages/failover/src/failover-view.ts
+++ b/packages/failover/src/failover-view.ts
@@ -7,6 +7,7 @@
 
 /** What failover and route moves need from the node that runs them. */
 export type FailoverView = {
+  /** The name of this node. */
   node: string
   /** Time in ms without a good answer after which a leader is suspected. */
   suspect: number
@@ -19,6 +20,7 @@
   leaseExpiresAt: () => number
   /** The live nodes, which may hold duties. */
   live: () => string[]
+  /** The names of the configured groups. */
   groups: () => string[]
   /** The newest known value of a register. */
   register: (key: string) => RegisterValue | undefined
@@ -48,10 +50,11 @@
 }
 
 /** Whether the status confirms the leadership that the record states. */
-export function leadsAs(record: GroupRecord, status: Status): boolean {
+export function isRecordedLeader(record: GroupRecord, status: Status): boolean {
   return status.role === 'leader' && leaderEpochOf(status) === recordedEpochOf(record)
 }
 
+/** Whether the member has acknowledged at least this version of the register. */
 function hasApplied(member: Member, key: string, version: number): boolean {
   for (const [acknowledged, at] of member.acks) if (acknowledged === key && at >= version) return true
   return false
@@ -63,7 +66,7 @@
  *
  * @param since local time (ms) from which on no lease was granted that permits the previous version
  */
-export async function haveStopped(
+export async function haveAllProxiesStopped(
   world: World,
   view: Pick<FailoverView, 'askMembers'>,
   key: string,
--- a/packages/failover/src/group-failover.ts
+++ b/packages/failover/src/group-failover.ts
@@ -38,7 +38,7 @@
   const context: GroupContext = { world, view, group, instances, write, promote, scheduleCheck }
   let memory: GroupMemory | undefined
   /** The newest record version known here, and when (local time, ms) it was first seen. */
-  let newestVersion = { version: -1, at: 0 }
+  let lastSeen = { version: -1, at: 0 }
   /**
    * A signal arrived during a step; that step may not have seen the change that it announced, so another one follows.
    */
@@ -60,7 +60,7 @@
    * allows.
    */
   async function takeOver(version: number, record: GroupRecord): Promise<void> {
-    if (world.now() - newestVersion.at < FAILOVER_INTERVAL_MS) return
+    if (world.now() - lastSeen.at < FAILOVER_INTERVAL_MS) return
     await write(version, { ...record, holder: view.node, fence: record.fence + 1 })
   }
   async function runPhase(version: number, record: GroupRecord, currentMemory: GroupMemory): Promise<boolean> {
@@ -80,7 +80,7 @@
     const value = view.register(key)
     const version = value?.turn ?? 0
     instances.updateFirstSeen()
-    if (version !== newestVersion.version) newestVersion = { version, at: world.now() }
+    if (version !== lastSeen.version) lastSeen = { version, at: world.now() }
     if (!holdsDuty()) {
       memory = undefined
       return false
--- a/packages/failover/src/group-instances.ts
+++ b/packages/failover/src/group-instances.ts
@@ -103,8 +103,7 @@
     return answers
   }
   function configuredGroup(): Group | undefined {
-    for (const candidateGroup of view.body()?.config?.groups ?? [])
-      if (candidateGroup.name === group) return candidateGroup
+    for (const configured of view.body()?.config?.groups ?? []) if (configured.name === group) return configured
     return undefined
   }
   function homeZones(): string[] {
@@ -117,6 +116,10 @@
   function isLeaving(name: string): boolean {
     return get(name)?.leaving === true
   }
+  /**
+   * Whether a is preferred over b at equal log positions. Not the old leader, then not a leaving instance, then one in
+   * a home zone, then one that is newer by more than NEWER_INSTANCE_MS.
+   */
   function isPreferred(a: string, b: string, oldLeader: string | undefined): boolean {
     if (a === oldLeader || b === oldLeader) return b === oldLeader
     if (isLeaving(a) !== isLeaving(b)) return isLeaving(b)
@@ -134,8 +137,8 @@
     return best
   }
   async function demote(who: ProbeTarget, epoch: number): Promise<Status | undefined> {
-    const last = demotedAt.get(who.name) ?? -DEMOTION_INTERVAL_MS
-    if (!view.instance.demote || world.now() - last < DEMOTION_INTERVAL_MS) return undefined
+    const lastDemotedAt = demotedAt.get(who.name) ?? -DEMOTION_INTERVAL_MS
+    if (!view.instance.demote || world.now() - lastDemotedAt < DEMOTION_INTERVAL_MS) return undefined
     demotedAt.set(who.name, world.now())
     const target = { name: who.name, addr: who.addr, group }
     const status = await view.instance.demote(world, target, epoch, LEADER_PROBE_TIMEOUT_MS)
--- a/packages/failover/src/group-memory.ts
+++ b/packages/failover/src/group-memory.ts
@@ -23,9 +23,9 @@
   /** When the leader was last probed, and whether it was healthy. */
   lastProbe?: { at: number; isHealthy: boolean }
   /** When the latest promotion call for this record ended, and the delay before the next one. */
-  lastPromotionCall?: { at: number; pauseMs: number }
+  lastPromotionCall?: { at: number; delayMs: number }
   /** Replicas that have been absent under this leader. */
-  absence: ReplicaAbsence
+  replicaAbsence: ReplicaAbsence
   /** When the replicas that the promotion waits for were last logged. */
   waitLoggedAt?: number
   /** Time in ms between steps while waiting for instances. */
@@ -42,7 +42,7 @@
     takeoverAt: undefined,
     candidateRespondedAt: 0,
     isSuspected: false,
-    absence: initialAbsence(),
+    replicaAbsence: initialAbsence(),
   }
 }
 
@@ -68,6 +68,6 @@
     takeoverAt: sameLeaderMemory ? sameLeaderMemory.takeoverAt : isHolderExpired ? now : undefined,
     candidateRespondedAt: now,
     isSuspected: sameLeaderMemory ? sameLeaderMemory.isSuspected : false,
-    absence: sameLeaderMemory ? sameLeaderMemory.absence : initialAbsence(),
+    replicaAbsence: sameLeaderMemory ? sameLeaderMemory.replicaAbsence : initialAbsence(),
   }
 }
--- a/packages/failover/src/leader-watch.ts
+++ b/packages/failover/src/leader-watch.ts
@@ -8,7 +8,7 @@
 } from '@claynotch/base'
 import type { GroupRecord, InstanceStatus } from '@claynotch/register'
 import { weighEvidence, type Evidence } from './evidence.js'
-import { leaderEpochOf, leadsAs, recordedEpochOf } from './failover-view.js'
+import { leaderEpochOf, isRecordedLeader, recordedEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
 import type { ProbedInstance, ProbeTarget } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
@@ -87,7 +87,7 @@
   }
   const suspect = memory.isSuspected ? leader.name : undefined
   const [probed] = await instances.probe([leader], { suspect, onBusy })
-  const isHealthy = probed ? leadsAs(record, probed.status) : isBusy
+  const isHealthy = probed ? isRecordedLeader(record, probed.status) : isBusy
   memory.lastProbe = { at: world.now(), isHealthy }
   if (isHealthy) memory.leaderHealthyAt = world.now()
   if (isHealthy || !probed) return { isLeadershipDenied: false, laterLeader: undefined }
@@ -147,10 +147,10 @@
   const isStrong = isLeadershipDenied || isEvidenceStrong(evidence)
   // leaderHealthyAt is only as precise as this node's checks; the reports of several failing nodes are more precise.
   const silenceMs = isStrong && !isLeadershipDenied ? evidence.since : world.now() - memory.leaderHealthyAt
-  const isSure = isStrong || failedWithHolder(world.now(), memory, status, evidence.good)
-  const neededMs = isSure ? Math.min(CONFIRMED_SUSPICION_TIMEOUT_MS, view.suspect) : view.suspect
-  if (silenceMs < neededMs) {
-    if (isStrong) scheduleCheck(Math.min(neededMs - silenceMs, PROMOTION_INTERVAL_MS * 2))
+  const isCorroborated = isStrong || failedWithHolder(world.now(), memory, status, evidence.good)
+  const requiredSilenceMs = isCorroborated ? Math.min(CONFIRMED_SUSPICION_TIMEOUT_MS, view.suspect) : view.suspect
+  if (silenceMs < requiredSilenceMs) {
+    if (isStrong) scheduleCheck(Math.min(requiredSilenceMs - silenceMs, PROMOTION_INTERVAL_MS * 2))
     return false
   }
   if (!memory.isSuspected) reportSuspicion(context, leader, silenceMs, suspicion)
--- a/packages/failover/src/planned-replacement.ts
+++ b/packages/failover/src/planned-replacement.ts
@@ -7,7 +7,7 @@
 } from '@claynotch/base'
 import { comparePositions } from '@claynotch/instance'
 import { groupKey, hasDeparted, type GroupRecord, type InstanceStatus } from '@claynotch/register'
-import { haveStopped, leaderEpochOf, recordedEpochOf } from './failover-view.js'
+import { haveAllProxiesStopped, leaderEpochOf, recordedEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
 import type { ProbedInstance, ProbeTarget } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
@@ -106,7 +106,7 @@
   // acknowledgement loses its lease.
   const mayWait = elapsedMs < DRAIN_TIMEOUT_MS + LEASE_DURATION_MS
   const drainEnd = memory.since + DRAIN_TIMEOUT_MS
-  if (mayWait && !(await haveStopped(world, view, groupKey(group), version, drainEnd))) return false
+  if (mayWait && !(await haveAllProxiesStopped(world, view, groupKey(group), version, drainEnd))) return false
   const name = record.leader as string
   const targets: ProbeTarget[] = [{ name, addr: instances.addressOf(name, record.addr as string) }]
   targets.push(...instances.stayingInstances(name))
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -10,7 +10,7 @@
 import { comparePositions, type LogPosition } from '@claynotch/instance'
 import type { PromotionEnd } from '@claynotch/host'
 import { departedOf, groupKey, type GroupRecord } from '@claynotch/register'
-import { haveStopped, leaderEpochOf } from './failover-view.js'
+import { haveAllProxiesStopped, leaderEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
 import type { ProbedInstance, ProbeTarget } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
@@ -123,7 +123,7 @@
 /** Logs, at most once per interval, which replicas the promotion waits for and the highest acknowledged commit. */
 async function logPromotionWait(
   { world, view, group, instances }: GroupContext,
-  unansweredReplicas: ProbeTarget[],
+  unanswered: ProbeTarget[],
   memory: GroupMemory,
 ) {
   const now = world.now()
@@ -132,7 +132,7 @@
   const highestSeen = await instances.highestCommit()
   view.metrics.add('claynotch_duty_promotion_waits_total', [['group', group]])
   const replicaNames: string[] = []
-  for (const { name } of unansweredReplicas) replicaNames.push(name)
+  for (const { name } of unanswered) replicaNames.push(name)
   world.log.warn('promotion-waits', {
     group,
     replicas: replicaNames.join(' '),
@@ -149,9 +149,9 @@
 ): Promise<boolean> {
   const { instances } = context
   if (!instances.isSynchronous()) return false
-  const unheard = unansweredReplicas(record, instances.list(), probed)
-  if (unheard.length === 0) return false
-  await logPromotionWait(context, unheard, memory)
+  const unanswered = unansweredReplicas(record, instances.list(), probed)
+  if (unanswered.length === 0) return false
+  await logPromotionWait(context, unanswered, memory)
   return true
 }
 
@@ -177,7 +177,7 @@
   memory: GroupMemory,
 ): Promise<boolean> {
   const { world, view, group, instances, write } = context
-  if (!(await haveStopped(world, view, groupKey(group), version, memory.since))) return false
+  if (!(await haveAllProxiesStopped(world, view, groupKey(group), version, memory.since))) return false
   const suspect = record.planned ? undefined : record.old
   const probed = await instances.probe(promotableInstances(context, record), { suspect })
   const mostAdvanced = instances.mostAdvanced(probed, instances.isSynchronous() ? record.old : suspect)
@@ -226,11 +226,14 @@
   return { isLeading: status.role === 'leader' && isEpochCurrent, term: status.epoch }
 }
 
-/** Delay in ms before the promotion call may be repeated for the same candidate; doubles after each refusal. */
+/**
+ * Delay in ms before the promotion call may be repeated for the same candidate. After a refusal it doubles, up to
+ * PROMOTION_DONE_DELAY_MS.
+ */
 function promotionRetryDelay(end: PromotionEnd['end'], memory: GroupMemory): number {
   if (end === 'done') return PROMOTION_DONE_DELAY_MS
   if (end === 'unclear') return PROMOTION_UNCLEAR_DELAY_MS
-  const previousDelayMs = Math.max(PROMOTION_REFUSED_DELAY_MS / 2, memory.lastPromotionCall?.pauseMs ?? 0)
+  const previousDelayMs = Math.max(PROMOTION_REFUSED_DELAY_MS / 2, memory.lastPromotionCall?.delayMs ?? 0)
   return Math.min(PROMOTION_DONE_DELAY_MS, 2 * previousDelayMs)
 }
 
@@ -257,8 +260,13 @@
   }
   // Fencing check right before the call: the record must still be the version read, and this node's lease must be
   // valid.
-  const now = await view.proposer.read(groupKey(group))
-  if (!now.done || now.value?.turn !== version || (now.value.body as GroupRecord).holder !== view.node) return false
+  const currentRecord = await view.proposer.read(groupKey(group))
+  if (
+    !currentRecord.done ||
+    currentRecord.value?.turn !== version ||
+    (currentRecord.value.body as GroupRecord).holder !== view.node
+  )
+    return false
   if (!mayCall()) return false
   demoteOldLeader(context, record)
   const { end, why } = await promote(world, view.platform(), {
@@ -270,7 +278,7 @@
     fence: record.fence,
     may: mayCall,
   })
-  memory.lastPromotionCall = { at: world.now(), pauseMs: promotionRetryDelay(end, memory) }
+  memory.lastPromotionCall = { at: world.now(), delayMs: promotionRetryDelay(end, memory) }
   view.metrics.add('claynotch_duty_promotions_total', [['end', end]])
   world.log.info('promotion-called', { group, candidate: candidate.name, epoch: record.epoch, end, why })
   return true
@@ -312,7 +320,7 @@
   const candidate = { name, addr: instances.addressOf(name, record.candidateAddr as string) }
   let confirmation = await confirmLeadership(context, candidate, record, memory)
   const isCallDue =
-    !memory.lastPromotionCall || world.now() - memory.lastPromotionCall.at >= memory.lastPromotionCall.pauseMs
+    !memory.lastPromotionCall || world.now() - memory.lastPromotionCall.at >= memory.lastPromotionCall.delayMs
   if (confirmation?.isLeading === false && isCallDue) {
     if (!(await callPromotion(context, version, record, memory, candidate))) return false
     // An instance that numbers its terms itself leads only some time after the call, so a later step probes it.
--- a/packages/failover/src/replica-tracking.ts
+++ b/packages/failover/src/replica-tracking.ts
@@ -2,7 +2,7 @@
 import { comparePositions } from '@claynotch/instance'
 import type { GroupRecord } from '@claynotch/register'
 import { weighEvidence } from './evidence.js'
-import { leadsAs } from './failover-view.js'
+import { isRecordedLeader } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
 import type { ProbedInstance } from './group-instances.js'
 import type { GroupMemory } from './group-memory.js'
@@ -81,15 +81,16 @@
   const leader = record.leader as string
   const target = { name: leader, addr: instances.addressOf(leader, record.addr as string) }
   const probed = await instances.probe([target, ...replicas])
-  const gone = namesOf(absent)
+  const absentNames = namesOf(absent)
   for (const { name } of probed) {
     // A replica that answers isn't absent, even if it is not announced.
-    if (gone.delete(name)) absence.since.set(name, world.now())
+    if (absentNames.delete(name)) absence.since.set(name, world.now())
   }
-  const removable = findRemovable(absence, gone, probed, leader)
+  const removable = findRemovable(absence, absentNames, probed, leader)
   absence.leaderSnapshot = undefined
   for (const { name, status } of probed)
-    if (name === leader && leadsAs(record, status)) absence.leaderSnapshot = { names: gone, position: status.mark }
+    if (name === leader && isRecordedLeader(record, status))
+      absence.leaderSnapshot = { names: absentNames, position: status.mark }
   const remaining: Replica[] = []
   for (const replica of replicas) if (!removable.has(replica.name)) remaining.push(replica)
   return remaining
@@ -105,7 +106,7 @@
   const { world, group, instances, write } = context
   if (!instances.isSynchronous()) return false
   const known = replicasOf(record, instances.list(), record.leader)
-  const replicas = await withoutRemovable(context, record, known, memory.absence)
+  const replicas = await withoutRemovable(context, record, known, memory.replicaAbsence)
   if (areReplicaListsEqual(record.replicas, replicas)) return false
   world.log.info('replicas-tracked', { group, replicas: [...namesOf(replicas)].join(' ') })
   return (await write(version, { ...record, replicas })) === true
--- a/packages/failover/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -15,7 +15,7 @@
 import { groupKey, type GroupRecord, type RegisterValue } from '@claynotch/register'
 import { holderOf } from './duty-holder.js'
 import type { Duty } from './failover.js'
-import { addressOf, haveStopped, leadsAs, type FailoverView } from './failover-view.js'
+import { addressOf, haveAllProxiesStopped, isRecordedLeader, type FailoverView } from './failover-view.js'
 
 /**
  * Moves of lanes from one group to another: docs/design/moves.md. Every step is a conditional change of
@@ -84,7 +84,7 @@
   }
   /** Whether each proxy has applied this phase, or its lease has expired since then. */
   function haveProxiesStopped(memory: MoveMemory, since = memory.since): Promise<boolean> {
-    return haveStopped(world, view, CONFIG_KEY, memory.version, since)
+    return haveAllProxiesStopped(world, view, CONFIG_KEY, memory.version, since)
   }
   /**
    * The status of a group's recorded leader; undefined unless the record is steady and the instance confirms that it
@@ -98,7 +98,9 @@
       { name: record.leader, group, addr: addressOf(view, group, record.leader, record.addr) },
       SAMPLE_TIMEOUT_MS,
     )
-    return status.ok && status.val.name === record.leader && leadsAs(record, status.val) ? status.val : undefined
+    return status.ok && status.val.name === record.leader && isRecordedLeader(record, status.val)
+      ? status.val
+      : undefined
   }
   /**
    * Whether the target's leader holds the source's log up to the position, and at least one of its followers, if it has
--- a/packages/instance/src/adapter.ts
+++ b/packages/instance/src/adapter.ts
@@ -1,8 +1,12 @@
 import type { Address, World, Result } from '@claynotch/base'
 import type { LogPosition } from './log-position.js'
 
-// What the product needs of an instance, whatever wire it speaks. edge.ts fills it with our own HTTP.
+/**
+ * The interface to database instances, independent of their wire protocol. edge.ts implements it for the project's HTTP
+ * protocol.
+ */
 
+/** The class of a failed request. */
 export type ErrorClass =
   | 'UNAVAILABLE'
   | 'RESOURCE_EXHAUSTED'
@@ -14,76 +18,118 @@
   | 'UNKNOWN'
   | 'INTERNAL'
 
-// What became of one send that failed.
-// reach: none, nothing was handed over; maybe, it may have reached and run; answered, the instance says that it did not run.
-// lags: the instance says that its history lacks the place asked for.
-// lead: the instance says that it does not lead.
-// full: it takes no more connections now.
+/** The outcome of one failed attempt to send a request to an instance. */
 export type RequestError = {
+  /**
+   * none: nothing was sent; maybe: the request may have arrived and been executed; answered: the instance answered that
+   * it was not executed.
+   */
   reach: 'none' | 'maybe' | 'answered'
   class: ErrorClass
   transient: boolean
   why: string
   code?: string
+  /** The instance reports that its log lacks the requested position. */
   lags?: boolean
+  /** false: the instance reports that it is not the leader. */
   lead?: boolean
+  /** The instance accepts no more connections now. */
   full?: boolean
 }
 
-// stamp: the instance's own proof of this answer, handed on to the requester as it is. mark: undefined where the
-// answer told none.
-export type StatementResult = { rows: unknown[]; mark: LogPosition; stamp?: string }
-// source: of another group's history, the place up to which this instance says that it holds everything.
+/** The result of an executed statement. */
+export type StatementResult = {
+  rows: unknown[]
+  /** The log position of the answer; undefined where the answer carried none. */
+  mark: LogPosition
+  /** The instance's own proof of this answer, passed to the requester unchanged. */
+  stamp?: string
+}
+
+/** The status that an instance reports about itself. */
 export type Status = {
   role: 'leader' | 'follower'
   mark: LogPosition
   name: string
   group: string
+  /** The position in another group's log up to which this instance reports to hold everything. */
   source?: { group: string; mark: LogPosition }
+  /** The term of the leader, where instances number their leaders themselves. */
   epoch?: number
 }
 
-// id: the requester's own mark of the statement, handed on unchanged where the wire carries one.
-// after: a place that the instance must hold, or refuse (lags); only where the edge proves.
-export type SendOptions = { id?: string; after?: LogPosition }
+/** Options of one request. */
+export type SendOptions = {
+  /** The requester's own identifier of the statement, passed on unchanged where the wire protocol carries one. */
+  id?: string
+  /**
+   * A log position that the instance must hold, or else reject the request (lags); only where the adapter supports it.
+   */
+  after?: LogPosition
+}
 
+/** An open connection to an instance. */
 export type InstanceConnection = {
-  // shape: the name of a shape put in force on this connection before.
+  /** Executes a statement, given as text or as the name of a shape registered on this connection before. */
   statement: (
     body: { text?: string; shape?: string; args: unknown[]; mode: 'read' | 'write' } & SendOptions,
-    ms: number,
+    timeoutMs: number,
   ) => Promise<Result<StatementResult, RequestError>>
-  begin: (mode: 'read' | 'write', ms: number, sent?: SendOptions) => Promise<Result<StatementResult, RequestError>>
-  commit: (ms: number, sent?: SendOptions) => Promise<Result<StatementResult, RequestError>>
-  rollback: (ms: number, sent?: SendOptions) => Promise<Result<StatementResult, RequestError>>
-  settings: (pairs: [string, string][], ms: number) => Promise<Result<StatementResult, RequestError>>
-  shape: (name: string, text: string, ms: number) => Promise<Result<StatementResult, RequestError>>
-  reset: (ms: number) => Promise<Result<StatementResult, RequestError>>
+  begin: (
+    mode: 'read' | 'write',
+    timeoutMs: number,
+    options?: SendOptions,
+  ) => Promise<Result<StatementResult, RequestError>>
+  commit: (timeoutMs: number, options?: SendOptions) => Promise<Result<StatementResult, RequestError>>
+  rollback: (timeoutMs: number, options?: SendOptions) => Promise<Result<StatementResult, RequestError>>
+  settings: (pairs: [string, string][], timeoutMs: number) => Promise<Result<StatementResult, RequestError>>
+  shape: (name: string, text: string, timeoutMs: number) => Promise<Result<StatementResult, RequestError>>
+  reset: (timeoutMs: number) => Promise<Result<StatementResult, RequestError>>
   alive: () => boolean
   close: () => void
 }
 
-// tenant: in whose name a connection is opened, where the wire carries one.
-export type InstanceAddress = { name: string; group: string; addr: Address; tenant?: string }
+/** An instance to connect to. */
+export type InstanceAddress = {
+  name: string
+  group: string
+  addr: Address
+  /** The tenant on whose behalf the connection is opened, where the wire protocol carries one. */
+  tenant?: string
+}
 
-// A held line on which an instance is asked for its status again and again.
+/** A persistent connection for polling an instance's status. */
 export type StatusSampler = { status: () => Promise<Result<Status, string>>; alive: () => boolean; close: () => void }
 
-// Why a status isn't told, where the instance answers that it has no time to: it lives.
+/** The error of a status request that the instance rejects as it is busy; it shows that the instance is alive. */
 export const BUSY = 'busy'
 
+/** Access to instances over one wire protocol. */
 export type InstanceAdapter = {
-  // Set where a follower's place is known by samples only. Without it a follower itself refuses (lags) a read whose
-  // place (after) it lacks, and nobody asks instances anything while all is well.
-  sampler?: (world: World, who: InstanceAddress, ms: number) => Promise<Result<StatusSampler, string>>
-  // Whether each answer of a leader carries the epoch that it leads in; else a place may be that of an earlier entry.
+  /**
+   * Set where a follower's log position is known only by polling. Without it, a follower itself rejects (lags) a read
+   * whose position (after) it lacks, and instances are not polled while they are healthy.
+   */
+  sampler?: (world: World, instance: InstanceAddress, timeoutMs: number) => Promise<Result<StatusSampler, string>>
+  /**
+   * Whether each answer of a leader carries its current epoch; otherwise its position may be that of an earlier entry.
+   */
   exact: boolean
-  // Whether a connection must be told its database; else an instance's databases are told apart by its name alone.
+  /** Whether a connection must be given its database; otherwise the instance's name alone identifies the database. */
   named: boolean
-  // ms for which an idle connection may be kept: less than the instance itself keeps it.
+  /** Time in ms for which an idle connection may be kept: less than the instance's own idle timeout. */
   idle: number
-  open: (world: World, who: InstanceAddress, ms: number) => Promise<Result<InstanceConnection, RequestError>>
-  status: (world: World, who: InstanceAddress, ms: number) => Promise<Result<Status, string>>
-  // Makes an instance that leads in an epoch below this one a follower; undefined where promotion itself fences.
-  demote?: (world: World, who: InstanceAddress, epoch: number, ms: number) => Promise<Result<Status, string>>
+  open: (
+    world: World,
+    instance: InstanceAddress,
+    timeoutMs: number,
+  ) => Promise<Result<InstanceConnection, RequestError>>
+  status: (world: World, instance: InstanceAddress, timeoutMs: number) => Promise<Result<Status, string>>
+  /** Makes an instance that leads in an epoch below this one a follower; undefined where promotion itself fences. */
+  demote?: (
+    world: World,
+    instance: InstanceAddress,
+    epoch: number,
+    timeoutMs: number,
+  ) => Promise<Result<Status, string>>
 }
--- a/packages/instance/src/announcement.ts
+++ b/packages/instance/src/announcement.ts
@@ -10,9 +10,13 @@
   type HttpResponse,
 } from '@claynotch/base'
 
-// POST /announcement, by an instance about once a second, and once more with leaving before it goes.
-// sequence: grows with each announcement of one life of an instance, so that one held up on its way takes nothing back.
-// gone: it has ended, and its name doesn't come back.
+/**
+ * Body of POST /announcement, sent by an instance about once a second, and once more with leaving before it stops.
+ *
+ * - sequence increases with each announcement of one run of an instance, so that a delayed announcement doesn't
+ *   revert a newer one.
+ * - gone: the instance has ended, and its name is not used again.
+ */
 export const Announcement = t.intersection([
   t.type({
     name: Name,
@@ -25,15 +29,19 @@
 ])
 export type Announcement = t.TypeOf<typeof Announcement>
 
-// heard: why the word can't be acknowledged, if so.
+/**
+ * Handles an announcement request.
+ *
+ * @param handle returns undefined, or the reason why the announcement can't be acknowledged
+ */
 export async function takeAnnouncement(
-  ask: HttpRequest,
-  heard: (a: Announcement) => Promise<string | undefined>,
+  request: HttpRequest,
+  handle: (announcement: Announcement) => Promise<string | undefined>,
 ): Promise<HttpResponse> {
-  if (ask.method !== 'POST') return badInput(405, 'announcements are posted')
-  const got = readStrict(Announcement, ask.body)
-  if (got.err) return badInput(400, 'not an announcement', got.val)
-  const why = await heard(got.val)
+  if (request.method !== 'POST') return badInput(405, 'announcements are posted')
+  const parsed = readStrict(Announcement, request.body)
+  if (parsed.err) return badInput(400, 'not an announcement', parsed.val)
+  const why = await handle(parsed.val)
   return why === undefined
     ? { status: 200, body: { heard: true } }
     : { status: 503, body: { heard: false, why }, after: RETRY_AFTER_OVERLOAD_S }
--- a/packages/instance/src/edge.ts
+++ b/packages/instance/src/edge.ts
@@ -24,10 +24,13 @@
   InstanceAddress,
 } from './adapter.js'
 
-// The instance's wire (docs/wire.md) and how its words are classified. Wire names stay in this file.
+/**
+ * The instances' HTTP protocol (docs/wire.md) and the classification of its error codes. Wire names stay in this file.
+ */
 
-type Judged = { class: ErrorClass; transient: boolean; lead?: boolean }
-const codes = new Map<string, Judged>([
+/** How a failed request is classified. */
+type ErrorClassification = { class: ErrorClass; transient: boolean; lead?: boolean }
+const classificationByCode = new Map<string, ErrorClassification>([
   ['READONLY', { class: 'UNAVAILABLE', transient: true, lead: false }],
   ['ELECTION', { class: 'UNAVAILABLE', transient: true, lead: false }],
   ['BUSY', { class: 'UNAVAILABLE', transient: true }],
@@ -39,78 +42,92 @@
   ['ABORTED', { class: 'ABORTED', transient: false }],
 ])
 
-export function classify(code: string): Judged {
-  return codes.get(code) ?? { class: 'INTERNAL', transient: false }
+/** The class of an instance's error code; INTERNAL for an unknown one. */
+export function classifyErrorCode(code: string): ErrorClassification {
+  return classificationByCode.get(code) ?? { class: 'INTERNAL', transient: false }
 }
 
-const DoneBody = t.type({ rows: t.array(t.unknown), epoch: t.number, position: t.number })
+const StatementBody = t.type({ rows: t.array(t.unknown), epoch: t.number, position: t.number })
 const ErrorBody = t.intersection([t.type({ code: t.string }), t.partial({ message: t.string })])
 const StatusBody = t.type({ rows: t.array(t.type({ field: t.string, value: t.union([t.string, t.number]) })) })
 
-function read(answer: Result<HttpAnswer, HttpFailure>): Result<StatementResult, RequestError> {
+/** Converts the HTTP answer to a statement into its result or a classified error. */
+function readStatementAnswer(answer: Result<HttpAnswer, HttpFailure>): Result<StatementResult, RequestError> {
   if (answer.err) return Err({ reach: answer.val.reach, class: 'UNAVAILABLE', transient: true, why: answer.val.why })
   const { status, body } = answer.val
   if (status === 200) {
-    const got = readAs(DoneBody, body)
-    if (got.err) return Err({ reach: 'maybe', class: 'UNKNOWN', transient: false, why: 'answer not understood' })
-    return Ok({ rows: got.val.rows, mark: { epoch: got.val.epoch, position: got.val.position } })
+    const statement = readAs(StatementBody, body)
+    if (statement.err) return Err({ reach: 'maybe', class: 'UNKNOWN', transient: false, why: 'answer not understood' })
+    return Ok({ rows: statement.val.rows, mark: { epoch: statement.val.epoch, position: statement.val.position } })
   }
-  const got = readAs(ErrorBody, body)
-  // A failure that is no error of the protocol (from something in between, say) proves nothing about what ran.
-  if (got.err) return Err({ reach: 'maybe', class: 'UNAVAILABLE', transient: true, why: `status ${status}` })
-  const judged = classify(got.val.code)
+  const error = readAs(ErrorBody, body)
+  // A failure that is no error of the protocol (from an intermediary, for example) doesn't show whether the statement
+  // ran.
+  if (error.err) return Err({ reach: 'maybe', class: 'UNAVAILABLE', transient: true, why: `status ${status}` })
+  const classification = classifyErrorCode(error.val.code)
   return Err({
-    reach: judged.class === 'INTERNAL' ? 'maybe' : 'answered',
-    ...judged,
-    why: got.val.message ?? got.val.code,
-    code: got.val.code,
+    reach: classification.class === 'INTERNAL' ? 'maybe' : 'answered',
+    ...classification,
+    why: error.val.message ?? error.val.code,
+    code: error.val.code,
   })
 }
 
-async function openPort(
+async function openConnection(
   world: World,
   { addr }: InstanceAddress,
-  ms: number,
+  dialTimeoutMs: number,
 ): Promise<Result<InstanceConnection, RequestError>> {
-  const opened = await openHttpConnection(world, addr, ms)
+  const opened = await openHttpConnection(world, addr, dialTimeoutMs)
   if (opened.err) return Err({ reach: 'none', class: 'UNAVAILABLE', transient: true, why: opened.val.why })
-  const line = opened.val
-  async function post(path: string, body: unknown, limit: number): Promise<Result<StatementResult, RequestError>> {
-    return read(await line.ask('POST', path, body, limit))
+  const connection = opened.val
+  async function post(path: string, body: unknown, timeoutMs: number): Promise<Result<StatementResult, RequestError>> {
+    return readStatementAnswer(await connection.ask('POST', path, body, timeoutMs))
   }
-  function statement(body: { text?: string; shape?: string; args: unknown[]; mode: string }, limit: number) {
+  function statement(body: { text?: string; shape?: string; args: unknown[]; mode: string }, timeoutMs: number) {
     const { text, shape, args, mode } = body
-    return post('/statement', { ...(text !== undefined ? { text } : { shape }), args, mode }, limit)
+    return post('/statement', { ...(text !== undefined ? { text } : { shape }), args, mode }, timeoutMs)
   }
-  function begin(mode: string, limit: number) {
-    return post('/begin', { mode }, limit)
+  function begin(mode: string, timeoutMs: number) {
+    return post('/begin', { mode }, timeoutMs)
   }
-  function commit(limit: number) {
-    return post('/commit', {}, limit)
+  function commit(timeoutMs: number) {
+    return post('/commit', {}, timeoutMs)
   }
-  function rollback(limit: number) {
-    return post('/rollback', {}, limit)
+  function rollback(timeoutMs: number) {
+    return post('/rollback', {}, timeoutMs)
   }
-  function settings(pairs: [string, string][], limit: number) {
-    const list: { name: string; value: string }[] = []
-    for (const [name, value] of pairs) list.push({ name, value })
-    return post('/settings', { settings: list }, limit)
+  function settings(pairs: [string, string][], timeoutMs: number) {
+    const settingRows: { name: string; value: string }[] = []
+    for (const [name, value] of pairs) settingRows.push({ name, value })
+    return post('/settings', { settings: settingRows }, timeoutMs)
   }
-  function shape(name: string, text: string, limit: number) {
-    return post('/shapes', { name, text }, limit)
+  function shape(name: string, text: string, timeoutMs: number) {
+    return post('/shapes', { name, text }, timeoutMs)
   }
-  function reset(limit: number) {
-    return post('/reset', {}, limit)
+  function reset(timeoutMs: number) {
+    return post('/reset', {}, timeoutMs)
   }
-  return Ok({ statement, begin, commit, rollback, settings, shape, reset, alive: line.alive, close: line.close })
+  return Ok({
+    statement,
+    begin,
+    commit,
+    rollback,
+    settings,
+    shape,
+    reset,
+    alive: connection.alive,
+    close: connection.close,
+  })
 }
 
+/** Converts the HTTP answer to a status request. */
 function readStatus(answer: Result<HttpAnswer, HttpFailure>): Result<Status, string> {
   if (answer.err) return Err(answer.val.why)
-  const got = readAs(StatusBody, answer.val.body)
-  if (got.err) return Err('status not understood')
+  const parsed = readAs(StatusBody, answer.val.body)
+  if (parsed.err) return Err('status not understood')
   const rows = new Map<string, string | number>()
-  for (const row of got.val.rows) rows.set(row.field, row.value)
+  for (const row of parsed.val.rows) rows.set(row.field, row.value)
   const role = rows.get('role')
   const epoch = Number(rows.get('epoch'))
   const position = Number(rows.get('position'))
@@ -120,9 +137,9 @@
     group: String(rows.get('source')),
     mark: { epoch: Number(rows.get('source_epoch')), position: Number(rows.get('source_position')) },
   }
-  const has = rows.has('source') && Number.isFinite(source.mark.epoch) && Number.isFinite(source.mark.position)
+  const hasSource = rows.has('source') && Number.isFinite(source.mark.epoch) && Number.isFinite(source.mark.position)
   return Ok({
-    ...(has ? { source } : {}),
+    ...(hasSource ? { source } : {}),
     role,
     mark: { epoch, position },
     name: String(rows.get('name')),
@@ -130,37 +147,45 @@
   })
 }
 
-export async function askStatus(
+/** Requests an instance's status over a connection of its own. */
+export async function queryStatus(
   world: World,
   addr: Address,
-  ms: number = SAMPLE_TIMEOUT_MS,
+  timeoutMs: number = SAMPLE_TIMEOUT_MS,
 ): Promise<Result<Status, string>> {
-  return readStatus(await requestOnce(world, addr, 'GET', '/status', undefined, ms))
+  return readStatus(await requestOnce(world, addr, 'GET', '/status', undefined, timeoutMs))
 }
 
 async function openSampler(
   world: World,
   { addr }: InstanceAddress,
-  ms: number,
+  timeoutMs: number,
 ): Promise<Result<StatusSampler, string>> {
-  const got = await openHttpConnection(world, addr, ms)
-  if (got.err) return Err(got.val.why)
-  const line = got.val
+  const opened = await openHttpConnection(world, addr, timeoutMs)
+  if (opened.err) return Err(opened.val.why)
+  const connection = opened.val
   async function status(): Promise<Result<Status, string>> {
-    return readStatus(await line.ask('GET', '/status', undefined, SAMPLE_TIMEOUT_MS))
+    return readStatus(await connection.ask('GET', '/status', undefined, SAMPLE_TIMEOUT_MS))
   }
-  return Ok({ status, alive: line.alive, close: line.close })
+  return Ok({ status, alive: connection.alive, close: connection.close })
 }
-async function statusOf(world: World, who: InstanceAddress, ms: number): Promise<Result<Status, string>> {
-  return await askStatus(world, who.addr, ms)
+async function queryInstanceStatus(
+  world: World,
+  instance: InstanceAddress,
+  timeoutMs: number,
+): Promise<Result<Status, string>> {
+  return await queryStatus(world, instance.addr, timeoutMs)
 }
 
-// Our own wire. A follower's place is known by samples only; a promotion is refused for an epoch that was passed.
+/**
+ * The adapter for the project's HTTP protocol. A follower's log position is known only by polling; a promotion to an
+ * outdated epoch is rejected.
+ */
 export const httpInstance: InstanceAdapter = {
   sampler: openSampler,
   exact: true,
   named: true,
   idle: POOL_IDLE_TIMEOUT_MS,
-  open: openPort,
-  status: statusOf,
+  open: openConnection,
+  status: queryInstanceStatus,
 }
