--- a/packages/failover/src/promotion-calls.ts
+++ b/packages/failover/src/promotion-calls.ts
@@ -8,7 +8,7 @@
  * still be executed. The group's record, not the adapter that sends the call, decides which instance is promoted, so
  * the limit is enforced here, independent of the wire protocol.
  */
-export function onePerGroup(call: PromotionEdge): PromotionEdge {
+export function limitToOneCallPerGroup(call: PromotionEdge): PromotionEdge {
   const groupsInProgress = new Set<string>()
   async function promote(world: World, platform: Address | undefined, promotion: Promotion): Promise<PromotionEnd> {
     const { group } = promotion
--- a/packages/instance/src/announcement.ts
+++ b/packages/instance/src/announcement.ts
@@ -34,7 +34,7 @@
  *
  * @param handle returns undefined, or the reason why the announcement can't be acknowledged
  */
-export async function takeAnnouncement(
+export async function handleAnnouncement(
   request: HttpRequest,
   handle: (announcement: Announcement) => Promise<string | undefined>,
 ): Promise<HttpResponse> {
--- a/packages/instance/src/edge.ts
+++ b/packages/instance/src/edge.ts
@@ -181,7 +181,7 @@
  * The adapter for the project's HTTP protocol. A follower's log position is known only by polling; a promotion to an
  * outdated epoch is rejected.
  */
-export const httpInstance: InstanceAdapter = {
+export const httpInstanceAdapter: InstanceAdapter = {
   sampler: openSampler,
   exact: true,
   named: true,
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -97,7 +97,7 @@
     edits: [
       [
         'failover/dist/promotion.js',
-        'if (!(await haveStopped(world, view, groupKey(group), version, memory.since)))',
+        'if (!(await haveAllProxiesStopped(world, view, groupKey(group), version, memory.since)))',
         'if (false)',
       ],
     ],
@@ -214,8 +214,9 @@
     edits: [
       [
         'failover/dist/planned-replacement.js',
-        'const spentMs = world.now() - memory.since;',
-        'const spentMs = world.now() - memory.since;\n        if (spentMs >= 0) return await stopForCandidate(context, version, record, false);',
+        'const elapsedMs = world.now() - memory.since;',
+        `const elapsedMs = world.now() - memory.since;
+        if (elapsedMs >= 0) return await enterStopPhase(context, version, record, false);`,
       ],
     ],
   },
@@ -322,7 +323,7 @@
     edits: [
       [
         'failover/dist/route-moves.js',
-        'return haveStopped(world, view, CONFIG_KEY, memory.turn, from);',
+        'return haveAllProxiesStopped(world, view, CONFIG_KEY, memory.version, since);',
         'return Promise.resolve(true);',
       ],
     ],
@@ -333,7 +334,12 @@
     scenario: 'move-harmed',
     seeds: [1, 40],
     edits: [
-      ['failover/dist/route-moves.js', 'if (position && (head.source?.group', 'if (false && (head.source?.group'],
+      [
+        'failover/dist/route-moves.js',
+        `if (position &&
+            (targetLeader.source?.group`,
+        'if (false && (targetLeader.source?.group',
+      ],
     ],
   },
   {
@@ -361,7 +367,7 @@
     rule: 'a duty changes hands as fast as rounds go',
     scenario: 'move-harmed',
     seeds: [14, 14],
-    edits: [['failover/dist/group-failover.js', 'if (world.now() - seen.at < FAILOVER_INTERVAL_MS)', 'if (false)']],
+    edits: [['failover/dist/group-failover.js', 'if (world.now() - lastSeen.at < FAILOVER_INTERVAL_MS)', 'if (false)']],
   },
   {
     name: 'history-short',
@@ -455,8 +461,8 @@
     edits: [
       [
         'failover/dist/leader-watch.js',
-        'strong || wentWithHolder(world.now(), memory, status, evidence.good)',
-        'strong',
+        'isStrong || failedWithHolder(world.now(), memory, status, evidence.good)',
+        'isStrong',
       ],
     ],
   },
@@ -673,7 +679,7 @@
     edits: [
       [
         'failover/dist/promotion.js',
-        'if (!(await haveStopped(world, view, groupKey(group), version, memory.since)))',
+        'if (!(await haveAllProxiesStopped(world, view, groupKey(group), version, memory.since)))',
         'if (false)',
       ],
     ],
@@ -756,7 +762,7 @@
     rule: 'one promotion call of a group is on its way at a time',
     test: 'promotions.test.js',
     seeds: [1, 1],
-    edits: [['failover/dist/promotion-calls.js', 'if (underWay.has(group))', 'if (false)']],
+    edits: [['failover/dist/promotion-calls.js', 'if (groupsInProgress.has(group))', 'if (false)']],
   },
   {
     name: 'promotion-after-term',
@@ -1257,8 +1263,8 @@
     edits: [
       [
         'failover/dist/promotion.js',
-        'return instances.isSynchronous() ? replicasOf(record, instances.list(), undefined) : instances.staying();',
-        'return instances.staying();',
+        'return instances.isSynchronous() ? replicasOf(record, instances.list(), undefined) : instances.stayingInstances();',
+        'return instances.stayingInstances();',
       ],
     ],
   },
@@ -1267,14 +1273,20 @@
     rule: 'LOST: a replica that did not answer may hold the last acknowledged commits',
     test: 'promotion-model.test.js',
     seeds: [1, 1],
-    edits: [['failover/dist/promotion.js', 'if (unheard.length === 0)', 'if (unheard.length >= 0)']],
+    edits: [['failover/dist/promotion.js', 'if (unanswered.length === 0)', 'if (unanswered.length >= 0)']],
   },
   {
     name: 'old-log-forgotten',
     rule: "RECOVER: a new instance with the old leader's log is known to hold all that was acknowledged",
     test: 'promotion-safety.test.js',
     seeds: [1, 1],
-    edits: [['failover/dist/replicas.js', 'return old ? [...others, old].sort(byName) : others;', 'return others;']],
+    edits: [
+      [
+        'failover/dist/replicas.js',
+        'return oldLeader ? [...others, oldLeader].sort(byName) : others;',
+        'return others;',
+      ],
+    ],
   },
   {
     name: 'log-known-by-name-only',
@@ -1305,7 +1317,7 @@
       ['failover/dist/promotion.js', 'if (instances.isSynchronous()) return undefined;', ''],
       [
         'failover/dist/group-instances.js',
-        'return configured()?.sync === undefined ? MISSING_COMMITS_WAIT_MS : 0;',
+        'return configuredGroup()?.sync === undefined ? MISSING_COMMITS_WAIT_MS : 0;',
         'return Infinity;',
       ],
     ],
@@ -1373,7 +1385,7 @@
     rule: 'LOST: a replica that did not answer may hold the last acknowledged commits (review case 2)',
     soak: ['--seconds', '25', '--draw', 'primary-and-replica-crash'],
     seeds: [1, 3],
-    edits: [['failover/dist/promotion.js', 'if (unheard.length === 0)', 'if (unheard.length >= 0)']],
+    edits: [['failover/dist/promotion.js', 'if (unanswered.length === 0)', 'if (unanswered.length >= 0)']],
   },
   {
     name: 'soak-leaving-not-asked',
@@ -1383,10 +1395,10 @@
     edits: [
       [
         'failover/dist/promotion.js',
-        'return instances.isSynchronous() ? replicasOf(record, instances.list(), undefined) : instances.staying();',
-        'return instances.staying();',
+        'return instances.isSynchronous() ? replicasOf(record, instances.list(), undefined) : instances.stayingInstances();',
+        'return instances.stayingInstances();',
       ],
-      ['failover/dist/promotion.js', 'if (unheard.length === 0)', 'if (unheard.length >= 0)'],
+      ['failover/dist/promotion.js', 'if (unanswered.length === 0)', 'if (unanswered.length >= 0)'],
     ],
   },
   {
@@ -1406,7 +1418,7 @@
       ['failover/dist/promotion.js', 'if (instances.isSynchronous()) return undefined;', ''],
       [
         'failover/dist/group-instances.js',
-        'return configured()?.sync === undefined ? MISSING_COMMITS_WAIT_MS : 0;',
+        'return configuredGroup()?.sync === undefined ? MISSING_COMMITS_WAIT_MS : 0;',
         'return Infinity;',
       ],
     ],
