--- a/packages/register/src/committed-ballots.ts
+++ b/packages/register/src/committed-ballots.ts
@@ -1,15 +1,19 @@
 import { compareBallots, type Ballot } from './ballot.js'
 import type { RegisterEntry } from './register-store.js'
 
-/** The highest ballot of each register that is known to be chosen; forgotten at a restart and learnt anew. */
+/**
+ * The highest ballot of each register that is known to be committed; in memory only, so learnt again after a restart.
+ */
 export type CommittedBallots = {
+  /** Whether the value of this entry is known to be committed. */
   isCommitted: (key: string, entry: RegisterEntry) => boolean
-  /** false: as high a one is known already. */
+  /** Records a committed ballot. false: this ballot or a higher one is known already. */
   learn: (key: string, ballot: Ballot) => boolean
-  /** Takes a ballot whatever was known. */
+  /** Sets the ballot, even if a higher one is known. */
   set: (key: string, ballot: Ballot) => void
 }
 
+/** Makes an empty table. */
 export function makeCommittedBallots(): CommittedBallots {
   const ballots = new Map<string, Ballot>()
 
@@ -21,8 +25,8 @@
     ballots.set(key, ballot)
   }
   function learn(key: string, ballot: Ballot): boolean {
-    const old = ballots.get(key)
-    if (old && compareBallots(ballot, old) <= 0) return false
+    const known = ballots.get(key)
+    if (known && compareBallots(ballot, known) <= 0) return false
     set(key, ballot)
     return true
   }
--- a/packages/register/src/core-founding.ts
+++ b/packages/register/src/core-founding.ts
@@ -2,86 +2,89 @@
 import type { CommittedBallots } from './committed-ballots.js'
 import type { CorePeers } from './core-peers.js'
 import type { CoreSetFollower } from './core-set-follower.js'
-import { foundingStep, type CoreState } from './founding.js'
+import { nextFoundingStep, type CoreState } from './founding.js'
 import type { Leases } from './leases.js'
 import { readRefill } from './refill.js'
 import type { Store } from './register-store.js'
 
-// How a voter that doesn't serve comes to: the founding of the set, or a refill of what it lost. docs/register.md.
-
+/** What the founding of one core needs from its other parts. */
 export type CoreFoundingView = {
   id: string
-  /** Local time (ms) at which this life of the core began. */
+  /** Local time (ms) at which this core was started. */
   startedAt: number
   store: Store
   follower: CoreSetFollower
   peers: CorePeers
   leases: Leases
   committed: CommittedBallots
-  isGiven: boolean
-  mayBegin: boolean
+  /** An operator fixed the set in the settings. */
+  isSetFixed: boolean
+  /** This core may start founding the set. */
+  mayStartFounding: boolean
   stop: Flag
   metrics: Metrics
 }
 
+/** Brings a voter that isn't serving to serve: by founding the set, or by a refill of lost state. docs/register.md. */
 export type CoreFounding = {
-  /** Takes the next step towards serving, where there is one. */
+  /** Takes the next step towards serving, if there is one. */
   step: () => Promise<void>
-  /** Some agent knows registers of this set: having nothing on disk means loss, not beginning. */
-  remember: () => void
-  isRemembered: () => boolean
+  /** Called when an agent knows registers of this set: an empty disk then means loss and not a first start. */
+  markPreviouslyFounded: () => void
+  wasPreviouslyFounded: () => boolean
 }
 
+/** Makes the founding of one core; it acts only in step(). */
 export function makeCoreFounding(world: World, view: CoreFoundingView): CoreFounding {
   const { id, startedAt, store, follower, peers } = view
-  let isRemembered = false
+  let wasPreviouslyFounded = false
 
-  async function askStates(): Promise<(CoreState | undefined)[]> {
-    const asks: Promise<CoreState | undefined>[] = []
+  async function queryStates(): Promise<(CoreState | undefined)[]> {
+    const answers: Promise<CoreState | undefined>[] = []
     for (const { held } of peers.list())
-      asks.push(held.ask({ t: 'state' }, ROUND_TIMEOUT_MS) as Promise<CoreState | undefined>)
-    return await Promise.all(asks)
+      answers.push(held.ask({ t: 'state' }, ROUND_TIMEOUT_MS) as Promise<CoreState | undefined>)
+    return await Promise.all(answers)
   }
   /**
-   * A core that lost its memory votes again only after, for every register, a whole round above all that was promised was done
-   * at a majority of the set counted among the others; and only after every prepare that its forgotten promises could serve is
-   * void. true: it may vote.
+   * A core that lost its state votes again only after two conditions hold: for every register a whole round above all
+   * promised ballots has completed at a majority of the set, counted among the other voters; and every prepare that its
+   * forgotten promises could support has expired. true: it may vote.
    */
   async function refill(): Promise<boolean> {
-    const waitMs = follower.quietSince() + REFILL_DELAY_MS - world.now()
+    const waitMs = follower.notServingSince() + REFILL_DELAY_MS - world.now()
     if (waitMs > 0) await pause(world, waitMs, view.stop)
-    // All of it under one set; a change of the set meanwhile makes it void.
-    const under = follower.coreSet()
-    const refilled = await readRefill(world, id, peers.list(), under)
-    if (!refilled || follower.coreSet() !== under) return false
-    await store.refill(refilled.cells, refilled.floor, under, follower.placeIn(under)?.token)
-    if (follower.coreSet() !== under) return false
-    // A newcomer may have been started anew since it was told to vote: which of these it is isn't known any more.
-    if (under.epoch > 0) view.leases.beginUnknown()
-    follower.refilled()
+    // The whole refill runs under one set; a change of the set in the meantime invalidates it.
+    const setAtStart = follower.coreSet()
+    const refilled = await readRefill(world, id, peers.list(), setAtStart)
+    if (!refilled || follower.coreSet() !== setAtStart) return false
+    await store.refill(refilled.cells, refilled.floor, setAtStart, follower.memberIn(setAtStart)?.token)
+    if (follower.coreSet() !== setAtStart) return false
+    // This may be a new member that restarted after it was told to vote: that is unknown, so its leases are incomplete.
+    if (setAtStart.epoch > 0) view.leases.markIncomplete()
+    follower.markRefilled()
     for (const [key, entry] of refilled.cells) view.committed.set(key, entry.ballot)
     world.log.info('core-refilled', { core: id, keys: refilled.keys, floor: refilled.floor })
     view.metrics.add('claynotch_core_refills_total')
     return true
   }
   /** true: this core may vote. */
-  async function found(): Promise<boolean> {
-    const askedAfter = world.now() - startedAt
-    const states = await askStates()
+  async function advanceFounding(): Promise<boolean> {
+    const uptimeAtQueryMs = world.now() - startedAt
+    const states = await queryStates()
     const set = follower.coreSet()
     const phase = store.phase()
-    const next = foundingStep(
+    const next = nextFoundingStep(
       {
         set,
         ids: follower.ids(),
         phase,
-        lost: follower.isLost(),
-        remembered: isRemembered,
-        isGiven: view.isGiven,
-        mayBegin: view.mayBegin,
-        others: peers.list().length,
-        askedAfter,
-        runs: world.now() - startedAt,
+        hasLostState: follower.hasLostState(),
+        wasPreviouslyFounded,
+        isSetFixed: view.isSetFixed,
+        mayStartFounding: view.mayStartFounding,
+        otherVoterCount: peers.list().length,
+        uptimeAtQueryMs,
+        uptimeMs: world.now() - startedAt,
       },
       states,
     )
@@ -113,15 +116,15 @@
   }
   async function step(): Promise<void> {
     if (store.failed() !== undefined) await follower.recoverDisk()
-    if (!follower.isVoter() || follower.isServing() || follower.isMoving() || store.failed() !== undefined) return
-    const under = follower.coreSet()
-    if (await found()) follower.serveUnder(under)
+    if (!follower.isVoter() || follower.isServing() || follower.isChangingSet() || store.failed() !== undefined) return
+    const setAtStart = follower.coreSet()
+    if (await advanceFounding()) follower.startServing(setAtStart)
   }
-  function remember(): void {
-    isRemembered = true
+  function markPreviouslyFounded(): void {
+    wasPreviouslyFounded = true
   }
-  function isRememberedNow(): boolean {
-    return isRemembered
+  function wasPreviouslyFoundedNow(): boolean {
+    return wasPreviouslyFounded
   }
-  return { step, remember, isRemembered: isRememberedNow }
+  return { step, markPreviouslyFounded, wasPreviouslyFounded: wasPreviouslyFoundedNow }
 }
--- a/packages/register/src/core-messages.ts
+++ b/packages/register/src/core-messages.ts
@@ -5,7 +5,7 @@
 import type { CoreSetFollower } from './core-set-follower.js'
 import type { Delta } from './delta.js'
 import type { CoreState } from './founding.js'
-import type { HandedEntry, Handover } from './handover.js'
+import type { HandoverEntry, Handover } from './handover.js'
 import type { Leases } from './leases.js'
 import { CoreMessage, type GetAnswer, type LeaseRenewal } from './messages.js'
 import type { DeltaChains, Pushes } from './pushes.js'
@@ -13,8 +13,7 @@
 import type { DeltaAnswer, Store, RegisterValue } from './register-store.js'
 import type { Renewals } from './renewals.js'
 
-// What a core answers on its links; docs/wire.md has each message with its answer.
-
+/** What the message handlers of a core need from its other parts. */
 export type CoreMessagesView = {
   id: string
   store: Store
@@ -26,34 +25,42 @@
   follower: CoreSetFollower
   founding: CoreFounding
   state: () => CoreState
+  /** Called when a value is committed at this ballot. */
   learn: (key: string, ballot: Ballot) => void
-  /** The holder of quotas beside this core; undefined: there is none. */
+  /** The quota service of the agent on this machine; undefined: there is none. */
   quotas: () => QuotaService | undefined
-  /** An operator's word that everything is to begin anew, whatever agents remember. */
+  /** Operator override: found the set again even if agents know registers of an earlier founding. */
   foundAnew: boolean
   metrics: Metrics
 }
 
+/** Answers the messages on the links of a core; docs/wire.md lists each message with its answer. */
 export type CoreMessages = {
+  /** Handles a new link; the result answers the messages on it. */
   serve: (peer: Hello, link: Link) => (message: unknown) => Promise<unknown>
-  lost: (peer: Hello, link: Link) => void
+  onLinkLost: (peer: Hello, link: Link) => void
 }
 
-/** What an agent beside a core answers on the core's links. asker: the node at the other end of the link. */
+/** Answers of the agent on a core's machine to quota messages. asker: the node at the other end of the link. */
 export type QuotaService = {
   answer: (question: HolderQuestion, asker: string) => QuotaAnswer | QuotaRefusal
   uses: (question: QuotaUseQuestion) => QuotaUseAnswer | QuotaRefusal
 }
-/** This node doesn't count the slot under that term, or not now. */
+/** Rejection: this node doesn't count the slot under that term, or can't at present. */
 export type QuotaRefusal = { ok: false }
-const REFUSED: QuotaRefusal = { ok: false }
+const QUOTA_REFUSED: QuotaRefusal = { ok: false }
 
-type VoterMessage = Exclude<CoreMessage, { t: 'state' | 'seeds' | 'set' | 'quota' | 'quota-use' }>
+/** The messages that only a serving voter answers. */
+type VotingMessage = Exclude<CoreMessage, { t: 'state' | 'seeds' | 'set' | 'quota' | 'quota-use' }>
 
-const ABSENT = { ok: false, absent: true }
+/** Answer of a core that isn't serving. */
+const UNAVAILABLE = { ok: false, absent: true }
 
-/** Messages that count under one set: a round or a count that began under one never ends under another. */
-function epochOf(message: VoterMessage): number | undefined {
+/**
+ * The epoch that a message requires; undefined: any. Rounds and counts belong to one set: one that began under a set
+ * never ends under another.
+ */
+function requiredEpochOf(message: VotingMessage): number | undefined {
   switch (message.t) {
     case 'learn':
     case 'handover':
@@ -66,10 +73,11 @@
   }
 }
 
+/** Makes the message handlers of a core. */
 export function makeCoreMessages(world: World, view: CoreMessagesView): CoreMessages {
   const { store, chains, pushes, leases, follower, founding, metrics } = view
 
-  /** A value is told only as far as the asker lacks it. */
+  /** Leaves the value out of the answer if the sender has it. */
   async function prepare(key: string, ballot: Ballot, have: Ballot | undefined): Promise<unknown> {
     const promise = await store.prepare(key, ballot)
     if (!promise.ok || !have || !promise.value || compareBallots(promise.ballot, have) !== 0) return promise
@@ -80,46 +88,46 @@
     if ('lacksBase' in answer) metrics.add('claynotch_core_bases_lacking_total')
     return answer
   }
-  async function get(key: string, have: Ballot | undefined): Promise<GetAnswer | typeof ABSENT> {
-    // After what is being written now: one that isn't on disk yet might be lost, and was then never there.
+  async function get(key: string, have: Ballot | undefined): Promise<GetAnswer | typeof UNAVAILABLE> {
+    // Waits for the write in progress: a value that isn't on disk yet may still be lost and mustn't be read before.
     const { ballot, value } = await store.accepted(key)
-    if (store.failed() !== undefined) return ABSENT
+    if (store.failed() !== undefined) return UNAVAILABLE
     if (!value || !have) return { ok: true, ballot, value: value ?? null }
     if (compareBallots(ballot, have) === 0) return { ok: true, ballot, same: true }
     const deltas = chains.path(key, have, ballot)
     return deltas ? { ok: true, ballot, base: have, deltas } : { ok: true, ballot, value }
   }
-  /** An agent knows committed registers, and this core has nothing on disk: the set was founded before. */
-  function noteRemembered({ node }: LeaseRenewal): void {
-    if (follower.isServing() || view.foundAnew || store.phase() === 'founded' || founding.isRemembered()) return
-    founding.remember()
+  /** An agent knows committed registers and this core isn't founded on disk, so the set was founded before. */
+  function notePreviousFounding({ node }: LeaseRenewal): void {
+    if (follower.isServing() || view.foundAnew || store.phase() === 'founded' || founding.wasPreviouslyFounded()) return
+    founding.markPreviouslyFounded()
     world.log.error('set-was-founded', {
       core: view.id,
       node,
       why: 'an agent remembers settled registers: this set is not founded a second time unless foundAnew is set',
     })
   }
-  /** Why a message can't be answered now, as the answer that says so. */
-  function refusal(message: VoterMessage): object | undefined {
-    const epoch = epochOf(message)
+  /** The answer that rejects a message which can't be handled at present; undefined if it can. */
+  function rejectionFor(message: VotingMessage): object | undefined {
+    const epoch = requiredEpochOf(message)
     const set = follower.coreSet()
     if (epoch !== undefined && set.cores.length > 0 && epoch < set.epoch) return { ok: false, set }
     if (epoch !== undefined && epoch > set.epoch) return { ok: false, behind: true }
-    const isAbsent = !follower.isServing() || follower.isMoving() || store.failed() !== undefined
-    return isAbsent ? ABSENT : undefined
+    const isUnavailable = !follower.isServing() || follower.isChangingSet() || store.failed() !== undefined
+    return isUnavailable ? UNAVAILABLE : undefined
   }
   function subscribe(link: Link, message: Extract<CoreMessage, { t: 'subscribe' }>): object {
     if (message.on) pushes.subscribe(link, message.have)
     else pushes.unsubscribe(link)
     return { ok: true }
   }
-  function acknowledge(link: Link, node: string, message: Extract<CoreMessage, { t: 'ack' }>): object {
+  function recordAck(link: Link, node: string, message: Extract<CoreMessage, { t: 'ack' }>): object {
     pushes.acked(link, message.num)
     metrics.add('claynotch_core_acks_total')
     leases.ack(node, message.key, message.turn)
     return { ok: true }
   }
-  async function answerAsVoter(message: VoterMessage, peer: Hello, link: Link): Promise<unknown> {
+  async function answerVotingMessage(message: VotingMessage, peer: Hello, link: Link): Promise<unknown> {
     switch (message.t) {
       case 'prepare':
         return await prepare(message.key, message.ballot, message.have)
@@ -131,7 +139,7 @@
         view.learn(message.key, message.ballot)
         return { ok: true }
       case 'handover':
-        return { ok: true, took: await view.handover.take(message.cells as HandedEntry[]) }
+        return { ok: true, took: await view.handover.take(message.cells as HandoverEntry[]) }
       case 'offer':
         return { ok: true, lacks: view.handover.lackingOf(message.cells) }
       case 'get':
@@ -148,7 +156,7 @@
       case 'members':
         return { ok: true, members: leases.members(), sure: leases.isComplete() }
       case 'ack':
-        return acknowledge(link, peer.node, message)
+        return recordAck(link, peer.node, message)
     }
   }
   async function answer(message: CoreMessage, peer: Hello, link: Link): Promise<unknown> {
@@ -162,35 +170,35 @@
         await follower.adopt(message.set)
         return { ok: true }
       case 'quota':
-        return view.quotas()?.answer(message, peer.node) ?? REFUSED
+        return view.quotas()?.answer(message, peer.node) ?? QUOTA_REFUSED
       case 'quota-use':
-        return view.quotas()?.uses(message) ?? REFUSED
+        return view.quotas()?.uses(message) ?? QUOTA_REFUSED
       default:
         break
     }
-    if (message.t === 'renew' && message.remembers) noteRemembered(message)
-    return refusal(message) ?? (await answerAsVoter(message, peer, link))
+    if (message.t === 'renew' && message.remembers) notePreviousFounding(message)
+    return rejectionFor(message) ?? (await answerVotingMessage(message, peer, link))
   }
   function serve(peer: Hello, link: Link) {
     if (peer.kind === 'agent') pushes.linked(link, peer)
-    async function handle(bytes: unknown): Promise<unknown> {
-      const message = readAs(CoreMessage, bytes)
+    async function handle(data: unknown): Promise<unknown> {
+      const message = readAs(CoreMessage, data)
       if (message.err) {
         metrics.add('claynotch_link_garbage_total')
         throw new Error(`unknown message from ${peer.node}`)
       }
       try {
         return await answer(message.val, peer, link)
-      } catch (e) {
-        // A failed disk is an absence; anything else is a fault of ours and closes the link.
-        if (store.failed() !== undefined) return ABSENT
-        throw e
+      } catch (error) {
+        // With a failed disk this core is unavailable; any other error is a bug in this process and closes the link.
+        if (store.failed() !== undefined) return UNAVAILABLE
+        throw error
       }
     }
     return handle
   }
-  function lost(_peer: Hello, link: Link): void {
+  function onLinkLost(_peer: Hello, link: Link): void {
     pushes.lost(link)
   }
-  return { serve, lost }
+  return { serve, onLinkLost }
 }
--- a/packages/register/src/core-peers.ts
+++ b/packages/register/src/core-peers.ts
@@ -9,50 +9,57 @@
 } from '@claynotch/base'
 import type { CorePlace } from './core-set.js'
 
-/** The link to another voter. */
-export type CorePeer = { id: string; addr: Address; held: PersistentLink; end: () => void }
+/** Another voter and the persistent link to it. */
+export type CorePeer = { id: string; addr: Address; held: PersistentLink; close: () => void }
 
+/** Called when a voter is added to or removed from the peers. */
 export type CorePeersEvents = { added: (id: string) => void; removed: (id: string) => void }
 
 /** The links of one core to the other voters of its set. */
 export type CorePeers = {
   list: () => CorePeer[]
-  /** Links to these places and to no others; those that stand already are kept. */
+  /** Keeps links to exactly these voters; existing links are reused, others are closed. */
   connect: (places: CorePlace[]) => void
 }
 
-/** Only answers come on such a link. */
-function ignore(): undefined {
+/** Ignores messages: the other voter sends only answers on this link. */
+function ignoreMessage(): undefined {
   return undefined
 }
 
+/** Makes an empty set of peers. All links close when `stop` fires. */
 export function makeCorePeers(world: World, id: string, stop: Flag, events: CorePeersEvents): CorePeers {
   const hello = makeHello('core', id)
   let peers: CorePeer[] = []
 
-  function open(place: CorePlace): CorePeer {
-    const ended = makeFlag()
-    const unwatch = stop.watch(ended.fire)
-    function end(): void {
+  function openPeer(place: CorePlace): CorePeer {
+    const closed = makeFlag()
+    const unwatch = stop.watch(closed.fire)
+    function close(): void {
       unwatch()
-      ended.fire()
+      closed.fire()
+    }
+    return {
+      id: place.id,
+      addr: place.addr,
+      held: makePersistentLink(world, place.addr, hello, ignoreMessage, closed),
+      close,
     }
-    return { id: place.id, addr: place.addr, held: makePersistentLink(world, place.addr, hello, ignore, ended), end }
   }
   function connect(places: CorePlace[]): void {
-    const before = peers
+    const previousPeers = peers
     peers = []
     for (const place of places) {
-      const old = before.find(isSame)
-      function isSame(peer: CorePeer): boolean {
+      const existing = previousPeers.find(isSamePeer)
+      function isSamePeer(peer: CorePeer): boolean {
         return peer.id === place.id && peer.addr === place.addr
       }
-      peers.push(old ?? open(place))
-      if (!old) events.added(place.id)
+      peers.push(existing ?? openPeer(place))
+      if (!existing) events.added(place.id)
     }
-    for (const peer of before) {
+    for (const peer of previousPeers) {
       if (peers.includes(peer)) continue
-      peer.end()
+      peer.close()
       events.removed(peer.id)
     }
   }
--- a/packages/register/src/core-set-follower.ts
+++ b/packages/register/src/core-set-follower.ts
@@ -4,53 +4,60 @@
 import type { Store } from './register-store.js'
 
 /**
- * The set that one core is of, and whether it may vote.
+ * Follows the core set on behalf of one core and decides whether this core may vote.
  *
- * Invariants: the set's epoch only grows; votes are given only while isServing(), which ends when this core is removed from the
- * set or when what it voted is not on its disk any more; while a later set is being written (isMoving()) nothing is answered
- * by either until it is on disk.
+ * Invariants: the set's epoch only grows; this core votes only while isServing(), which ends when it is removed from
+ * the set or when its votes are no longer on its disk; while a later set is being written (isChangingSet()) nothing is
+ * answered under either set until the later one is on disk.
  */
 export type CoreSetFollower = {
+  /** The current core set; NO_SET until it is known. */
   coreSet: () => CoreSet
-  /** The ids of the set, in order. */
+  /** The ids of the set, sorted. */
   ids: () => string[]
+  /** Whether this core is a member of the current set. */
   isVoter: () => boolean
+  /** Whether this core votes. */
   isServing: () => boolean
-  isMoving: () => boolean
-  /** What this disk held is gone, until a refill has ended. */
-  isLost: () => boolean
-  /** Local time (ms) after which nothing that was promised is forgotten. */
-  quietSince: () => number
-  /** This core as the set has it. */
-  placeIn: (set: CoreSet) => CorePlace | undefined
-  /** Takes the first set that is known in this life. */
+  /** Whether a later set is being written to disk. */
+  isChangingSet: () => boolean
+  /** The votes on this disk are lost; true until a refill has completed. */
+  hasLostState: () => boolean
+  /** Local time (ms) at which this core last stopped voting; every promise that it may have forgotten is older. */
+  notServingSince: () => number
+  /** The entry of this core in the set. */
+  memberIn: (set: CoreSet) => CorePlace | undefined
+  /** Applies the first set that is known since the start of this process. */
   join: (known: CoreSet) => Promise<void>
-  /** Takes a later set, which was chosen. */
+  /** Applies a later set, which must be committed. */
   adopt: (next: CoreSet) => Promise<void>
-  /** After a failed write: reads the file and writes it anew. */
+  /** Recovers from a failed write: reads the data file again and rewrites it. */
   recoverDisk: () => Promise<void>
-  /** It votes from now on, where that is still the present set. */
-  serveUnder: (set: CoreSet) => void
-  refilled: () => void
+  /** Starts voting, if this is still the current set. */
+  startServing: (set: CoreSet) => void
+  /** Called when a refill has replaced the lost state. */
+  markRefilled: () => void
 }
 
+/** Settings of the follower. */
 export type FollowerSettings = {
   id: string
-  /** Local time (ms) at which this life of the core began. */
+  /** Local time (ms) at which this core was started. */
   startedAt: number
-  /** The set was given by an operator, and never changes. */
-  isGiven: boolean
-  /** What the disk held was found to be gone. */
-  isLost: boolean
+  /** An operator fixed the set in the settings, so it never changes. */
+  isSetFixed: boolean
+  /** The data file was found damaged at the start. */
+  hasLostState: boolean
 }
 
+/** The ids of these cores, sorted. */
 export function idsOf(places: CorePlace[]): string[] {
   const out: string[] = []
   for (const { id } of places) out.push(id)
   return out.sort()
 }
 
-/** connect: the other voters of the present set are these. */
+/** connect: called with the other voters of the current set. */
 export function makeCoreSetFollower(
   world: World,
   settings: FollowerSettings,
@@ -58,24 +65,24 @@
   leases: Leases,
   connect: (others: CorePlace[]) => void,
 ): CoreSetFollower {
-  const inTurn = makeSerialQueue()
+  const runSerially = makeSerialQueue()
   let coreSet: CoreSet = NO_SET
   let ids: string[] = []
   let isVoter = false
   let isServing = false
-  let isMoving = false
-  let { isLost } = settings
-  let quietSince = settings.startedAt
+  let isChangingSet = false
+  let { hasLostState } = settings
+  let notServingSince = settings.startedAt
   let nextRecoveryAt = 0
 
-  function isMe(place: CorePlace): boolean {
+  function isSelf(place: CorePlace): boolean {
     return place.id === settings.id
   }
   function isOther(place: CorePlace): boolean {
     return place.id !== settings.id
   }
-  function placeIn(set: CoreSet): CorePlace | undefined {
-    return votersOf(set).find(isMe)
+  function memberIn(set: CoreSet): CorePlace | undefined {
+    return votersOf(set).find(isSelf)
   }
   function connectOthers(): void {
     connect(isVoter ? votersOf(coreSet).filter(isOther) : [])
@@ -84,76 +91,83 @@
     return Math.floor(world.random() * 2 ** 48).toString(36)
   }
   function stopServing(): void {
-    if (isServing) quietSince = world.now()
+    if (isServing) notServingSince = world.now()
     isServing = false
   }
-  /** A machine that isn't of the set keeps it on disk only to tell it, with a token under which it may be taken into a later one. */
-  async function join(known: CoreSet): Promise<void> {
-    const names = idsOf(known.cores)
-    if (store.phase() !== 'none' && store.cores().join() !== names.join())
-      throw new Error(`the data folder belongs to the core set ${store.cores().join()}, not ${names.join()}`)
-    const isOfSet = placeIn(known) !== undefined
-    if (!isOfSet && settings.isGiven) throw new Error(`core ${settings.id} is not among its own set`)
-    async function writeFirst(): Promise<void> {
-      if (!isOfSet && (store.set().cores.length === 0 || store.token() === undefined))
-        await store.writeSet('none', known, newToken())
+  /**
+   * A machine outside the set stores the set only to pass it on, with a token under which it may become a member of a
+   * later set.
+   */
+  async function join(initialSet: CoreSet): Promise<void> {
+    const initialIds = idsOf(initialSet.cores)
+    if (store.phase() !== 'none' && store.cores().join() !== initialIds.join())
+      throw new Error(`the data directory belongs to the core set ${store.cores().join()}, not ${initialIds.join()}`)
+    const isMember = memberIn(initialSet) !== undefined
+    if (!isMember && settings.isSetFixed)
+      throw new Error(`core ${settings.id} is not a member of its configured core set`)
+    async function recordInitialSet(): Promise<void> {
+      if (!isMember && (store.set().cores.length === 0 || store.token() === undefined))
+        await store.writeSet('none', initialSet, newToken())
     }
-    await inTurn(writeFirst)
-    // A later set may have been taken while this one was written.
-    if (coreSet.epoch > known.epoch) return
-    isVoter = isOfSet
-    coreSet = known
-    ids = names
+    await runSerially(recordInitialSet)
+    // A later set may have been applied while this one was written.
+    if (coreSet.epoch > initialSet.epoch) return
+    isVoter = isMember
+    coreSet = initialSet
+    ids = initialIds
     connectOthers()
     if (!isVoter) world.log.info('core-aside', { core: settings.id, set: ids.join() })
-    else if (store.phase() === 'founded' && !isLost) isServing = true
+    else if (store.phase() === 'founded' && !hasLostState) isServing = true
   }
-  /** A newcomer whose storage never voted begins with what it has: nothing. */
-  async function beginVoting(next: CoreSet): Promise<void> {
+  /** A new member whose storage never voted starts to vote with empty state. */
+  async function startVotingAsNewMember(next: CoreSet): Promise<void> {
     await store.begin(next)
-    // Others may have counted leases under this set before this core was of it.
-    leases.beginUnknown()
+    // Others may have counted leases under this set before this core joined it.
+    leases.markIncomplete()
     if (coreSet === next) isServing = true
     world.log.info('core-joined', { core: settings.id, epoch: next.epoch })
   }
   /**
-   * Writes a later set to disk, and with it what this core is in it. Only a voter that goes on with the storage that it voted
-   * with, or a newcomer whose storage never voted, may vote by what it has; any other needs a refill.
+   * Writes a later set to disk, together with the role of this core in it. Only a voter with the storage that it voted
+   * with before, or a new member whose storage never voted, may vote with its present state; any other needs a refill.
    */
-  async function writeLater(next: CoreSet): Promise<void> {
-    const place = placeIn(next)
+  async function persistNextSet(next: CoreSet): Promise<void> {
+    const place = memberIn(next)
     if (!place) return await store.writeSet('none', next, newToken())
     const token = store.token()
-    const isSameStorage = !isLost && place.token === token
-    const wasVoter = placeIn(store.set()) !== undefined
+    const isSameStorage = !hasLostState && place.token === token
+    const wasVoter = memberIn(store.set()) !== undefined
     if (isSameStorage && wasVoter && (isServing || store.phase() === 'intent'))
       return await store.writeSet(store.phase(), next, token)
-    if (isSameStorage && token !== undefined && store.phase() === 'none') return await beginVoting(next)
+    if (isSameStorage && token !== undefined && store.phase() === 'none') return await startVotingAsNewMember(next)
     stopServing()
-    // Without its token, so that it can't begin as one that never voted.
+    // Without the token, so that this core can't pass for a new member that never voted.
     await store.writeSet('none', next, undefined)
   }
-  /** From its first line on no message of an older epoch is taken; what was taken before it is on disk before it. */
+  /**
+   * The set changes before the first await, so that messages of an older epoch are rejected from the call on; what was
+   * accepted earlier is written to disk before the set is.
+   */
   async function adopt(next: CoreSet): Promise<void> {
-    const isOld = next.cores.length === 0 || next.epoch <= coreSet.epoch
-    if (settings.isGiven || isOld || store.failed() !== undefined) return
+    const isNotNewer = next.cores.length === 0 || next.epoch <= coreSet.epoch
+    if (settings.isSetFixed || isNotNewer || store.failed() !== undefined) return
     coreSet = next
     ids = idsOf(next.cores)
-    isMoving = true
-    isVoter = placeIn(next) !== undefined
+    isChangingSet = true
+    isVoter = memberIn(next) !== undefined
     if (!isVoter) stopServing()
     connectOthers()
-    async function write(): Promise<void> {
-      // Where a still later one came meanwhile, that is written alone.
+    async function persistIfCurrent(): Promise<void> {
+      // If a still later set has arrived, only that one is written.
       if (coreSet !== next) return
       try {
-        await writeLater(next)
+        await persistNextSet(next)
       } catch {
-        // Said by the store, which answers nothing until it has recovered.
+        // The store has logged the failure and answers nothing until it has recovered.
       }
     }
-    await inTurn(write)
-    if (coreSet === next) isMoving = false
+    await runSerially(persistIfCurrent)
+    if (coreSet === next) isChangingSet = false
     world.log.info('core-set-changed', {
       core: settings.id,
       epoch: next.epoch,
@@ -162,33 +176,33 @@
       voter: isVoter,
     })
   }
-  async function recover(): Promise<void> {
+  async function recoverStore(): Promise<void> {
     if (!(await store.recover())) return
     world.log.info('disk-recovered', { core: settings.id, phase: store.phase(), epoch: store.set().epoch })
     if (store.set().epoch === coreSet.epoch && store.phase() === 'founded') return
     stopServing()
-    // Where the set changed meanwhile, it is taken now.
-    if (store.set().epoch < coreSet.epoch) await writeLater(coreSet)
+    // The set may have changed while the disk was failing.
+    if (store.set().epoch < coreSet.epoch) await persistNextSet(coreSet)
   }
   async function recoverDisk(): Promise<void> {
     if (world.now() < nextRecoveryAt) return
     nextRecoveryAt = world.now() + DISK_RETRY_DELAY_MS
     try {
-      await inTurn(recover)
+      await runSerially(recoverStore)
     } catch {
-      // It failed again, and is tried again.
+      // The recovery failed and is retried after DISK_RETRY_DELAY_MS.
     }
   }
-  function serveUnder(set: CoreSet): void {
+  function startServing(set: CoreSet): void {
     if (coreSet === set) isServing = true
   }
-  function refilled(): void {
-    isLost = false
+  function markRefilled(): void {
+    hasLostState = false
   }
-  function coreSetNow(): CoreSet {
+  function currentCoreSet(): CoreSet {
     return coreSet
   }
-  function idsNow(): string[] {
+  function currentIds(): string[] {
     return ids
   }
   function isVoterNow(): boolean {
@@ -197,28 +211,28 @@
   function isServingNow(): boolean {
     return isServing
   }
-  function isMovingNow(): boolean {
-    return isMoving
+  function isChangingSetNow(): boolean {
+    return isChangingSet
   }
-  function isLostNow(): boolean {
-    return isLost
+  function hasLostStateNow(): boolean {
+    return hasLostState
   }
-  function quietSinceNow(): number {
-    return quietSince
+  function currentNotServingSince(): number {
+    return notServingSince
   }
   return {
-    coreSet: coreSetNow,
-    ids: idsNow,
+    coreSet: currentCoreSet,
+    ids: currentIds,
     isVoter: isVoterNow,
     isServing: isServingNow,
-    isMoving: isMovingNow,
-    isLost: isLostNow,
-    quietSince: quietSinceNow,
-    placeIn,
+    isChangingSet: isChangingSetNow,
+    hasLostState: hasLostStateNow,
+    notServingSince: currentNotServingSince,
+    memberIn,
     join,
     adopt,
     recoverDisk,
-    serveUnder,
-    refilled,
+    startServing,
+    markRefilled,
   }
 }
--- a/packages/register/src/core-set.ts
+++ b/packages/register/src/core-set.ts
@@ -1,104 +1,125 @@
 import * as t from 'io-ts'
 import { requestOnce, parseAddr, readAs, ROUND_TIMEOUT_MS, type Address, type World } from '@claynotch/base'
 
-// The core set: which machines vote, as agreed state that each of them keeps on disk (docs/design/coreset.md).
-// addr: where it takes links. token: names the storage with which a machine that was no voter offered itself; the founders have
-// none. Invariants: no id stands in a set twice; a token is on its machine's disk before anyone is told of it, and a new one is
-// drawn each time that the machine finds itself outside the set, so a core whose disk holds another token than its place in the
-// set has lost what it voted there.
+/**
+ * One member of the core set. The set says which machines vote; it is agreed state that each of them keeps on disk
+ * (docs/design/coreset.md).
+ *
+ * addr: the address on which it accepts links. token: identifies the storage with which a machine that was no voter
+ * offered itself; founders have none.
+ * Invariants: an id occurs once in a set; a token is on its machine's disk before it is sent to anyone, and a new one
+ * is generated each time that the machine finds itself outside the set. So a core whose disk holds another token than
+ * its entry in the set has lost the votes that it cast there.
+ */
 export const CorePlace = t.intersection([t.type({ id: t.string, addr: t.string }), t.partial({ token: t.string })])
 export type CorePlace = t.TypeOf<typeof CorePlace>
-// One configuration of the voters. Invariants: of each epoch there is one set, chosen in the register CORESET_KEY by a round
-// under the epoch before it; whoever says a set has learnt that it was chosen; cores is empty only while no set is known.
-// next: joint configuration; every majority is one of cores and one of next as well.
+/**
+ * One configuration of the voters.
+ *
+ * next: present in a joint configuration; a quorum then needs a majority of cores and a majority of next.
+ * Invariants: each epoch has one set, committed in the register CORESET_KEY by a round under the epoch before it;
+ * whoever sends a set has learnt that it is committed; cores is empty only while no set is known.
+ */
 export const CoreSet = t.intersection([
   t.type({ epoch: t.number, cores: t.array(CorePlace) }),
   t.partial({ next: t.array(CorePlace) }),
 ])
 export type CoreSet = t.TypeOf<typeof CoreSet>
+/** Key of the register that holds the core set. */
 export const CORESET_KEY = 'coreset'
+/** Stands for a core set that isn't known yet. */
 export const NO_SET: CoreSet = { epoch: 0, cores: [] }
 
-// Which answers together decide. epoch: only cores that stand in it answer.
+/** Which answers together form a quorum. epoch: only cores in this epoch answer. */
 export type Quorum = { epoch: number; met: (ids: Set<string>) => boolean }
 
-function hasMost(list: CorePlace[], ids: Set<string>): boolean {
+function hasMajority(members: CorePlace[], ids: Set<string>): boolean {
   let count = 0
-  for (const c of list) if (ids.has(c.id)) count++
-  return count > list.length / 2
+  for (const member of members) if (ids.has(member.id)) count++
+  return count > members.length / 2
 }
+/** The quorum of a set: a majority, or in a joint configuration a majority of both halves. */
 export function quorumOf(set: CoreSet): Quorum {
   function met(ids: Set<string>): boolean {
-    return hasMost(set.cores, ids) && (set.next === undefined || hasMost(set.next, ids))
+    return hasMajority(set.cores, ids) && (set.next === undefined || hasMajority(set.next, ids))
   }
   return { epoch: set.epoch, met }
 }
-// How many of the voting cores may be lost, whichever they are, with a quorum of the set left; -1: they are none now. Of a
-// joint set each half must keep its majority, and the losses may all be of the same half.
+/**
+ * How many of the voting cores may fail, whichever they are, with a quorum of the set left; -1: there is no quorum now.
+ * In a joint configuration each half must keep its majority, and all failures may be in the same half.
+ */
 export function lossesBorne(set: CoreSet, voting: Set<string>): number {
   const halves = set.next === undefined ? [set.cores] : [set.cores, set.next]
-  let out = Infinity
-  for (const half of halves) out = Math.min(out, spareVotes(half, voting))
-  return Math.max(-1, out)
+  let losses = Infinity
+  for (const half of halves) losses = Math.min(losses, spareVotes(half, voting))
+  return Math.max(-1, losses)
 }
-// How many votes there are beyond a majority; below 0 as many as are short.
-function spareVotes(half: CorePlace[], voting: Set<string>): number {
-  const majority = Math.floor(half.length / 2) + 1
+/** Number of votes beyond a majority; negative if votes are missing. */
+function spareVotes(members: CorePlace[], voting: Set<string>): number {
+  const majority = Math.floor(members.length / 2) + 1
   let votes = 0
-  for (const c of half) if (voting.has(c.id)) votes++
+  for (const member of members) if (voting.has(member.id)) votes++
   return votes - majority
 }
-/** Whether a core of this id is in the list. */
+/** Whether the list has a core of this id. */
 export function hasCore(places: CorePlace[], id: string): boolean {
   for (const place of places) if (place.id === id) return true
   return false
 }
-// Everyone who may be asked: each once.
+/** All voters of a set, of both halves in a joint configuration, each once. */
 export function votersOf(set: CoreSet): CorePlace[] {
-  const out = new Map<string, CorePlace>()
-  for (const c of [...set.cores, ...(set.next ?? [])]) out.set(c.id, c)
-  return [...out.values()]
+  const votersById = new Map<string, CorePlace>()
+  for (const member of [...set.cores, ...(set.next ?? [])]) votersById.set(member.id, member)
+  return [...votersById.values()]
 }
 
+/** HTTP answer of a seed: the core set as far as it knows it. */
 const SeedsAnswer = t.intersection([
   t.type({ cores: t.array(CorePlace) }),
   t.partial({ epoch: t.number, next: t.array(CorePlace) }),
 ])
 
-function byId(a: CorePlace, b: CorePlace): number {
+function compareIds(a: CorePlace, b: CorePlace): number {
   return a.id < b.id ? -1 : a.id > b.id ? 1 : 0
 }
 
-// The set that a first start founds: the machines of the seeds, known by rule alone (the same port on every machine, named
-// by their IP), so that every process makes the same of the same seeds.
+/**
+ * The set that a first start founds: the machines of the seeds. It follows from the seeds alone (each core is named by
+ * its IP and uses the same port), so that every process derives the same set from the same seeds.
+ */
 export function foundersOf(seeds: Address[], port: number): CorePlace[] {
-  const out = new Map<string, CorePlace>()
+  const foundersByHost = new Map<string, CorePlace>()
   for (const seed of seeds) {
     const { host } = parseAddr(seed)
-    out.set(host, { id: host, addr: `${host}:${port}` })
+    foundersByHost.set(host, { id: host, addr: `${host}:${port}` })
   }
-  return [...out.values()].sort(byId)
+  return [...foundersByHost.values()].sort(compareIds)
 }
 
-// The set as the first of these tells it that can; undefined: none of them can. All are asked at once, as some may be silent.
-// above: the epoch of the set that is known already. One that was cut off goes on telling an old set, and may be the quickest
-// to answer: what is no later than that is passed over.
+/**
+ * Queries all seeds at once, as some may not respond, and returns the first core set received; undefined if no seed has
+ * one.
+ *
+ * knownEpoch: epoch of the set that is known already. A partitioned seed goes on returning an old set and may be the
+ * fastest to answer, so answers that aren't newer are ignored.
+ */
 export function askSeeds(
   world: World,
   seeds: Address[],
-  above = -1,
+  knownEpoch = -1,
 ): Promise<{ seed: Address; set: CoreSet } | undefined> {
-  function start(done: (got: { seed: Address; set: CoreSet } | undefined) => void): void {
-    let left = seeds.length
+  function start(resolve: (answer: { seed: Address; set: CoreSet } | undefined) => void): void {
+    let pendingCount = seeds.length
     async function ask(seed: Address): Promise<void> {
-      const got = await requestOnce(world, seed, 'GET', '/seeds', undefined, ROUND_TIMEOUT_MS)
-      const told = got.ok && got.val.status === 200 ? readAs(SeedsAnswer, got.val.body) : undefined
-      left--
-      if (told?.ok && told.val.cores.length > 0 && (told.val.epoch ?? 0) > above)
-        done({ seed, set: { epoch: 0, ...told.val } })
-      else if (left === 0) done(undefined)
+      const response = await requestOnce(world, seed, 'GET', '/seeds', undefined, ROUND_TIMEOUT_MS)
+      const answer = response.ok && response.val.status === 200 ? readAs(SeedsAnswer, response.val.body) : undefined
+      pendingCount--
+      if (answer?.ok && answer.val.cores.length > 0 && (answer.val.epoch ?? 0) > knownEpoch)
+        resolve({ seed, set: { epoch: 0, ...answer.val } })
+      else if (pendingCount === 0) resolve(undefined)
     }
-    if (left === 0) done(undefined)
+    if (pendingCount === 0) resolve(undefined)
     for (const seed of seeds) void ask(seed)
   }
   return new Promise(start)
--- a/packages/register/src/core-view.ts
+++ b/packages/register/src/core-view.ts
@@ -7,137 +7,151 @@
   type InstanceStatus,
 } from './messages.js'
 
-// What a core tells an agent with each renewal: only what changed since what that agent has from it.
-// Invariant: what an agent holds of a core, at the count it echoes, is what that core told of itself at that count.
+// Incremental answers to lease renewals: a core sends an agent only the changes since the answer that the agent has.
+// Invariant: the view that an agent holds of a core, at the count that it echoes, equals the state that the core sent
+// at that count.
 
-// TOMBS: how many names that went are remembered; who is further behind is told everything.
-const TOMBS = 1024
+/** Number of removed names that are remembered; an agent that is further behind receives the whole state. */
+const MAX_TOMBSTONES = 1024
 
-// The lines of one table, each with the count at which it last changed, and the names that went.
-// count is shared by the tables of a core, and grows with each change.
+/**
+ * One table of a core: its lines, each with the count at which it last changed, and the names that were removed. The
+ * count is shared by all tables of a core and grows with each change.
+ */
 export type ChangeTable<T> = {
+  /** Replaces the content, and counts each line that was added, changed or removed. */
   update: (now: Map<string, T>) => void
+  /** The lines that changed and the names that were removed after this count; count 0 returns all lines. */
   since: (count: number) => { lines: T[]; gone: string[] }
+  /** The lowest count for which since() is complete: removals before it are forgotten. */
   least: () => number
 }
 
-export function makeChangeTable<T>(count: { at: number }, sign: (line: T) => string): ChangeTable<T> {
-  const lines = new Map<string, { line: T; sign: string; at: number }>()
-  const tombs = new Map<string, number>()
-  // least: below it names that went are forgotten.
-  let least = 0
+/** fingerprintOf: text that differs when a line has changed. */
+export function makeChangeTable<T>(count: { at: number }, fingerprintOf: (line: T) => string): ChangeTable<T> {
+  const entries = new Map<string, { line: T; sign: string; at: number }>()
+  const tombstones = new Map<string, number>()
+  /** Names that were removed below this count are forgotten. */
+  let oldestKnownCount = 0
 
   function update(now: Map<string, T>): void {
     for (const [name, line] of now) {
-      const old = lines.get(name)
-      const text = sign(line)
-      if (old?.sign === text) old.line = line
+      const previous = entries.get(name)
+      const fingerprint = fingerprintOf(line)
+      if (previous?.sign === fingerprint) previous.line = line
       else {
-        lines.set(name, { line, sign: text, at: ++count.at })
-        tombs.delete(name)
+        entries.set(name, { line, sign: fingerprint, at: ++count.at })
+        tombstones.delete(name)
       }
     }
-    for (const name of lines.keys()) {
+    for (const name of entries.keys()) {
       if (now.has(name)) continue
-      lines.delete(name)
-      tombs.set(name, ++count.at)
+      entries.delete(name)
+      tombstones.set(name, ++count.at)
     }
-    for (const [name, at] of tombs) {
-      if (tombs.size <= TOMBS) break
-      tombs.delete(name)
-      least = Math.max(least, at)
+    for (const [name, removedAt] of tombstones) {
+      if (tombstones.size <= MAX_TOMBSTONES) break
+      tombstones.delete(name)
+      oldestKnownCount = Math.max(oldestKnownCount, removedAt)
     }
   }
   function since(from: number): { lines: T[]; gone: string[] } {
-    const out: T[] = []
-    const gone: string[] = []
-    for (const one of lines.values()) if (one.at > from) out.push(one.line)
-    if (from > 0) for (const [name, at] of tombs) if (at > from) gone.push(name)
-    return { lines: out, gone }
+    const changedLines: T[] = []
+    const removedNames: string[] = []
+    for (const entry of entries.values()) if (entry.at > from) changedLines.push(entry.line)
+    if (from > 0) for (const [name, removedAt] of tombstones) if (removedAt > from) removedNames.push(name)
+    return { lines: changedLines, gone: removedNames }
   }
-  function leastNow(): number {
-    return least
+  function currentOldestKnownCount(): number {
+    return oldestKnownCount
   }
-  return { update, since, least: leastNow }
+  return { update, since, least: currentOldestKnownCount }
 }
 
-// An agent's picture of one core, built from its answers.
+/** An agent's view of one core, built from the core's renewal answers. */
 export type CoreView = {
+  /** Identifies the life (process start) of the core that this view is of; '' if there is none. */
   core: () => string
+  /** The count of the core up to which this view is current. */
   count: () => number
-  // asked: the life that the renewal echoed. false: the answer builds on what isn't here any more, and everything must be
-  // asked for.
+  /**
+   * Applies an answer. asked: the life of the core that the renewal echoed. false: the answer builds on a state that
+   * this view no longer has, so the whole state must be requested.
+   */
   take: (got: LeaseRenewalAnswer, asked: string) => boolean
+  /** Forgets everything; the next renewal requests the whole state. */
   reset: () => void
   registers: () => Map<string, RegisterSummary>
   members: () => Map<string, { line: MemberEntry; at: number }>
-  // at: when the announcement behind the status was heard, by this machine's clock.
+  /** at: local time (ms) at which the announcement behind the status was received. */
   instances: () => Map<string, { status: InstanceStatus; at: number }>
-  // When it last answered; what it tells is alive as of then.
+  /** Local time (ms) of the core's last answer; the view is known to be valid as of then. */
   heard: () => number
 }
 
+/** Makes an empty view. */
 export function makeCoreView(world: World): CoreView {
-  let core = ''
+  let coreLife = ''
   let count = 0
-  let heard = -Infinity
-  let keys = new Map<string, RegisterSummary>()
+  let lastAnsweredAt = -Infinity
+  let registers = new Map<string, RegisterSummary>()
   let members = new Map<string, { line: MemberEntry; at: number }>()
   let instances = new Map<string, { status: InstanceStatus; at: number }>()
 
   function reset(): void {
-    core = ''
+    coreLife = ''
     count = 0
-    keys = new Map()
+    registers = new Map()
     members = new Map()
     instances = new Map()
   }
-  function take(got: LeaseRenewalAnswer, asked: string): boolean {
+  function take(answer: LeaseRenewalAnswer, requestedLife: string): boolean {
     const now = world.now()
-    const { core: life, since = 0, count: at = 0 } = got
-    if (life === undefined || (since > 0 && (life !== core || since > count))) return false
-    // Another life was heard since this was asked: which of them is the later can't be told.
-    if (life !== core && asked !== core) return false
-    // An older answer of the same life has nothing that isn't here.
-    if (life !== core || at >= count) {
+    const { core: life, since = 0, count: answerCount = 0 } = answer
+    if (life === undefined || (since > 0 && (life !== coreLife || since > count))) return false
+    // An answer of another life arrived since this renewal was sent: their order is unknown.
+    if (life !== coreLife && requestedLife !== coreLife) return false
+    // An older answer of the same life has nothing new.
+    if (life !== coreLife || answerCount >= count) {
       if (since === 0) reset()
-      core = life
-      count = at
-      for (const k of got.keys ?? []) keys.set(k.key, k)
-      for (const m of got.members ?? []) members.set(m.node, { line: m, at: now })
-      for (const s of got.sights ?? []) instances.set(s.name, laterStatus(undefined, s, now - s.age))
-      for (const node of got.left ?? []) members.delete(node)
-      for (const name of got.lost ?? []) instances.delete(name)
+      coreLife = life
+      count = answerCount
+      for (const register of answer.keys ?? []) registers.set(register.key, register)
+      for (const member of answer.members ?? []) members.set(member.node, { line: member, at: now })
+      for (const status of answer.sights ?? [])
+        instances.set(status.name, laterStatus(undefined, status, now - status.age))
+      for (const node of answer.left ?? []) members.delete(node)
+      for (const name of answer.lost ?? []) instances.delete(name)
     }
-    heard = now
+    lastAnsweredAt = now
     return true
   }
-  function coreNow(): string {
-    return core
+  function currentCoreLife(): string {
+    return coreLife
   }
-  function countNow(): number {
+  function currentCount(): number {
     return count
   }
-  function keysNow(): Map<string, RegisterSummary> {
-    return keys
+  function currentRegisters(): Map<string, RegisterSummary> {
+    return registers
   }
-  function membersNow(): Map<string, { line: MemberEntry; at: number }> {
+  function currentMembers(): Map<string, { line: MemberEntry; at: number }> {
     return members
   }
-  function instancesNow(): Map<string, { status: InstanceStatus; at: number }> {
+  function currentInstances(): Map<string, { status: InstanceStatus; at: number }> {
     return instances
   }
-  function heardNow(): number {
-    return heard
+  function currentLastAnsweredAt(): number {
+    return lastAnsweredAt
   }
   return {
-    core: coreNow,
-    count: countNow,
+    core: currentCoreLife,
+    count: currentCount,
     take,
     reset,
-    registers: keysNow,
-    members: membersNow,
-    instances: instancesNow,
-    heard: heardNow,
+    registers: currentRegisters,
+    members: currentMembers,
+    instances: currentInstances,
+    heard: currentLastAnsweredAt,
   }
 }
--- a/packages/register/src/core.ts
+++ b/packages/register/src/core.ts
@@ -24,33 +24,34 @@
 import { makeLeases } from './leases.js'
 import type { RegisterSummary } from './messages.js'
 import { makeDeltaChains, makePushes } from './pushes.js'
-import { isLoss, makeStore, type RegisterEntry, type Store } from './register-store.js'
+import { isStateLoss, makeStore, type RegisterEntry, type Store } from './register-store.js'
 import { makeRenewals } from './renewals.js'
 
 /**
- * cores: the set as an operator gives it, this core among it. Else the disk's set holds, else founders, else what the seeds
- * tell; only founders are founded.
+ * Settings of one core. With `cores` an operator fixes the core set, which must include this core. Otherwise the set on
+ * disk applies, then `founders`, then the answer of a seed; of these only `founders` may found a new set.
  */
 export type CoreSettings = {
   id: string
-  /** The data folder. */
+  /** Path of the data directory. */
   data: string
-  /** An operator's word that all cores lost their disks and everything is to begin again. */
+  /** Operator override: all cores lost their disks, so found the set again even if agents remember the old one. */
   foundAnew?: boolean
 } & (
   | { cores: CorePlace[] }
   | {
-      /** Where this machine takes links. */
+      /** Address on which this machine accepts links. */
       addr: Address
-      /** HTTP addresses of others, asked again until one tells. */
+      /** HTTP addresses of other machines, polled until one of them returns a core set. */
       seeds: () => Address[]
-      /** Given at the very first start of the whole system, with empty disks, to all alike. */
+      /** Passed only at the first start of the whole system, with empty disks; the same on every machine. */
       founders?: CorePlace[]
     }
 )
 
+/** A running core. */
 export type Core = {
-  /** This machine as it may be taken into a set; its token is on disk. */
+  /** This machine as a candidate for a core set; its token is already on disk. */
   place: () => CorePlace
   stop: () => Promise<void>
   serving: () => boolean
@@ -58,51 +59,59 @@
   metrics: Metrics
   state: () => string
   agents: () => string[]
-  /** NO_SET until it is known. */
+  /** The current core set; NO_SET until it is known. */
   coreSet: () => CoreSet
-  /** Takes a set that was chosen; an older one, or another than an operator gave, changes nothing. */
+  /** Applies a committed core set. Ignores older sets, and every set if an operator fixed the set in the settings. */
   adopt: (next: CoreSet) => Promise<void>
-  /** From now on questions about quotas are answered by this; until then they are refused. */
+  /** Registers the service that answers quota requests; they are rejected until then. */
   serveQuotas: (service: QuotaService) => void
 }
 
-/** ms. Interval at which a voter that doesn't serve takes its next step, and the gauges are set. */
+/** ms. Interval at which a voter that isn't serving takes its next step and the gauges are updated. */
 const FOUNDING_INTERVAL_MS = 200
 
-/** The set that a core begins with, where it knows one without asking: an operator's, its disk's, or the founders'. */
-function firstSetOf(settings: CoreSettings, store: Store): CoreSet | undefined {
+/** The core set known without asking a seed: from the operator, from disk or from the founders. */
+function initialCoreSet(settings: CoreSettings, store: Store): CoreSet | undefined {
   if ('cores' in settings) return { epoch: 0, cores: settings.cores }
   if (store.set().cores.length > 0) return store.set()
   return settings.founders ? { epoch: 0, cores: settings.founders } : undefined
 }
 
-function mayBeginOf(settings: CoreSettings): boolean {
+/** Whether this core may start founding a set: the operator fixed the set or passed the founders. */
+function mayStartFounding(settings: CoreSettings): boolean {
   return 'cores' in settings || (settings.founders?.length ?? 0) > 0
 }
 
-function addressOf(settings: CoreSettings): Address {
+/** The address on which this core listens. Throws if the operator's core set lacks this core. */
+function listenAddressOf(settings: CoreSettings): Address {
   if (!('cores' in settings)) return settings.addr
   for (const place of settings.cores) if (place.id === settings.id) return place.addr
-  throw new Error(`core ${settings.id} is not among its own set`)
+  throw new Error(`core ${settings.id} is not a member of its configured core set`)
 }
 
-/** Asks the seeds for the set until one tells, or it became known otherwise. */
-function startSeeking(world: World, id: string, seeds: () => Address[], follower: CoreSetFollower, stop: Flag): void {
-  const found = makeFlag()
-  stop.watch(found.fire)
-  async function seek(): Promise<void> {
+/** Polls the seeds until one returns the core set or the set becomes known in another way. */
+function startSeedPolling(
+  world: World,
+  id: string,
+  seeds: () => Address[],
+  follower: CoreSetFollower,
+  stop: Flag,
+): void {
+  const coreSetKnown = makeFlag()
+  stop.watch(coreSetKnown.fire)
+  async function pollSeeds(): Promise<void> {
     if (follower.coreSet().cores.length > 0) return
-    const told = await askSeeds(world, seeds())
-    if (!told || stop.fired()) return
-    world.log.info('core-set-told', { core: id, seed: told.seed, set: told.set.cores.length })
-    // It may have been told a set already by a link.
-    if (follower.coreSet().cores.length === 0) await follower.join(told.set)
-    found.fire()
+    const seedAnswer = await askSeeds(world, seeds())
+    if (!seedAnswer || stop.fired()) return
+    world.log.info('core-set-told', { core: id, seed: seedAnswer.seed, set: seedAnswer.set.cores.length })
+    // A peer may have sent the set over a link in the meantime.
+    if (follower.coreSet().cores.length === 0) await follower.join(seedAnswer.set)
+    coreSetKnown.fire()
   }
-  void loop(world, 'core-set', SEED_POLL_INTERVAL_MS, found, seek)
+  void loop(world, 'core-set', SEED_POLL_INTERVAL_MS, coreSetKnown, pollSeeds)
 }
 
-/** One core machine: it votes on registers, holds leases, and pushes committed changes to its agents. */
+/** Starts one core: it votes on registers, holds the leases of members and pushes committed changes to its agents. */
 export async function startCore(world: World, settings: CoreSettings): Promise<Core> {
   const { id } = settings
   const startedAt = world.now()
@@ -110,18 +119,18 @@
   const metrics = makeMetrics()
   const chains = makeDeltaChains()
   const committed = makeCommittedBallots()
-  const store = makeStore(world, `${settings.data}/register`, taken)
+  const store = makeStore(world, `${settings.data}/register`, onValueAccepted)
   const leases = makeLeases(world)
   const pushes = makePushes(store, chains, committed.isCommitted, metrics)
   const renewals = makeRenewals(world, leases, registerSummaries, metrics)
-  const handover = makeHandover(world, store, committed.isCommitted, learn, metrics)
+  const handover = makeHandover(world, store, committed.isCommitted, learnCommitted, metrics)
   const peers = makeCorePeers(world, id, stop, handover)
 
   const findings = await store.open()
   for (const { place, what } of findings) world.log.warn('data-file', { place, what })
   const follower = makeCoreSetFollower(
     world,
-    { id, startedAt, isGiven: 'cores' in settings, isLost: findings.some(isLoss) },
+    { id, startedAt, isSetFixed: 'cores' in settings, hasLostState: findings.some(isStateLoss) },
     store,
     leases,
     peers.connect,
@@ -134,8 +143,8 @@
     peers,
     leases,
     committed,
-    isGiven: 'cores' in settings,
-    mayBegin: mayBeginOf(settings),
+    isSetFixed: 'cores' in settings,
+    mayStartFounding: mayStartFounding(settings),
     stop,
     metrics,
   })
@@ -149,41 +158,42 @@
     leases,
     follower,
     founding,
-    state,
-    learn,
-    quotas: quotasNow,
+    state: currentState,
+    learn: learnCommitted,
+    quotas: currentQuotaService,
     foundAnew: settings.foundAnew === true,
     metrics,
   })
-  let quotas: QuotaService | undefined
-  function quotasNow(): QuotaService | undefined {
-    return quotas
+  let quotaService: QuotaService | undefined
+  function currentQuotaService(): QuotaService | undefined {
+    return quotaService
   }
   function serveQuotas(service: QuotaService): void {
-    quotas = service
+    quotaService = service
   }
-  const firstSet = firstSetOf(settings, store)
+  const firstSet = initialCoreSet(settings, store)
   if (firstSet) await follower.join(firstSet)
 
   function registerSummaries(): RegisterSummary[] {
-    const out: RegisterSummary[] = []
+    const summaries: RegisterSummary[] = []
     for (const [key, entry] of store.entries()) {
       const { ballot, value } = entry
       if (!value) continue
       const summary = { key, ballot, turn: value.turn, chosen: committed.isCommitted(key, entry) }
-      out.push(store.isWritten(key) ? summary : { ...summary, pending: true })
+      summaries.push(store.isWritten(key) ? summary : { ...summary, pending: true })
     }
-    return out
+    return summaries
   }
-  /** A value is on disk. Word that it is committed may have come before that. */
-  function taken(key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined): void {
+  /** Called once a value is on disk. The message that it is committed may have arrived earlier. */
+  function onValueAccepted(key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined): void {
     chains.taken(key, before, after, delta)
     if (committed.isCommitted(key, after)) pushes.push(key)
   }
-  function learn(key: string, ballot: Ballot): void {
+  /** Records that a ballot is committed: notes which unreachable peers miss it, and pushes the value if it is here. */
+  function learnCommitted(key: string, ballot: Ballot): void {
     const entry = store.entries().get(key)
     if (!committed.learn(key, ballot)) return
-    for (const peer of peers.list()) if (!peer.held.up()) handover.missedBy(peer.id, key)
+    for (const peer of peers.list()) if (!peer.held.up()) handover.recordMissed(peer.id, key)
     if (entry && compareBallots(entry.ballot, ballot) === 0) pushes.push(key)
   }
   function isServing(): boolean {
@@ -192,63 +202,64 @@
   async function handOver(): Promise<void> {
     if (isServing()) await handover.handOver(peers.list())
   }
-  function state(): CoreState {
-    const hears: string[] = []
-    for (const peer of peers.list()) if (peer.held.up()) hears.push(peer.id)
+  function currentState(): CoreState {
+    const connectedPeerIds: string[] = []
+    for (const peer of peers.list()) if (peer.held.up()) connectedPeerIds.push(peer.id)
     return {
       t: 'state',
       id,
-      phase: follower.isLost() ? 'none' : store.phase(),
-      serving: isServing() && !follower.isMoving(),
+      phase: follower.hasLostState() ? 'none' : store.phase(),
+      serving: isServing() && !follower.isChangingSet(),
       cores: follower.ids(),
       set: follower.coreSet(),
-      hears,
+      hears: connectedPeerIds,
     }
   }
-  function stateText(): string {
+  /** The state of this core in one word, for logs and operators. */
+  function describeState(): string {
     if (store.failed() !== undefined) return 'disk failed'
     if (follower.isServing()) return 'serving'
     if (follower.coreSet().cores.length === 0) return 'looking'
     if (!follower.isVoter()) return 'aside'
-    return follower.isLost() || founding.isRemembered() ? 'lost' : store.phase()
+    return follower.hasLostState() || founding.wasPreviouslyFounded() ? 'lost' : store.phase()
   }
-  async function advance(): Promise<void> {
+  async function advanceFounding(): Promise<void> {
     await founding.step()
     metrics.set('claynotch_core_serving', [], isServing() ? 1 : 0)
     metrics.set('claynotch_core_members', [], leases.memberEntries().length)
   }
-  const address = addressOf(settings)
+  const address = listenAddressOf(settings)
   const hello = makeHello('core', id)
-  const listener = await world.listen(address, acceptLinks(world, hello, messages.serve, messages.lost))
+  const listener = await world.listen(address, acceptLinks(world, hello, messages.serve, messages.onLinkLost))
   if (follower.coreSet().cores.length === 0 && 'seeds' in settings)
-    startSeeking(world, id, settings.seeds, follower, stop)
-  void loop(world, 'found', FOUNDING_INTERVAL_MS, stop, advance)
+    startSeedPolling(world, id, settings.seeds, follower, stop)
+  void loop(world, 'found', FOUNDING_INTERVAL_MS, stop, advanceFounding)
   void loop(world, 'handover', HANDOVER_INTERVAL_MS, stop, handOver)
   world.log.info('core-started', {
     core: id,
     addr: address,
-    state: stateText(),
+    state: describeState(),
     set: idsOf(follower.coreSet().cores).join(),
   })
 
-  async function end(): Promise<void> {
+  async function stopCore(): Promise<void> {
     stop.fire()
     pushes.closeAll()
     await listener.close()
   }
-  function place(): CorePlace {
+  function ownPlace(): CorePlace {
     const token = follower.isVoter() || store.failed() !== undefined ? undefined : store.token()
     return { id, addr: address, ...(token === undefined ? {} : { token }) }
   }
   return {
-    stop: end,
+    stop: stopCore,
     serving: isServing,
     store,
     metrics,
-    state: stateText,
+    state: describeState,
     agents: pushes.nodes,
     coreSet: follower.coreSet,
-    place,
+    place: ownPlace,
     adopt: follower.adopt,
     serveQuotas,
   }
--- a/packages/register/src/founding.ts
+++ b/packages/register/src/founding.ts
@@ -2,10 +2,11 @@
 import type { CoreSet } from './core-set.js'
 import type { FoundingPhase } from './register-store.js'
 
-// Founding in two steps, each at every core: intent is stored by all before any is founded, so a core that holds intent has
-// lost nothing, and one that holds nothing while another is founded has. docs/register.md, "Founding".
+// Founding takes two steps, each at every core: all store the phase intent before any stores founded. So a core with
+// intent on disk has lost nothing, and a core with nothing on disk while another is founded has lost its state.
+// docs/register.md, "Founding".
 
-/** What another voter says of itself. hears: the other voters that it holds a link to. */
+/** The state that a voter reports about itself. hears: the other voters that it has a link to. */
 export type CoreState = {
   t: 'state'
   id: string
@@ -16,65 +17,70 @@
   hears: string[]
 }
 
-/** A voter that doesn't serve yet, and what it may rest its next step on. Times are of the machine's steady clock, in ms. */
+/** The inputs to the next step of a voter that isn't serving yet. Times are of the machine's monotonic clock, in ms. */
 export type FoundingView = {
   set: CoreSet
   ids: string[]
   phase: FoundingPhase
-  /** What this disk held is gone, or some agent remembers registers of this set. */
-  lost: boolean
-  remembered: boolean
-  /** The set is one that an operator gave in a settings file. */
-  isGiven: boolean
-  /** This core may begin a founding. */
-  mayBegin: boolean
-  others: number
-  /** For how long it had run when it asked, and for how long it runs now. */
-  askedAfter: number
-  runs: number
+  /** The state on this disk is lost. */
+  hasLostState: boolean
+  /** Some agent knows registers of this set. */
+  wasPreviouslyFounded: boolean
+  /** An operator fixed the set in a settings file. */
+  isSetFixed: boolean
+  /** This core may start a founding. */
+  mayStartFounding: boolean
+  otherVoterCount: number
+  /** Uptime of this core when it queried the other voters, and its uptime now. */
+  uptimeAtQueryMs: number
+  uptimeMs: number
 }
 
+/** The next step. adopt: apply a later set. differs: another voter has a different set of the same epoch. */
 export type FoundingStep =
   | { step: 'wait' | 'intent' | 'founded' | 'refill' }
   | { step: 'adopt'; set: CoreSet }
   | { step: 'differs'; from: CoreState }
 
-type Counts = { up: number; founded: number; intent: number }
+/** Numbers of other voters that answered under the same set, and of those in each phase. */
+type StateCounts = { reachable: number; founded: number; intent: number }
 
-/** Counts the answers; a later set, or another set of the same epoch, ends the count. */
-function countStates(view: FoundingView, states: (CoreState | undefined)[]): Counts | FoundingStep {
-  const counts: Counts = { up: 0, founded: 0, intent: 0 }
+/** Counts the answers. A later set, or a different set of the same epoch, ends the count and decides the step. */
+function countStates(view: FoundingView, states: (CoreState | undefined)[]): StateCounts | FoundingStep {
+  const counts: StateCounts = { reachable: 0, founded: 0, intent: 0 }
   for (const state of states) {
-    // One that doesn't know its set yet can't found.
+    // A voter that doesn't know its set yet can't take part in a founding.
     if (!state || state.cores.length === 0) continue
     if (state.set.epoch > view.set.epoch) return { step: 'adopt', set: state.set }
-    // One that hasn't heard of the set yet counts for nothing.
+    // A voter that is still at an earlier set isn't counted.
     if (state.set.epoch < view.set.epoch) continue
     if (state.cores.join() !== view.ids.join()) return { step: 'differs', from: state }
-    counts.up++
+    counts.reachable++
     if (state.phase === 'founded') counts.founded++
     else if (state.phase === 'intent') counts.intent++
   }
   return counts
 }
 
-/** The next step of a voter that doesn't serve, by what the other voters say. */
-export function foundingStep(view: FoundingView, states: (CoreState | undefined)[]): FoundingStep {
+/** Decides the next step of a voter that isn't serving, from the answers of the other voters. */
+export function nextFoundingStep(view: FoundingView, states: (CoreState | undefined)[]): FoundingStep {
   const counts = countStates(view, states)
   if ('step' in counts) return counts
-  if (counts.founded > 0) return { step: view.phase === 'intent' && !view.lost ? 'founded' : 'refill' }
-  if (view.set.epoch > 0 || view.lost || view.remembered || counts.up < view.others) return { step: 'wait' }
-  // Those who were told that this is the very first start know it from the one who started them; with a set given by an
-  // operator the agents are heard first.
-  if (view.isGiven && view.runs < FOUNDING_DELAY_MS) return { step: 'wait' }
-  if (view.phase === 'none' && !view.mayBegin && !mayEnd(view, counts)) return { step: 'wait' }
-  return { step: counts.intent === view.others ? 'founded' : 'intent' }
+  if (counts.founded > 0) return { step: view.phase === 'intent' && !view.hasLostState ? 'founded' : 'refill' }
+  if (view.set.epoch > 0 || view.hasLostState || view.wasPreviouslyFounded || counts.reachable < view.otherVoterCount)
+    return { step: 'wait' }
+  // A core that was started with founders knows that this is the first start of the system. With a set fixed by an
+  // operator it waits first, so that agents can report registers of an earlier founding.
+  if (view.isSetFixed && view.uptimeMs < FOUNDING_DELAY_MS) return { step: 'wait' }
+  if (view.phase === 'none' && !view.mayStartFounding && !mayFinishFounding(view, counts)) return { step: 'wait' }
+  return { step: counts.intent === view.otherVoterCount ? 'founded' : 'intent' }
 }
 
 /**
- * Without the first-start word a core with nothing on disk never begins. It may only end a founding that all the others hold
- * intent for: none of them has served yet, and what its own lost life promised is void after this wait.
+ * A core with nothing on disk that wasn't started as a founder never starts a founding. It may only finish one for
+ * which all other voters have stored intent: none of them has served yet, and promises that it made before it lost its
+ * disk have expired after this wait.
  */
-function mayEnd(view: FoundingView, counts: Counts): boolean {
-  return view.others > 0 && counts.intent === view.others && view.askedAfter >= REFILL_DELAY_MS
+function mayFinishFounding(view: FoundingView, counts: StateCounts): boolean {
+  return view.otherVoterCount > 0 && counts.intent === view.otherVoterCount && view.uptimeAtQueryMs >= REFILL_DELAY_MS
 }
--- a/packages/register/src/handover.ts
+++ b/packages/register/src/handover.ts
@@ -11,114 +11,123 @@
 import { HandoverOfferAnswer } from './messages.js'
 import type { RegisterEntry, Store, RegisterValue } from './register-store.js'
 
-// Repair of what a core that was away should have had: it is kept for it, and handed over at its return.
-// docs/design/repair.md.
-
-export type HandedEntry = { key: string; ballot: Ballot; value: RegisterValue }
-/** A register whose settled value a core holds at this ballot. */
+/** A register with its committed value, as handed over. */
+export type HandoverEntry = { key: string; ballot: Ballot; value: RegisterValue }
+/** A register whose committed value a core holds at this ballot. */
 export type OfferedEntry = { key: string; ballot: Ballot }
 
-/** What a handover needs of the link to another voter. */
+/** The part of the link to another voter that a handover uses. */
 export type HandoverLink = Pick<PersistentLink, 'ask' | 'up' | 'peer'>
 
 type HandoverAnswer = { ok?: boolean; took?: number } | undefined
 
+/**
+ * Repairs a core that was unreachable: the other voters remember which commits it missed and send them when it is back.
+ * docs/design/repair.md.
+ */
 export type Handover = {
-  /** A voter became known: what it holds isn't. */
+  /** A voter was added; its registers are unknown, so it counts as having missed all. */
   added: (id: string) => void
+  /** A voter was removed from the set. */
   removed: (id: string) => void
-  /** A register was settled while this voter couldn't be reached. */
-  missedBy: (id: string, key: string) => void
-  /** Hands over what it missed to each voter that is reached again. */
+  /** A register was committed while this voter was unreachable. */
+  recordMissed: (id: string, key: string) => void
+  /** Sends each voter that is reachable again the commits that it missed. */
   handOver: (others: { id: string; held: HandoverLink }[]) => Promise<void>
-  /** The registers of an offer that this core lacks; of the others it now knows that they are settled. */
+  /** The registers of an offer that this core lacks; it learns that the others are committed. */
   lackingOf: (offered: OfferedEntry[]) => string[]
-  /** Takes settled values as late accepts would be taken, never under a higher promise; how many were taken. */
-  take: (cells: HandedEntry[]) => Promise<number>
+  /** Accepts committed values like late accepts, never below a higher promise. Returns how many were accepted. */
+  take: (cells: HandoverEntry[]) => Promise<number>
 }
 
-/** learn: a value is settled at this ballot. */
+/** learnCommitted: called when a value is known to be committed at this ballot. */
 export function makeHandover(
   world: World,
   store: Store,
-  isSettled: (key: string, cell: RegisterEntry) => boolean,
-  learn: (key: string, ballot: Ballot) => void,
+  isCommitted: (key: string, cell: RegisterEntry) => boolean,
+  learnCommitted: (key: string, ballot: Ballot) => void,
   metrics: Metrics,
 ): Handover {
-  // missed: for each other voter, the registers settled while it couldn't be reached; 'all' where more were than are kept, or
-  // where we can't know (we were away ourselves).
-  const missed = new Map<string, Set<string> | 'all'>()
+  /**
+   * For each other voter the registers that were committed while it was unreachable; 'all' if there are more than
+   * MAX_MISSED_REGISTERS, or if they are unknown because this core was away itself.
+   */
+  const missedRegisters = new Map<string, Set<string> | 'all'>()
 
   function added(id: string): void {
-    missed.set(id, 'all')
+    missedRegisters.set(id, 'all')
   }
   function removed(id: string): void {
-    missed.delete(id)
+    missedRegisters.delete(id)
   }
-  function missedBy(id: string, key: string): void {
-    const list = missed.get(id)
-    if (list === 'all') return
-    const next = list ?? new Set<string>()
-    next.add(key)
-    missed.set(id, next.size > MAX_MISSED_REGISTERS ? 'all' : next)
+  function recordMissed(id: string, key: string): void {
+    const missedByPeer = missedRegisters.get(id)
+    if (missedByPeer === 'all') return
+    const updated = missedByPeer ?? new Set<string>()
+    updated.add(key)
+    missedRegisters.set(id, updated.size > MAX_MISSED_REGISTERS ? 'all' : updated)
   }
-  function settledOf(list: Set<string> | 'all'): HandedEntry[] {
-    const out: HandedEntry[] = []
+  function committedEntriesOf(keys: Set<string> | 'all'): HandoverEntry[] {
+    const committedEntries: HandoverEntry[] = []
     for (const [key, cell] of store.entries()) {
-      if (!cell.value || !isSettled(key, cell)) continue
-      if (list === 'all' || list.has(key)) out.push({ key, ballot: cell.ballot, value: cell.value })
+      if (!cell.value || !isCommitted(key, cell)) continue
+      if (keys === 'all' || keys.has(key)) committedEntries.push({ key, ballot: cell.ballot, value: cell.value })
     }
-    return out
+    return committedEntries
   }
-  /** Of these registers those that the other lacks, as it says; all of them where it can't be asked. */
-  async function lackedBy(held: HandoverLink, cells: HandedEntry[]): Promise<HandedEntry[] | undefined> {
-    if (cells.length === 0 || (held.peer()?.epoch ?? 0) < OFFER_LINK_VERSION) return cells
+  /**
+   * The entries that the other voter lacks by its own answer; all of them if its link version has no offers. undefined:
+   * it didn't answer.
+   */
+  async function entriesMissingAt(link: HandoverLink, entries: HandoverEntry[]): Promise<HandoverEntry[] | undefined> {
+    if (entries.length === 0 || (link.peer()?.epoch ?? 0) < OFFER_LINK_VERSION) return entries
     const offered: OfferedEntry[] = []
-    for (const { key, ballot } of cells) offered.push({ key, ballot })
-    const answer = readAs(HandoverOfferAnswer, await held.ask({ t: 'offer', cells: offered }, ROUND_TIMEOUT_MS))
+    for (const { key, ballot } of entries) offered.push({ key, ballot })
+    const answer = readAs(HandoverOfferAnswer, await link.ask({ t: 'offer', cells: offered }, ROUND_TIMEOUT_MS))
     if (answer.err) return undefined
-    const lacked = new Set(answer.val.lacks)
-    function isLacked(cell: HandedEntry): boolean {
-      return lacked.has(cell.key)
+    const missingKeys = new Set(answer.val.lacks)
+    function isMissing(entry: HandoverEntry): boolean {
+      return missingKeys.has(entry.key)
     }
-    return cells.filter(isLacked)
+    return entries.filter(isMissing)
   }
   async function handOver(others: { id: string; held: HandoverLink }[]): Promise<void> {
     for (const other of others) {
-      const list = missed.get(other.id)
-      if (!list || !other.held.up()) continue
-      const cells = await lackedBy(other.held, settledOf(list))
-      if (!cells) continue
-      const got = (await other.held.ask({ t: 'handover', cells }, ROUND_TIMEOUT_MS)) as HandoverAnswer
-      if (!got?.ok) continue
-      // What was settled while we handed over is in the list still.
-      if (missed.get(other.id) === list) missed.delete(other.id)
-      if (cells.length > 0) world.log.info('handed-over', { core: other.id, registers: cells.length, took: got.took })
+      const missedByPeer = missedRegisters.get(other.id)
+      if (!missedByPeer || !other.held.up()) continue
+      const entries = await entriesMissingAt(other.held, committedEntriesOf(missedByPeer))
+      if (!entries) continue
+      const answer = (await other.held.ask({ t: 'handover', cells: entries }, ROUND_TIMEOUT_MS)) as HandoverAnswer
+      if (!answer?.ok) continue
+      // Kept if it was replaced by 'all' in the meantime, so that commits made during the handover aren't forgotten.
+      if (missedRegisters.get(other.id) === missedByPeer) missedRegisters.delete(other.id)
+      if (entries.length > 0)
+        world.log.info('handed-over', { core: other.id, registers: entries.length, took: answer.took })
       metrics.add('claynotch_core_handovers_total')
     }
   }
-  function lackingOf(offered: OfferedEntry[]): string[] {
-    const lacks: string[] = []
+  function missingKeysOf(offered: OfferedEntry[]): string[] {
+    const missingKeys: string[] = []
     for (const { key, ballot } of offered) {
-      const mine = store.entries().get(key)
-      if (mine && compareBallots(mine.ballot, ballot) >= 0) learn(key, ballot)
-      else lacks.push(key)
+      const ownEntry = store.entries().get(key)
+      if (ownEntry && compareBallots(ownEntry.ballot, ballot) >= 0) learnCommitted(key, ballot)
+      else missingKeys.push(key)
     }
-    return lacks
+    return missingKeys
   }
-  async function take(cells: HandedEntry[]): Promise<number> {
-    let took = 0
-    for (const { key, ballot, value } of cells) {
-      const mine = store.entries().get(key)
-      if (!mine || compareBallots(mine.ballot, ballot) < 0) {
-        const got = await store.accept(key, ballot, value)
-        if (!got.ok) continue
-        took++
+  async function take(entries: HandoverEntry[]): Promise<number> {
+    let takenCount = 0
+    for (const { key, ballot, value } of entries) {
+      const ownEntry = store.entries().get(key)
+      if (!ownEntry || compareBallots(ownEntry.ballot, ballot) < 0) {
+        const accepted = await store.accept(key, ballot, value)
+        if (!accepted.ok) continue
+        takenCount++
       }
-      learn(key, ballot)
+      learnCommitted(key, ballot)
     }
-    if (took > 0) metrics.add('claynotch_core_taken_over_total', [], took)
-    return took
+    if (takenCount > 0) metrics.add('claynotch_core_taken_over_total', [], takenCount)
+    return takenCount
   }
-  return { added, removed, missedBy, handOver, lackingOf, take }
+  return { added, removed, recordMissed, handOver, lackingOf: missingKeysOf, take }
 }
--- a/packages/register/src/leases.ts
+++ b/packages/register/src/leases.ts
@@ -15,156 +15,164 @@
   type InstanceStatus,
 } from './messages.js'
 
-// Terms held at this core, in memory only.
-// Invariants: a term ends here later than at its holder (the holder counts from before it asked);
-// for one whole term after the start of this core, members may exist that it does not know (sure() is false).
-// A restarted agent takes its node's term over at once; the life that was replaced is refused from then on.
-// self, acks and highs are of this life; a renewal brings what is new of them.
-type Term = {
-  until: number
+/**
+ * The lease of one node at this core, in memory only.
+ *
+ * Invariants: a lease expires here later than at its holder (the holder counts from before it sent the renewal); for
+ * one whole lease duration after the start of this core there may be members that it doesn't know (isComplete() is
+ * false).
+ * A restarted agent takes over its node's lease at once; renewals of the replaced life are rejected from then on.
+ * self, acks and highs belong to the present life; a renewal carries only their changes.
+ */
+type Lease = {
+  expiresAt: number
   life: string
   self: MemberDescription
   open: number
   acks: Map<string, number>
   highs: Map<string, [number, number]>
-  past: Set<string>
+  replacedLives: Set<string>
 }
 
+/** Leases of the member nodes at one core, and the latest status of each instance that the members reported. */
 export type Leases = {
+  /** replaced: another life of the node holds the lease. unknown: this life has sent no description of itself yet. */
   renew: (r: LeaseRenewal) => 'held' | 'replaced' | 'unknown'
   leave: (node: string, life: string) => void
   ack: (node: string, key: string, turn: number) => void
   members: () => Member[]
-  /** What every agent is told of the members. */
+  /** The part of each member that every agent receives. */
   memberEntries: () => MemberEntry[]
   instances: () => InstanceStatus[]
-  /** One of them, with its age as of now. */
+  /** The status of one instance, with its present age. */
   instance: (name: string) => InstanceStatus | undefined
   /**
-   * Grows whenever memberLines() or what sights() says of an instance changes; an instance that only says the same again has
-   * not changed.
+   * Grows whenever memberEntries() or the content of a status in instances() changes. An instance that repeats its
+   * status hasn't changed.
    */
   revision: () => number
+  /** Whether this core has run for a whole lease duration, so that it knows every lease that is still valid. */
   isComplete: () => boolean
-  // From now on others may have counted terms here that this core does not know: it has just begun to vote.
-  beginUnknown: () => void
+  /** Called when this core starts to vote: others may have counted leases here that it doesn't know. */
+  markIncomplete: () => void
 }
 
+/** Makes an empty lease table. */
 export function makeLeases(world: World): Leases {
-  let start = world.now()
-  const terms = new Map<string, Term>()
-  const seen = new Map<string, { status: InstanceStatus; at: number }>()
+  let incompleteSince = world.now()
+  const leases = new Map<string, Lease>()
+  const latestStatuses = new Map<string, { status: InstanceStatus; at: number }>()
   let revision = 0
 
-  function see(s: InstanceStatus, now: number): void {
-    const old = seen.get(s.name)
-    const next = laterStatus(old, s, now - s.age)
-    seen.set(s.name, next)
-    if (!old || signStatus(old.status) !== signStatus(next.status)) revision++
+  function recordStatus(status: InstanceStatus, now: number): void {
+    const previous = latestStatuses.get(status.name)
+    const latest = laterStatus(previous, status, now - status.age)
+    latestStatuses.set(status.name, latest)
+    if (!previous || signStatus(previous.status) !== signStatus(latest.status)) revision++
   }
-  function expire(): void {
+  function removeExpired(): void {
     const now = world.now()
-    for (const [node, one] of terms) {
-      if (one.until > now) continue
-      terms.delete(node)
+    for (const [node, lease] of leases) {
+      if (lease.expiresAt > now) continue
+      leases.delete(node)
       revision++
     }
-    for (const [name, one] of seen) {
-      if (now - one.at <= (one.status.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) continue
-      seen.delete(name)
+    for (const [name, latest] of latestStatuses) {
+      if (now - latest.at <= (latest.status.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) continue
+      latestStatuses.delete(name)
       revision++
     }
   }
-  // replaced: another life of the same node has taken the term over. unknown: no Self of this life was told here.
-  function renew(r: LeaseRenewal): 'held' | 'replaced' | 'unknown' {
+  function renew(renewal: LeaseRenewal): 'held' | 'replaced' | 'unknown' {
     const now = world.now()
-    const old = terms.get(r.node)
-    if (old?.past.has(r.life)) return 'replaced'
-    const same = old?.life === r.life ? old : undefined
-    const self = r.self ?? same?.self
+    const previous = leases.get(renewal.node)
+    if (previous?.replacedLives.has(renewal.life)) return 'replaced'
+    const sameLife = previous?.life === renewal.life ? previous : undefined
+    const self = renewal.self ?? sameLife?.self
     if (!self) return 'unknown'
-    const past = old?.past ?? new Set<string>()
-    if (old && !same) past.add(old.life)
-    const acks = same?.acks ?? new Map<string, number>()
-    for (const [key, version] of r.acks) acks.set(key, Math.max(version, acks.get(key) ?? 0))
-    const highs = same?.highs ?? new Map<string, [number, number]>()
-    for (const [group, epoch, position] of r.highs) {
-      const high = highs.get(group)
-      if (!high || epoch > high[0] || (epoch === high[0] && position > high[1])) highs.set(group, [epoch, position])
+    const replacedLives = previous?.replacedLives ?? new Set<string>()
+    if (previous && !sameLife) replacedLives.add(previous.life)
+    const acks = sameLife?.acks ?? new Map<string, number>()
+    for (const [key, version] of renewal.acks) acks.set(key, Math.max(version, acks.get(key) ?? 0))
+    const highs = sameLife?.highs ?? new Map<string, [number, number]>()
+    for (const [group, epoch, position] of renewal.highs) {
+      const highest = highs.get(group)
+      if (!highest || epoch > highest[0] || (epoch === highest[0] && position > highest[1]))
+        highs.set(group, [epoch, position])
     }
-    if (!same || r.self) revision++
-    terms.set(r.node, {
-      until: now + LEASE_DURATION_MS + LEASE_CLOCK_SLACK_MS,
-      life: r.life,
+    if (!sameLife || renewal.self) revision++
+    leases.set(renewal.node, {
+      expiresAt: now + LEASE_DURATION_MS + LEASE_CLOCK_SLACK_MS,
+      life: renewal.life,
       self,
-      open: r.open,
+      open: renewal.open,
       acks,
       highs,
-      past,
+      replacedLives,
     })
-    for (const s of r.sights) see(s, now)
+    for (const status of renewal.sights) recordStatus(status, now)
     return 'held'
   }
   function leave(node: string, life: string): void {
-    const old = terms.get(node)
-    if (!old || old.life !== life) return
-    terms.delete(node)
+    const lease = leases.get(node)
+    if (!lease || lease.life !== life) return
+    leases.delete(node)
     revision++
   }
   function ack(node: string, key: string, version: number): void {
-    const one = terms.get(node)
-    if (one) one.acks.set(key, Math.max(version, one.acks.get(key) ?? 0))
+    const lease = leases.get(node)
+    if (lease) lease.acks.set(key, Math.max(version, lease.acks.get(key) ?? 0))
   }
   function members(): Member[] {
-    expire()
-    const out: Member[] = []
-    for (const [node, one] of terms) {
+    removeExpired()
+    const memberList: Member[] = []
+    for (const [node, lease] of leases) {
       const highs: [string, number, number][] = []
-      for (const [group, [epoch, position]] of one.highs) highs.push([group, epoch, position])
-      out.push({ node, life: one.life, ...one.self, open: one.open, acks: [...one.acks], highs })
+      for (const [group, [epoch, position]] of lease.highs) highs.push([group, epoch, position])
+      memberList.push({ node, life: lease.life, ...lease.self, open: lease.open, acks: [...lease.acks], highs })
     }
-    return out
+    return memberList
   }
-  function memberLines(): MemberEntry[] {
-    expire()
-    const out: MemberEntry[] = []
-    for (const [node, { life, self }] of terms) {
+  function memberEntries(): MemberEntry[] {
+    removeExpired()
+    const entries: MemberEntry[] = []
+    for (const [node, { life, self }] of leases) {
       const { area, addr, operator, build, proxy, core } = self
-      out.push({ node, life, area, addr, operator, build, proxy, ...(core ? { core } : {}) })
+      entries.push({ node, life, area, addr, operator, build, proxy, ...(core ? { core } : {}) })
     }
-    return out
+    return entries
   }
-  function sights(): InstanceStatus[] {
-    expire()
+  function instances(): InstanceStatus[] {
+    removeExpired()
     const now = world.now()
-    const out: InstanceStatus[] = []
-    for (const one of seen.values()) out.push({ ...one.status, age: now - one.at })
-    return out
+    const statuses: InstanceStatus[] = []
+    for (const latest of latestStatuses.values()) statuses.push({ ...latest.status, age: now - latest.at })
+    return statuses
   }
-  function status(name: string): InstanceStatus | undefined {
-    const one = seen.get(name)
-    return one && { ...one.status, age: world.now() - one.at }
+  function instance(name: string): InstanceStatus | undefined {
+    const latest = latestStatuses.get(name)
+    return latest && { ...latest.status, age: world.now() - latest.at }
   }
-  function revisionNow(): number {
-    expire()
+  function currentRevision(): number {
+    removeExpired()
     return revision
   }
-  function sure(): boolean {
-    return world.now() - start > LEASE_DURATION_MS + LEASE_CLOCK_SLACK_MS
+  function isComplete(): boolean {
+    return world.now() - incompleteSince > LEASE_DURATION_MS + LEASE_CLOCK_SLACK_MS
   }
-  function doubt(): void {
-    start = world.now()
+  function markIncomplete(): void {
+    incompleteSince = world.now()
   }
   return {
     renew,
     leave,
     ack,
     members,
-    memberEntries: memberLines,
-    instances: sights,
-    instance: status,
-    revision: revisionNow,
-    isComplete: sure,
-    beginUnknown: doubt,
+    memberEntries,
+    instances,
+    instance,
+    revision: currentRevision,
+    isComplete,
+    markIncomplete,
   }
 }
--- a/packages/register/src/register-store.ts
+++ b/packages/register/src/register-store.ts
@@ -3,24 +3,35 @@
 import { NO_SET, type CorePlace, type CoreSet } from './core-set.js'
 import { applyDelta, type Delta } from './delta.js'
 
+/** Marks files that may hold delta records; stored among the ids of the core set. */
 const FILE_FORMAT = 'format-2'
 
-// What a core knows of one register.
-// Invariants: promise >= ballot; both only grow; value is the one accepted at ballot;
-// nothing is answered from here before it is synced to the file.
+/**
+ * State of one register at this core (a Paxos acceptor).
+ *
+ * Invariants: promise >= ballot; both only grow; value is the one accepted at ballot; nothing is answered from this
+ * state before it is synced to the file.
+ */
 export type RegisterEntry = { promise: Ballot; ballot: Ballot; value: RegisterValue | undefined }
 
-// A register's value. turn: how many changes made it; it grows by one with each change.
-// tag: unique to the change, so that its maker can find it again after an unclear round.
+/**
+ * Value of a register. turn: the version, which grows by one with each change. tag: unique to the change, so that its
+ * proposer can recognise it after a round with an unknown outcome.
+ */
 export type RegisterValue = { turn: number; tag: string; body: unknown }
 
+/** Progress of the founding of the core set, as recorded on disk. */
 export type FoundingPhase = 'none' | 'intent' | 'founded'
 
-// places: the set with its addresses; files of before this field have the ids alone. epoch, next: see CoreSet; files of
-// before these fields are of epoch 0. A set with phase none is kept by a
-// machine that isn't of it, so that it can tell others.
-// format: a program that can't read deltas takes FILE_FORMAT, among the ids, for a core of another set and refuses to start on
-// this file; it would lose what they hold.
+/**
+ * The core set as this machine stores it. A machine outside the set stores it with phase none, so that it can pass it
+ * on.
+ *
+ * cores: the ids, and FILE_FORMAT as one more id. A release that can't read delta records takes FILE_FORMAT for a core
+ * of another set and refuses to start on this file; otherwise it would lose the content of the deltas.
+ * places: the set with its addresses; older files have only the ids.
+ * epoch, next: see CoreSet; older files without these fields are of epoch 0.
+ */
 type SetRecord = {
   k: 'set'
   phase: FoundingPhase
@@ -33,108 +44,125 @@
 type FloorRecord = { k: 'floor'; floor: number }
 type PromiseRecord = { k: 'promise'; key: string; promise: Ballot }
 type CellRecord = { k: 'cell'; key: string; promise: Ballot; ballot: Ballot; value: RegisterValue | undefined }
-// A value as what changed since the one accepted at base, which an earlier record of the file holds.
+/** An accepted value as the difference from the value accepted at base, which an earlier record of the file holds. */
 type DeltaRecord = { k: 'delta'; key: string; promise: Ballot; ballot: Ballot; base: Ballot; delta: Delta }
-type Rec = SetRecord | FloorRecord | PromiseRecord | CellRecord | DeltaRecord
+type FileRecord = SetRecord | FloorRecord | PromiseRecord | CellRecord | DeltaRecord
 
+/** Answer to a prepare. promise: the promised ballot because of which it was rejected. */
 export type PrepareAnswer =
   { ok: true; ballot: Ballot; value: RegisterValue | undefined } | { ok: false; promise: Ballot }
+/** Answer to an accept. promise: the promised ballot because of which it was rejected. */
 export type AcceptAnswer = { ok: true } | { ok: false; promise: Ballot }
-// lacksBase: the value accepted here isn't the one that the delta builds on; nothing was taken.
+/** Answer to a delta. lacksBase: the value accepted here isn't the base of the delta; nothing was accepted. */
 export type DeltaAnswer = AcceptAnswer | { ok: false; lacksBase: true }
 
-// Told of each value taken, once it is on disk. delta: what it came as, where it did.
+/** Called for each accepted value once it is on disk. delta: the delta as which the value arrived, if it did. */
 export type Accepted = (key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined) => void
 
+/**
+ * Durable state of one core: its registers (promises and accepted values), the core set that it belongs to and the
+ * token of its storage.
+ */
 export type Store = {
   open: () => Promise<Finding[]>
   phase: () => FoundingPhase
-  // The ids of the set that this disk knows, and the set whole where the file holds it.
+  /** The ids of the core set on disk, sorted. */
   cores: () => string[]
+  /** The core set with its addresses; without members if the file has only the ids. */
   set: () => CoreSet
-  // The token of this storage (see CorePlace); undefined for founders and for files of before this field.
+  /** The token of this storage (see CorePlace); undefined for founders and in older files. */
   token: () => string | undefined
   writeSet: (phase: FoundingPhase, set: CoreSet, token: string | undefined) => Promise<void>
-  // A newcomer whose storage never voted: it begins with nothing promised and nothing accepted.
+  /** Marks the storage of a new member that never voted as founded, with nothing promised and nothing accepted. */
   begin: (set: CoreSet) => Promise<void>
-  // Reads the file again after a failed write and writes it anew; true once that is synced. What the file lacks was never
-  // answered for.
+  /**
+   * Reads the file again after a failed write and rewrites it; true once that is synced. State that the file lacks was
+   * never part of an answer.
+   */
   recover: () => Promise<boolean>
   prepare: (key: string, ballot: Ballot) => Promise<PrepareAnswer>
   accept: (key: string, ballot: Ballot, value: RegisterValue) => Promise<AcceptAnswer>
-  // The same for a value told as what changed since the one accepted at base.
+  /** Like accept, for a value sent as the difference from the one accepted at base. */
   acceptDelta: (key: string, ballot: Ballot, base: Ballot, delta: Delta) => Promise<DeltaAnswer>
-  // Whether what cells() has of the register is on disk.
+  /** Whether the entry of this register in entries() is on disk. */
   isWritten: (key: string) => boolean
-  // What was accepted last and is on disk.
+  /** The value accepted last, once it is on disk. */
   accepted: (key: string) => Promise<{ ballot: Ballot; value: RegisterValue | undefined }>
   entries: () => Map<string, RegisterEntry>
   highestNumber: () => number
-  // Set once a write failed: what is in memory may not be on disk, so nothing is answered from here any more.
+  /** The reason, once a write has failed: memory may differ from disk, so nothing may be answered from this store. */
   failed: () => string | undefined
-  // The last step of a refill: everything at once, then founded.
+  /** Last step of a refill: replaces all entries in one write and sets the phase to founded. */
   refill: (cells: Map<string, RegisterEntry>, floor: number, set: CoreSet, token: string | undefined) => Promise<void>
 }
 
-const LOST_MEMORY = 'has lost its memory'
-// Whether the file is damaged, so that what this core voted is not known any more.
-export function isLoss(finding: Finding): boolean {
-  return finding.what.includes(LOST_MEMORY)
+const LOST_VOTES_TEXT = 'has lost its memory'
+/** Whether the finding means that the file is damaged and the votes of this core are no longer known. */
+export function isStateLoss(finding: Finding): boolean {
+  return finding.what.includes(LOST_VOTES_TEXT)
 }
 
-export function makeStore(world: World, path: string, accepted?: Accepted): Store {
+/** Makes the store on the data file at this path. Operations run one after the other. */
+export function makeStore(world: World, path: string, onAccepted?: Accepted): Store {
   const file = makeDataFile(world, path)
-  const cells = new Map<string, RegisterEntry>()
-  const enter = makeSerialQueue()
+  const entries = new Map<string, RegisterEntry>()
+  const runSerially = makeSerialQueue()
   let phase: FoundingPhase = 'none'
   let cores: string[] = []
   let set: CoreSet = NO_SET
   let token: string | undefined
-  // marked: the file says that it may hold deltas.
-  let marked = false
-  // floor: prepares and accepts under this number are refused for every key (set by a refill).
-  let floor = 0
+  /** The file carries FILE_FORMAT, which says that it may hold delta records. */
+  let isMarkedWithFormat = false
+  /** Prepares and accepts below this ballot number are rejected for every key; set by a refill. */
+  let ballotFloor = 0
 
-  function cell(key: string): RegisterEntry {
-    return cells.get(key) ?? { promise: floor > 0 ? [floor, ''] : ZERO_BALLOT, ballot: ZERO_BALLOT, value: undefined }
+  function entryOf(key: string): RegisterEntry {
+    return (
+      entries.get(key) ?? {
+        promise: ballotFloor > 0 ? [ballotFloor, ''] : ZERO_BALLOT,
+        ballot: ZERO_BALLOT,
+        value: undefined,
+      }
+    )
   }
-  function isCore(id: string): boolean {
+  function isCoreId(id: string): boolean {
     return id !== FILE_FORMAT
   }
-  // false: a delta without its base, so that a record before it is missing.
-  function replay(rec: Rec): boolean {
-    if (rec.k === 'set') {
-      phase = rec.phase
-      cores = rec.cores.filter(isCore)
-      marked = cores.length < rec.cores.length
-      set = { epoch: rec.epoch ?? 0, cores: rec.places ?? [], ...(rec.next ? { next: rec.next } : {}) }
-      token = rec.token
-    } else if (rec.k === 'floor') floor = rec.floor
-    else if (rec.k === 'promise') cells.set(rec.key, { ...cell(rec.key), promise: rec.promise })
-    else if (rec.k === 'delta') return replayDelta(rec)
-    else cells.set(rec.key, { promise: rec.promise, ballot: rec.ballot, value: rec.value ?? undefined })
+  /** Applies one record of the file. false: a delta without its base, so an earlier record is missing. */
+  function replay(record: FileRecord): boolean {
+    if (record.k === 'set') {
+      phase = record.phase
+      cores = record.cores.filter(isCoreId)
+      isMarkedWithFormat = cores.length < record.cores.length
+      set = { epoch: record.epoch ?? 0, cores: record.places ?? [], ...(record.next ? { next: record.next } : {}) }
+      token = record.token
+    } else if (record.k === 'floor') ballotFloor = record.floor
+    else if (record.k === 'promise') entries.set(record.key, { ...entryOf(record.key), promise: record.promise })
+    else if (record.k === 'delta') return replayDelta(record)
+    else entries.set(record.key, { promise: record.promise, ballot: record.ballot, value: record.value ?? undefined })
     return true
   }
-  function replayDelta(rec: DeltaRecord): boolean {
-    const entry = cell(rec.key)
-    if (compareBallots(entry.ballot, rec.base) !== 0) return false
-    const got = applyDelta(entry.value, rec.delta)
-    if (got.err) return false
-    cells.set(rec.key, { promise: rec.promise, ballot: rec.ballot, value: got.val as RegisterValue })
+  function replayDelta(record: DeltaRecord): boolean {
+    const entry = entryOf(record.key)
+    if (compareBallots(entry.ballot, record.base) !== 0) return false
+    const applied = applyDelta(entry.value, record.delta)
+    if (applied.err) return false
+    entries.set(record.key, { promise: record.promise, ballot: record.ballot, value: applied.val as RegisterValue })
     return true
   }
-  // Nothing that was read counts: what is missing may have been a promise of any register.
-  function forget(): void {
-    cells.clear()
-    keep('none', NO_SET, undefined)
-    floor = 0
+  /** Discards everything that was read: the missing record may have been a promise for any register. */
+  function clearState(): void {
+    entries.clear()
+    setState('none', NO_SET, undefined)
+    ballotFloor = 0
   }
-  function live(): Rec[] {
-    const out: Rec[] = [{ k: 'floor', floor }]
-    for (const [key, entry] of cells)
-      out.push({ k: 'cell', key, promise: entry.promise, ballot: entry.ballot, value: entry.value })
-    // The phase comes last: a file that lost its tail must not look founded.
-    out.push({
+  /** The current state as records, for a rewrite of the file. */
+  function liveRecords(): FileRecord[] {
+    const records: FileRecord[] = [{ k: 'floor', floor: ballotFloor }]
+    for (const [key, entry] of entries)
+      records.push({ k: 'cell', key, promise: entry.promise, ballot: entry.ballot, value: entry.value })
+    // The record with the phase is last: a file that lost its tail must not look founded.
+    records.push({
       k: 'set',
       phase,
       cores: [...cores, FILE_FORMAT],
@@ -143,206 +171,209 @@
       ...(set.next ? { next: set.next } : {}),
       ...(token !== undefined ? { token } : {}),
     })
-    return out
+    return records
   }
   async function open(): Promise<Finding[]> {
-    const got = await file.open()
+    const fileContents = await file.open()
     const findings: Finding[] = []
-    if (got.damaged) {
+    if (fileContents.damaged) {
       findings.push({
         place: path,
-        what: `a bad record stands before good ones: this core ${LOST_MEMORY} and must be refilled`,
+        what: `a damaged record precedes valid ones: this core ${LOST_VOTES_TEXT} and must be refilled`,
       })
       return findings
     }
-    if (got.cut > 0) findings.push({ place: path, what: `torn last record cut off (${got.cut} bytes)` })
-    for (const rec of got.records) {
-      if (replay(rec as Rec)) continue
-      forget()
+    if (fileContents.cut > 0)
+      findings.push({ place: path, what: `torn last record cut off (${fileContents.cut} bytes)` })
+    for (const record of fileContents.records) {
+      if (replay(record as FileRecord)) continue
+      clearState()
       return [
         {
           place: path,
-          what: `a delta stands without the value that it builds on: this core ${LOST_MEMORY} and must be refilled`,
+          what: `a delta record has no base value: this core ${LOST_VOTES_TEXT} and must be refilled`,
         },
       ]
     }
-    // Before the first delta is written; a file of before this format is rewritten once.
-    if (phase !== 'none' && !marked) await remark()
+    // An older file is rewritten once, before the first delta is written to it.
+    if (phase !== 'none' && !isMarkedWithFormat) await rewriteInCurrentFormat()
     return findings
   }
-  async function remark(): Promise<void> {
+  async function rewriteInCurrentFormat(): Promise<void> {
     try {
       await rewrite()
     } catch {
-      // Said by the store, which answers nothing any more.
+      // guardWrite() has logged the failure, and the store answers nothing from here on.
     }
   }
   let failure: string | undefined
-  // writing: the register whose value is on its way to the disk.
-  let writing: string | undefined
-  // After one failed write nothing is answered until the file was read and written anew: a later success would not say what
-  // became of the first.
-  async function write(run: () => Promise<unknown>): Promise<void> {
+  /** Key of the register whose value is being written to disk. */
+  let keyBeingWritten: string | undefined
+  /**
+   * Runs a write. After one failed write every other is rejected until the file was read again and rewritten: the
+   * success of a later write would not show whether the failed one reached the disk.
+   */
+  async function guardWrite(run: () => Promise<unknown>): Promise<void> {
     if (failure !== undefined) throw new Error(failure)
     try {
       await run()
-    } catch (e) {
-      failure = `the data file could not be written: ${(e as Error).message}`
-      world.log.error('disk-failed', { path, why: (e as Error).message })
-      throw e
+    } catch (error) {
+      failure = `the data file could not be written: ${(error as Error).message}`
+      world.log.error('disk-failed', { path, why: (error as Error).message })
+      throw error
     }
   }
-  async function save(rec: Rec): Promise<void> {
-    async function both(): Promise<void> {
-      await file.append(rec)
-      await file.trim(live)
+  async function appendRecord(record: FileRecord): Promise<void> {
+    async function appendAndTrim(): Promise<void> {
+      await file.append(record)
+      await file.trim(liveRecords)
     }
-    await write(both)
+    await guardWrite(appendAndTrim)
   }
   function rewrite(): Promise<void> {
-    function whole(): Promise<void> {
-      return file.reset(live())
+    function resetFile(): Promise<void> {
+      return file.reset(liveRecords())
     }
-    return write(whole)
+    return guardWrite(resetFile)
   }
   function failed(): string | undefined {
     return failure
   }
-  function keep(to: FoundingPhase, next: CoreSet, its: string | undefined): void {
-    phase = to
-    set = next
-    token = its
+  function setState(nextPhase: FoundingPhase, nextSet: CoreSet, nextToken: string | undefined): void {
+    phase = nextPhase
+    set = nextSet
+    token = nextToken
     cores = []
-    for (const c of next.cores) cores.push(c.id)
+    for (const place of nextSet.cores) cores.push(place.id)
     cores.sort()
   }
-  function mark(to: FoundingPhase, next: CoreSet, its: string | undefined): Promise<void> {
+  function writeSet(nextPhase: FoundingPhase, nextSet: CoreSet, nextToken: string | undefined): Promise<void> {
     async function run(): Promise<void> {
-      keep(to, next, its)
+      setState(nextPhase, nextSet, nextToken)
       await rewrite()
     }
-    return enter(run)
+    return runSerially(run)
   }
-  function begin(next: CoreSet): Promise<void> {
+  function begin(nextSet: CoreSet): Promise<void> {
     async function run(): Promise<void> {
-      cells.clear()
-      floor = 0
-      keep('founded', next, token)
+      entries.clear()
+      ballotFloor = 0
+      setState('founded', nextSet, token)
       await rewrite()
     }
-    return enter(run)
+    return runSerially(run)
   }
   function recover(): Promise<boolean> {
     async function run(): Promise<boolean> {
       try {
-        forget()
+        clearState()
         const findings = await open()
-        if (findings.some(isLoss)) return false
-        await file.reset(live())
+        if (findings.some(isStateLoss)) return false
+        await file.reset(liveRecords())
       } catch {
         return false
       }
-      writing = undefined
+      keyBeingWritten = undefined
       failure = undefined
       return true
     }
-    return enter(run)
+    return runSerially(run)
   }
   function prepare(key: string, ballot: Ballot): Promise<PrepareAnswer> {
     async function run(): Promise<PrepareAnswer> {
-      const entry = cell(key)
+      const entry = entryOf(key)
       if (compareBallots(ballot, entry.promise) <= 0) return { ok: false, promise: entry.promise }
-      cells.set(key, { ...entry, promise: ballot })
-      await save({ k: 'promise', key, promise: ballot })
+      entries.set(key, { ...entry, promise: ballot })
+      await appendRecord({ k: 'promise', key, promise: ballot })
       return { ok: true, ballot: entry.ballot, value: entry.value }
     }
-    return enter(run)
+    return runSerially(run)
   }
   function accept(key: string, ballot: Ballot, value: RegisterValue): Promise<AcceptAnswer> {
     async function run(): Promise<AcceptAnswer> {
-      const entry = cell(key)
+      const entry = entryOf(key)
       if (compareBallots(ballot, entry.promise) < 0) return { ok: false, promise: entry.promise }
       const next: RegisterEntry = { promise: ballot, ballot, value }
-      // The cell changes first: a rewrite inside save() must hold the new state, not the old.
-      cells.set(key, next)
-      writing = key
-      await save({ k: 'cell', key, promise: ballot, ballot, value })
-      writing = undefined
-      accepted?.(key, entry, next, undefined)
+      // Memory changes first: a rewrite inside appendRecord() must contain the new state.
+      entries.set(key, next)
+      keyBeingWritten = key
+      await appendRecord({ k: 'cell', key, promise: ballot, ballot, value })
+      keyBeingWritten = undefined
+      onAccepted?.(key, entry, next, undefined)
       return { ok: true }
     }
-    return enter(run)
+    return runSerially(run)
   }
   function acceptDelta(key: string, ballot: Ballot, base: Ballot, delta: Delta): Promise<DeltaAnswer> {
     async function run(): Promise<DeltaAnswer> {
-      const entry = cell(key)
+      const entry = entryOf(key)
       if (compareBallots(ballot, entry.promise) < 0) return { ok: false, promise: entry.promise }
-      // A ballot names one value of a register, so the same base makes the same value at each core.
+      // A ballot identifies one value of a register, so the same base and delta give the same value at each core.
       if (compareBallots(entry.ballot, base) !== 0) return { ok: false, lacksBase: true }
-      const got = applyDelta(entry.value, delta)
-      if (got.err) return { ok: false, lacksBase: true }
-      const next: RegisterEntry = { promise: ballot, ballot, value: got.val as RegisterValue }
-      cells.set(key, next)
-      writing = key
-      await save({ k: 'delta', key, promise: ballot, ballot, base, delta })
-      writing = undefined
-      accepted?.(key, entry, next, delta)
+      const applied = applyDelta(entry.value, delta)
+      if (applied.err) return { ok: false, lacksBase: true }
+      const next: RegisterEntry = { promise: ballot, ballot, value: applied.val as RegisterValue }
+      entries.set(key, next)
+      keyBeingWritten = key
+      await appendRecord({ k: 'delta', key, promise: ballot, ballot, base, delta })
+      keyBeingWritten = undefined
+      onAccepted?.(key, entry, next, delta)
       return { ok: true }
     }
-    return enter(run)
+    return runSerially(run)
   }
   function isWritten(key: string): boolean {
-    return writing !== key
+    return keyBeingWritten !== key
   }
   function lastAccepted(key: string): Promise<{ ballot: Ballot; value: RegisterValue | undefined }> {
     async function run(): Promise<{ ballot: Ballot; value: RegisterValue | undefined }> {
-      const { ballot, value } = cell(key)
+      const { ballot, value } = entryOf(key)
       return { ballot, value }
     }
-    return enter(run)
+    return runSerially(run)
   }
   function refill(
-    from: Map<string, RegisterEntry>,
-    least: number,
-    now: CoreSet,
-    its: string | undefined,
+    refilledEntries: Map<string, RegisterEntry>,
+    nextFloor: number,
+    nextSet: CoreSet,
+    nextToken: string | undefined,
   ): Promise<void> {
     async function run(): Promise<void> {
-      cells.clear()
-      for (const [key, entry] of from) cells.set(key, entry)
-      floor = least
-      keep('founded', now, its)
+      entries.clear()
+      for (const [key, entry] of refilledEntries) entries.set(key, entry)
+      ballotFloor = nextFloor
+      setState('founded', nextSet, nextToken)
       await rewrite()
     }
-    return enter(run)
+    return runSerially(run)
   }
-  function top(): number {
-    let most = floor
-    for (const entry of cells.values()) most = Math.max(most, entry.promise[0])
-    return most
+  function highestNumber(): number {
+    let highest = ballotFloor
+    for (const entry of entries.values()) highest = Math.max(highest, entry.promise[0])
+    return highest
   }
-  function phaseNow(): FoundingPhase {
+  function currentPhase(): FoundingPhase {
     return phase
   }
-  function coresNow(): string[] {
+  function currentCoreIds(): string[] {
     return cores
   }
-  function setNow(): CoreSet {
+  function currentSet(): CoreSet {
     return set
   }
-  function tokenNow(): string | undefined {
+  function currentToken(): string | undefined {
     return token
   }
-  function cellsNow(): Map<string, RegisterEntry> {
-    return cells
+  function currentEntries(): Map<string, RegisterEntry> {
+    return entries
   }
   return {
     open,
-    phase: phaseNow,
-    cores: coresNow,
-    set: setNow,
-    token: tokenNow,
-    writeSet: mark,
+    phase: currentPhase,
+    cores: currentCoreIds,
+    set: currentSet,
+    token: currentToken,
+    writeSet,
     begin,
     recover,
     prepare,
@@ -350,8 +381,8 @@
     acceptDelta,
     isWritten,
     accepted: lastAccepted,
-    entries: cellsNow,
-    highestNumber: top,
+    entries: currentEntries,
+    highestNumber,
     failed,
     refill,
   }
