--- a/packages/register/src/core-founding.ts
+++ b/packages/register/src/core-founding.ts
@@ -8,7 +8,7 @@
 import type { Store } from './register-store.js'
 
 /** What the founding of one core needs from its other parts. */
-export type CoreFoundingView = {
+export type CoreFoundingDependencies = {
   id: string
   /** Local time (ms) at which this core was started. */
   startedAt: number
@@ -31,12 +31,13 @@
   step: () => Promise<void>
   /** Called when an agent knows registers of this set: an empty disk then means loss and not a first start. */
   markPreviouslyFounded: () => void
+  /** Whether an agent has reported registers of this set. */
   wasPreviouslyFounded: () => boolean
 }
 
 /** Makes the founding of one core; it acts only in step(). */
-export function makeCoreFounding(world: World, view: CoreFoundingView): CoreFounding {
-  const { id, startedAt, store, follower, peers } = view
+export function makeCoreFounding(world: World, dependencies: CoreFoundingDependencies): CoreFounding {
+  const { id, startedAt, store, follower, peers } = dependencies
   let wasPreviouslyFounded = false
 
   async function queryStates(): Promise<(CoreState | undefined)[]> {
@@ -52,7 +53,7 @@
    */
   async function refill(): Promise<boolean> {
     const waitMs = follower.notServingSince() + REFILL_DELAY_MS - world.now()
-    if (waitMs > 0) await pause(world, waitMs, view.stop)
+    if (waitMs > 0) await pause(world, waitMs, dependencies.stop)
     // The whole refill runs under one set; a change of the set in the meantime invalidates it.
     const setAtStart = follower.coreSet()
     const refilled = await readRefill(world, id, peers.list(), setAtStart)
@@ -60,11 +61,11 @@
     await store.refill(refilled.cells, refilled.floor, setAtStart, follower.memberIn(setAtStart)?.token)
     if (follower.coreSet() !== setAtStart) return false
     // This may be a new member that restarted after it was told to vote: that is unknown, so its leases are incomplete.
-    if (setAtStart.epoch > 0) view.leases.markIncomplete()
+    if (setAtStart.epoch > 0) dependencies.leases.markIncomplete()
     follower.markRefilled()
-    for (const [key, entry] of refilled.cells) view.committed.set(key, entry.ballot)
+    for (const [key, entry] of refilled.cells) dependencies.committed.set(key, entry.ballot)
     world.log.info('core-refilled', { core: id, keys: refilled.keys, floor: refilled.floor })
-    view.metrics.add('claynotch_core_refills_total')
+    dependencies.metrics.add('claynotch_core_refills_total')
     return true
   }
   /** true: this core may vote. */
@@ -80,8 +81,8 @@
         phase,
         hasLostState: follower.hasLostState(),
         wasPreviouslyFounded,
-        isSetFixed: view.isSetFixed,
-        mayStartFounding: view.mayStartFounding,
+        isSetFixed: dependencies.isSetFixed,
+        mayStartFounding: dependencies.mayStartFounding,
         otherVoterCount: peers.list().length,
         uptimeAtQueryMs,
         uptimeMs: world.now() - startedAt,
--- a/packages/register/src/core-messages.ts
+++ b/packages/register/src/core-messages.ts
@@ -14,7 +14,7 @@
 import type { Renewals } from './renewals.js'
 
 /** What the message handlers of a core need from its other parts. */
-export type CoreMessagesView = {
+export type CoreMessagesDependencies = {
   id: string
   store: Store
   chains: DeltaChains
@@ -38,6 +38,7 @@
 export type CoreMessages = {
   /** Handles a new link; the result answers the messages on it. */
   serve: (peer: Hello, link: Link) => (message: unknown) => Promise<unknown>
+  /** Called when a link is closed. */
   onLinkLost: (peer: Hello, link: Link) => void
 }
 
@@ -74,8 +75,8 @@
 }
 
 /** Makes the message handlers of a core. */
-export function makeCoreMessages(world: World, view: CoreMessagesView): CoreMessages {
-  const { store, chains, pushes, leases, follower, founding, metrics } = view
+export function makeCoreMessages(world: World, dependencies: CoreMessagesDependencies): CoreMessages {
+  const { store, chains, pushes, leases, follower, founding, metrics } = dependencies
 
   /** Leaves the value out of the answer if the sender has it. */
   async function prepare(key: string, ballot: Ballot, have: Ballot | undefined): Promise<unknown> {
@@ -99,10 +100,16 @@
   }
   /** An agent knows committed registers and this core isn't founded on disk, so the set was founded before. */
   function notePreviousFounding({ node }: LeaseRenewal): void {
-    if (follower.isServing() || view.foundAnew || store.phase() === 'founded' || founding.wasPreviouslyFounded()) return
+    if (
+      follower.isServing() ||
+      dependencies.foundAnew ||
+      store.phase() === 'founded' ||
+      founding.wasPreviouslyFounded()
+    )
+      return
     founding.markPreviouslyFounded()
     world.log.error('set-was-founded', {
-      core: view.id,
+      core: dependencies.id,
       node,
       why: 'an agent remembers settled registers: this set is not founded a second time unless foundAnew is set',
     })
@@ -136,12 +143,12 @@
           ? await acceptDelta(message.key, message.ballot, message.base, message.delta)
           : await store.accept(message.key, message.ballot, message.value as RegisterValue)
       case 'learn':
-        view.learn(message.key, message.ballot)
+        dependencies.learn(message.key, message.ballot)
         return { ok: true }
       case 'handover':
-        return { ok: true, took: await view.handover.take(message.cells as HandoverEntry[]) }
+        return { ok: true, took: await dependencies.handover.take(message.cells as HandoverEntry[]) }
       case 'offer':
-        return { ok: true, lacks: view.handover.lackingOf(message.cells) }
+        return { ok: true, lacks: dependencies.handover.lackingOf(message.cells) }
       case 'get':
         return await get(message.key, message.have)
       case 'subscribe':
@@ -149,7 +156,7 @@
       case 'keys':
         return { ok: true, keys: [...store.entries().keys()], top: store.highestNumber() }
       case 'renew':
-        return view.renewals.answer(message)
+        return dependencies.renewals.answer(message)
       case 'leave':
         leases.leave(message.node, message.life)
         return { ok: true }
@@ -163,16 +170,16 @@
     metrics.add('claynotch_core_words_total', [['word', message.t]])
     switch (message.t) {
       case 'state':
-        return view.state()
+        return dependencies.state()
       case 'seeds':
         return follower.coreSet()
       case 'set':
         await follower.adopt(message.set)
         return { ok: true }
       case 'quota':
-        return view.quotas()?.answer(message, peer.node) ?? QUOTA_REFUSED
+        return dependencies.quotas()?.answer(message, peer.node) ?? QUOTA_REFUSED
       case 'quota-use':
-        return view.quotas()?.uses(message) ?? QUOTA_REFUSED
+        return dependencies.quotas()?.uses(message) ?? QUOTA_REFUSED
       default:
         break
     }
--- a/packages/register/src/core-peers.ts
+++ b/packages/register/src/core-peers.ts
@@ -17,9 +17,10 @@
 
 /** The links of one core to the other voters of its set. */
 export type CorePeers = {
+  /** The present peers. */
   list: () => CorePeer[]
   /** Keeps links to exactly these voters; existing links are reused, others are closed. */
-  connect: (places: CorePlace[]) => void
+  connect: (voters: CorePlace[]) => void
 }
 
 /** Ignores messages: the other voter sends only answers on this link. */
@@ -32,7 +33,7 @@
   const hello = makeHello('core', id)
   let peers: CorePeer[] = []
 
-  function openPeer(place: CorePlace): CorePeer {
+  function openPeer(voter: CorePlace): CorePeer {
     const closed = makeFlag()
     const unwatch = stop.watch(closed.fire)
     function close(): void {
@@ -40,22 +41,22 @@
       closed.fire()
     }
     return {
-      id: place.id,
-      addr: place.addr,
-      held: makePersistentLink(world, place.addr, hello, ignoreMessage, closed),
+      id: voter.id,
+      addr: voter.addr,
+      held: makePersistentLink(world, voter.addr, hello, ignoreMessage, closed),
       close,
     }
   }
-  function connect(places: CorePlace[]): void {
+  function connect(voters: CorePlace[]): void {
     const previousPeers = peers
     peers = []
-    for (const place of places) {
+    for (const voter of voters) {
       const existing = previousPeers.find(isSamePeer)
       function isSamePeer(peer: CorePeer): boolean {
-        return peer.id === place.id && peer.addr === place.addr
+        return peer.id === voter.id && peer.addr === voter.addr
       }
-      peers.push(existing ?? openPeer(place))
-      if (!existing) events.added(place.id)
+      peers.push(existing ?? openPeer(voter))
+      if (!existing) events.added(voter.id)
     }
     for (const peer of previousPeers) {
       if (peers.includes(peer)) continue
--- a/packages/register/src/core-set-follower.ts
+++ b/packages/register/src/core-set-follower.ts
@@ -11,7 +11,7 @@
  * answered under either set until the later one is on disk.
  */
 export type CoreSetFollower = {
-  /** The current core set; NO_SET until it is known. */
+  /** The current core set; without members until it is known. */
   coreSet: () => CoreSet
   /** The ids of the set, sorted. */
   ids: () => string[]
@@ -30,7 +30,7 @@
   /** Applies the first set that is known since the start of this process. */
   join: (known: CoreSet) => Promise<void>
   /** Applies a later set, which must be committed. */
-  adopt: (next: CoreSet) => Promise<void>
+  adopt: (nextSet: CoreSet) => Promise<void>
   /** Recovers from a failed write: reads the data file again and rewrites it. */
   recoverDisk: () => Promise<void>
   /** Starts voting, if this is still the current set. */
@@ -51,10 +51,10 @@
 }
 
 /** The ids of these cores, sorted. */
-export function idsOf(places: CorePlace[]): string[] {
-  const out: string[] = []
-  for (const { id } of places) out.push(id)
-  return out.sort()
+export function idsOf(members: CorePlace[]): string[] {
+  const ids: string[] = []
+  for (const { id } of members) ids.push(id)
+  return ids.sort()
 }
 
 /** connect: called with the other voters of the current set. */
@@ -75,11 +75,11 @@
   let notServingSince = settings.startedAt
   let nextRecoveryAt = 0
 
-  function isSelf(place: CorePlace): boolean {
-    return place.id === settings.id
+  function isSelf(member: CorePlace): boolean {
+    return member.id === settings.id
   }
-  function isOther(place: CorePlace): boolean {
-    return place.id !== settings.id
+  function isOther(member: CorePlace): boolean {
+    return member.id !== settings.id
   }
   function memberIn(set: CoreSet): CorePlace | undefined {
     return votersOf(set).find(isSelf)
@@ -120,59 +120,59 @@
     else if (store.phase() === 'founded' && !hasLostState) isServing = true
   }
   /** A new member whose storage never voted starts to vote with empty state. */
-  async function startVotingAsNewMember(next: CoreSet): Promise<void> {
-    await store.begin(next)
+  async function startVotingAsNewMember(nextSet: CoreSet): Promise<void> {
+    await store.begin(nextSet)
     // Others may have counted leases under this set before this core joined it.
     leases.markIncomplete()
-    if (coreSet === next) isServing = true
-    world.log.info('core-joined', { core: settings.id, epoch: next.epoch })
+    if (coreSet === nextSet) isServing = true
+    world.log.info('core-joined', { core: settings.id, epoch: nextSet.epoch })
   }
   /**
    * Writes a later set to disk, together with the role of this core in it. Only a voter with the storage that it voted
    * with before, or a new member whose storage never voted, may vote with its present state; any other needs a refill.
    */
-  async function persistNextSet(next: CoreSet): Promise<void> {
-    const place = memberIn(next)
-    if (!place) return await store.writeSet('none', next, newToken())
+  async function persistNextSet(nextSet: CoreSet): Promise<void> {
+    const ownEntry = memberIn(nextSet)
+    if (!ownEntry) return await store.writeSet('none', nextSet, newToken())
     const token = store.token()
-    const isSameStorage = !hasLostState && place.token === token
+    const isSameStorage = !hasLostState && ownEntry.token === token
     const wasVoter = memberIn(store.set()) !== undefined
     if (isSameStorage && wasVoter && (isServing || store.phase() === 'intent'))
-      return await store.writeSet(store.phase(), next, token)
-    if (isSameStorage && token !== undefined && store.phase() === 'none') return await startVotingAsNewMember(next)
+      return await store.writeSet(store.phase(), nextSet, token)
+    if (isSameStorage && token !== undefined && store.phase() === 'none') return await startVotingAsNewMember(nextSet)
     stopServing()
     // Without the token, so that this core can't pass for a new member that never voted.
-    await store.writeSet('none', next, undefined)
+    await store.writeSet('none', nextSet, undefined)
   }
   /**
    * The set changes before the first await, so that messages of an older epoch are rejected from the call on; what was
    * accepted earlier is written to disk before the set is.
    */
-  async function adopt(next: CoreSet): Promise<void> {
-    const isNotNewer = next.cores.length === 0 || next.epoch <= coreSet.epoch
+  async function adopt(nextSet: CoreSet): Promise<void> {
+    const isNotNewer = nextSet.cores.length === 0 || nextSet.epoch <= coreSet.epoch
     if (settings.isSetFixed || isNotNewer || store.failed() !== undefined) return
-    coreSet = next
-    ids = idsOf(next.cores)
+    coreSet = nextSet
+    ids = idsOf(nextSet.cores)
     isChangingSet = true
-    isVoter = memberIn(next) !== undefined
+    isVoter = memberIn(nextSet) !== undefined
     if (!isVoter) stopServing()
     connectOthers()
     async function persistIfCurrent(): Promise<void> {
       // If a still later set has arrived, only that one is written.
-      if (coreSet !== next) return
+      if (coreSet !== nextSet) return
       try {
-        await persistNextSet(next)
+        await persistNextSet(nextSet)
       } catch {
         // The store has logged the failure and answers nothing until it has recovered.
       }
     }
     await runSerially(persistIfCurrent)
-    if (coreSet === next) isChangingSet = false
+    if (coreSet === nextSet) isChangingSet = false
     world.log.info('core-set-changed', {
       core: settings.id,
-      epoch: next.epoch,
+      epoch: nextSet.epoch,
       set: ids.join(),
-      next: idsOf(next.next ?? []).join(),
+      next: idsOf(nextSet.next ?? []).join(),
       voter: isVoter,
     })
   }
--- a/packages/register/src/core-set.ts
+++ b/packages/register/src/core-set.ts
@@ -63,8 +63,8 @@
   return votes - majority
 }
 /** Whether the list has a core of this id. */
-export function hasCore(places: CorePlace[], id: string): boolean {
-  for (const place of places) if (place.id === id) return true
+export function hasCore(members: CorePlace[], id: string): boolean {
+  for (const member of members) if (member.id === id) return true
   return false
 }
 /** All voters of a set, of both halves in a joint configuration, each once. */
@@ -111,7 +111,7 @@
 ): Promise<{ seed: Address; set: CoreSet } | undefined> {
   function start(resolve: (answer: { seed: Address; set: CoreSet } | undefined) => void): void {
     let pendingCount = seeds.length
-    async function ask(seed: Address): Promise<void> {
+    async function querySeed(seed: Address): Promise<void> {
       const response = await requestOnce(world, seed, 'GET', '/seeds', undefined, ROUND_TIMEOUT_MS)
       const answer = response.ok && response.val.status === 200 ? readAs(SeedsAnswer, response.val.body) : undefined
       pendingCount--
@@ -120,7 +120,7 @@
       else if (pendingCount === 0) resolve(undefined)
     }
     if (pendingCount === 0) resolve(undefined)
-    for (const seed of seeds) void ask(seed)
+    for (const seed of seeds) void querySeed(seed)
   }
   return new Promise(start)
 }
--- a/packages/register/src/core-view.ts
+++ b/packages/register/src/core-view.ts
@@ -29,7 +29,7 @@
 
 /** fingerprintOf: text that differs when a line has changed. */
 export function makeChangeTable<T>(count: { at: number }, fingerprintOf: (line: T) => string): ChangeTable<T> {
-  const entries = new Map<string, { line: T; sign: string; at: number }>()
+  const entries = new Map<string, { line: T; sign: string; changedAt: number }>()
   const tombstones = new Map<string, number>()
   /** Names that were removed below this count are forgotten. */
   let oldestKnownCount = 0
@@ -40,7 +40,7 @@
       const fingerprint = fingerprintOf(line)
       if (previous?.sign === fingerprint) previous.line = line
       else {
-        entries.set(name, { line, sign: fingerprint, at: ++count.at })
+        entries.set(name, { line, sign: fingerprint, changedAt: ++count.at })
         tombstones.delete(name)
       }
     }
@@ -55,11 +55,11 @@
       oldestKnownCount = Math.max(oldestKnownCount, removedAt)
     }
   }
-  function since(from: number): { lines: T[]; gone: string[] } {
+  function since(sinceCount: number): { lines: T[]; gone: string[] } {
     const changedLines: T[] = []
     const removedNames: string[] = []
-    for (const entry of entries.values()) if (entry.at > from) changedLines.push(entry.line)
-    if (from > 0) for (const [name, removedAt] of tombstones) if (removedAt > from) removedNames.push(name)
+    for (const entry of entries.values()) if (entry.changedAt > sinceCount) changedLines.push(entry.line)
+    if (sinceCount > 0) for (const [name, removedAt] of tombstones) if (removedAt > sinceCount) removedNames.push(name)
     return { lines: changedLines, gone: removedNames }
   }
   function currentOldestKnownCount(): number {
@@ -75,10 +75,10 @@
   /** The count of the core up to which this view is current. */
   count: () => number
   /**
-   * Applies an answer. asked: the life of the core that the renewal echoed. false: the answer builds on a state that
-   * this view no longer has, so the whole state must be requested.
+   * Applies an answer. requestedLife: the life of the core that the renewal echoed. false: the answer builds on a state
+   * that this view no longer has, so the whole state must be requested.
    */
-  take: (got: LeaseRenewalAnswer, asked: string) => boolean
+  take: (answer: LeaseRenewalAnswer, requestedLife: string) => boolean
   /** Forgets everything; the next renewal requests the whole state. */
   reset: () => void
   registers: () => Map<string, RegisterSummary>
--- a/packages/register/src/core.ts
+++ b/packages/register/src/core.ts
@@ -54,12 +54,15 @@
   /** This machine as a candidate for a core set; its token is already on disk. */
   place: () => CorePlace
   stop: () => Promise<void>
+  /** Whether this core votes and its disk works. */
   serving: () => boolean
   store: Store
   metrics: Metrics
+  /** The state of this core in a word or two. */
   state: () => string
+  /** The nodes whose agents have a link to this core. */
   agents: () => string[]
-  /** The current core set; NO_SET until it is known. */
+  /** The current core set; without members until it is known. */
   coreSet: () => CoreSet
   /** Applies a committed core set. Ignores older sets, and every set if an operator fixed the set in the settings. */
   adopt: (next: CoreSet) => Promise<void>
@@ -85,7 +88,7 @@
 /** The address on which this core listens. Throws if the operator's core set lacks this core. */
 function listenAddressOf(settings: CoreSettings): Address {
   if (!('cores' in settings)) return settings.addr
-  for (const place of settings.cores) if (place.id === settings.id) return place.addr
+  for (const member of settings.cores) if (member.id === settings.id) return member.addr
   throw new Error(`core ${settings.id} is not a member of its configured core set`)
 }
 
@@ -215,7 +218,7 @@
       hears: connectedPeerIds,
     }
   }
-  /** The state of this core in one word, for logs and operators. */
+  /** The state of this core in a word or two, for logs and operators. */
   function describeState(): string {
     if (store.failed() !== undefined) return 'disk failed'
     if (follower.isServing()) return 'serving'
--- a/packages/register/src/founding.ts
+++ b/packages/register/src/founding.ts
@@ -18,7 +18,7 @@
 }
 
 /** The inputs to the next step of a voter that isn't serving yet. Times are of the machine's monotonic clock, in ms. */
-export type FoundingView = {
+export type FoundingInputs = {
   set: CoreSet
   ids: string[]
   phase: FoundingPhase
@@ -46,15 +46,15 @@
 type StateCounts = { reachable: number; founded: number; intent: number }
 
 /** Counts the answers. A later set, or a different set of the same epoch, ends the count and decides the step. */
-function countStates(view: FoundingView, states: (CoreState | undefined)[]): StateCounts | FoundingStep {
+function countStates(inputs: FoundingInputs, states: (CoreState | undefined)[]): StateCounts | FoundingStep {
   const counts: StateCounts = { reachable: 0, founded: 0, intent: 0 }
   for (const state of states) {
     // A voter that doesn't know its set yet can't take part in a founding.
     if (!state || state.cores.length === 0) continue
-    if (state.set.epoch > view.set.epoch) return { step: 'adopt', set: state.set }
+    if (state.set.epoch > inputs.set.epoch) return { step: 'adopt', set: state.set }
     // A voter that is still at an earlier set isn't counted.
-    if (state.set.epoch < view.set.epoch) continue
-    if (state.cores.join() !== view.ids.join()) return { step: 'differs', from: state }
+    if (state.set.epoch < inputs.set.epoch) continue
+    if (state.cores.join() !== inputs.ids.join()) return { step: 'differs', from: state }
     counts.reachable++
     if (state.phase === 'founded') counts.founded++
     else if (state.phase === 'intent') counts.intent++
@@ -63,17 +63,22 @@
 }
 
 /** Decides the next step of a voter that isn't serving, from the answers of the other voters. */
-export function nextFoundingStep(view: FoundingView, states: (CoreState | undefined)[]): FoundingStep {
-  const counts = countStates(view, states)
+export function nextFoundingStep(inputs: FoundingInputs, states: (CoreState | undefined)[]): FoundingStep {
+  const counts = countStates(inputs, states)
   if ('step' in counts) return counts
-  if (counts.founded > 0) return { step: view.phase === 'intent' && !view.hasLostState ? 'founded' : 'refill' }
-  if (view.set.epoch > 0 || view.hasLostState || view.wasPreviouslyFounded || counts.reachable < view.otherVoterCount)
+  if (counts.founded > 0) return { step: inputs.phase === 'intent' && !inputs.hasLostState ? 'founded' : 'refill' }
+  if (
+    inputs.set.epoch > 0 ||
+    inputs.hasLostState ||
+    inputs.wasPreviouslyFounded ||
+    counts.reachable < inputs.otherVoterCount
+  )
     return { step: 'wait' }
   // A core that was started with founders knows that this is the first start of the system. With a set fixed by an
   // operator it waits first, so that agents can report registers of an earlier founding.
-  if (view.isSetFixed && view.uptimeMs < FOUNDING_DELAY_MS) return { step: 'wait' }
-  if (view.phase === 'none' && !view.mayStartFounding && !mayFinishFounding(view, counts)) return { step: 'wait' }
-  return { step: counts.intent === view.otherVoterCount ? 'founded' : 'intent' }
+  if (inputs.isSetFixed && inputs.uptimeMs < FOUNDING_DELAY_MS) return { step: 'wait' }
+  if (inputs.phase === 'none' && !inputs.mayStartFounding && !mayFinishFounding(inputs, counts)) return { step: 'wait' }
+  return { step: counts.intent === inputs.otherVoterCount ? 'founded' : 'intent' }
 }
 
 /**
@@ -81,6 +86,8 @@
  * which all other voters have stored intent: none of them has served yet, and promises that it made before it lost its
  * disk have expired after this wait.
  */
-function mayFinishFounding(view: FoundingView, counts: StateCounts): boolean {
-  return view.otherVoterCount > 0 && counts.intent === view.otherVoterCount && view.uptimeAtQueryMs >= REFILL_DELAY_MS
+function mayFinishFounding(inputs: FoundingInputs, counts: StateCounts): boolean {
+  return (
+    inputs.otherVoterCount > 0 && counts.intent === inputs.otherVoterCount && inputs.uptimeAtQueryMs >= REFILL_DELAY_MS
+  )
 }
--- a/packages/register/src/leases.ts
+++ b/packages/register/src/leases.ts
@@ -38,11 +38,15 @@
 export type Leases = {
   /** replaced: another life of the node holds the lease. unknown: this life has sent no description of itself yet. */
   renew: (r: LeaseRenewal) => 'held' | 'replaced' | 'unknown'
+  /** Ends the lease of a node, if this life holds it. */
   leave: (node: string, life: string) => void
+  /** Records that a node has applied this version of a register. */
   ack: (node: string, key: string, turn: number) => void
+  /** The members with a valid lease. */
   members: () => Member[]
   /** The part of each member that every agent receives. */
   memberEntries: () => MemberEntry[]
+  /** The latest status of each instance, with its present age. */
   instances: () => InstanceStatus[]
   /** The status of one instance, with its present age. */
   instance: (name: string) => InstanceStatus | undefined
--- a/packages/register/src/register-store.ts
+++ b/packages/register/src/register-store.ts
@@ -64,14 +64,16 @@
  * token of its storage.
  */
 export type Store = {
+  /** Reads the data file. Returns what is wrong with it: a torn tail or damage. */
   open: () => Promise<Finding[]>
   phase: () => FoundingPhase
   /** The ids of the core set on disk, sorted. */
   cores: () => string[]
   /** The core set with its addresses; without members if the file has only the ids. */
   set: () => CoreSet
-  /** The token of this storage (see CorePlace); undefined for founders and in older files. */
+  /** The token that identifies this storage in the core set; undefined for founders and in older files. */
   token: () => string | undefined
+  /** Stores the phase, the set and the token. */
   writeSet: (phase: FoundingPhase, set: CoreSet, token: string | undefined) => Promise<void>
   /** Marks the storage of a new member that never voted as founded, with nothing promised and nothing accepted. */
   begin: (set: CoreSet) => Promise<void>
@@ -80,7 +82,9 @@
    * never part of an answer.
    */
   recover: () => Promise<boolean>
+  /** Promises to reject every ballot below this one. */
   prepare: (key: string, ballot: Ballot) => Promise<PrepareAnswer>
+  /** Accepts a value, unless a higher ballot is promised. */
   accept: (key: string, ballot: Ballot, value: RegisterValue) => Promise<AcceptAnswer>
   /** Like accept, for a value sent as the difference from the one accepted at base. */
   acceptDelta: (key: string, ballot: Ballot, base: Ballot, delta: Delta) => Promise<DeltaAnswer>
@@ -88,7 +92,9 @@
   isWritten: (key: string) => boolean
   /** The value accepted last, once it is on disk. */
   accepted: (key: string) => Promise<{ ballot: Ballot; value: RegisterValue | undefined }>
+  /** All registers, including a value that is still being written (see isWritten). */
   entries: () => Map<string, RegisterEntry>
+  /** The highest ballot number that is promised for any register, or the floor. */
   highestNumber: () => number
   /** The reason, once a write has failed: memory may differ from disk, so nothing may be answered from this store. */
   failed: () => string | undefined
@@ -244,7 +250,7 @@
     set = nextSet
     token = nextToken
     cores = []
-    for (const place of nextSet.cores) cores.push(place.id)
+    for (const member of nextSet.cores) cores.push(member.id)
     cores.sort()
   }
   function writeSet(nextPhase: FoundingPhase, nextSet: CoreSet, nextToken: string | undefined): Promise<void> {
@@ -293,13 +299,13 @@
     async function run(): Promise<AcceptAnswer> {
       const entry = entryOf(key)
       if (compareBallots(ballot, entry.promise) < 0) return { ok: false, promise: entry.promise }
-      const next: RegisterEntry = { promise: ballot, ballot, value }
+      const nextEntry: RegisterEntry = { promise: ballot, ballot, value }
       // Memory changes first: a rewrite inside appendRecord() must contain the new state.
-      entries.set(key, next)
+      entries.set(key, nextEntry)
       keyBeingWritten = key
       await appendRecord({ k: 'cell', key, promise: ballot, ballot, value })
       keyBeingWritten = undefined
-      onAccepted?.(key, entry, next, undefined)
+      onAccepted?.(key, entry, nextEntry, undefined)
       return { ok: true }
     }
     return runSerially(run)
@@ -312,12 +318,12 @@
       if (compareBallots(entry.ballot, base) !== 0) return { ok: false, lacksBase: true }
       const applied = applyDelta(entry.value, delta)
       if (applied.err) return { ok: false, lacksBase: true }
-      const next: RegisterEntry = { promise: ballot, ballot, value: applied.val as RegisterValue }
-      entries.set(key, next)
+      const nextEntry: RegisterEntry = { promise: ballot, ballot, value: applied.val as RegisterValue }
+      entries.set(key, nextEntry)
       keyBeingWritten = key
       await appendRecord({ k: 'delta', key, promise: ballot, ballot, base, delta })
       keyBeingWritten = undefined
-      onAccepted?.(key, entry, next, delta)
+      onAccepted?.(key, entry, nextEntry, delta)
       return { ok: true }
     }
     return runSerially(run)
