--- a/packages/register/src/core-founding.ts
+++ b/packages/register/src/core-founding.ts
@@ -4,7 +4,7 @@
 import type { CoreSetFollower } from './core-set-follower.js'
 import { nextFoundingStep, type CoreState } from './founding.js'
 import type { Leases } from './leases.js'
-import { readRefill } from './refill.js'
+import { readRegistersForRefill } from './refill.js'
 import type { Store } from './register-store.js'
 
 /** What the founding of one core needs from its other parts. */
@@ -56,11 +56,11 @@
     if (waitMs > 0) await pause(world, waitMs, dependencies.stop)
     // The whole refill runs under one set; a change of the set in the meantime invalidates it.
     const setAtStart = follower.coreSet()
-    const refilled = await readRefill(world, id, peers.list(), setAtStart)
+    const refilled = await readRegistersForRefill(world, id, peers.list(), setAtStart)
     if (!refilled || follower.coreSet() !== setAtStart) return false
     await store.refill(refilled.cells, refilled.floor, setAtStart, follower.memberIn(setAtStart)?.token)
     if (follower.coreSet() !== setAtStart) return false
-    // This may be a new member that restarted after it was told to vote: that is unknown, so its leases are incomplete.
+    // This may be a new member that restarted after it joined the set: that is unknown, so its leases are incomplete.
     if (setAtStart.epoch > 0) dependencies.leases.markIncomplete()
     follower.markRefilled()
     for (const [key, entry] of refilled.cells) dependencies.committed.set(key, entry.ballot)
--- a/packages/register/src/core-set-follower.ts
+++ b/packages/register/src/core-set-follower.ts
@@ -28,7 +28,7 @@
   /** The entry of this core in the set. */
   memberIn: (set: CoreSet) => CorePlace | undefined
   /** Applies the first set that is known since the start of this process. */
-  join: (known: CoreSet) => Promise<void>
+  join: (initialSet: CoreSet) => Promise<void>
   /** Applies a later set, which must be committed. */
   adopt: (nextSet: CoreSet) => Promise<void>
   /** Recovers from a failed write: reads the data file again and rewrites it. */
--- a/packages/register/src/founding.ts
+++ b/packages/register/src/founding.ts
@@ -84,7 +84,7 @@
 /**
  * A core with nothing on disk that wasn't started as a founder never starts a founding. It may only finish one for
  * which all other voters have stored intent: none of them has served yet, and promises that it made before it lost its
- * disk have expired after this wait.
+ * disk have expired after REFILL_DELAY_MS.
  */
 function mayFinishFounding(inputs: FoundingInputs, counts: StateCounts): boolean {
   return (
--- a/packages/register/src/refill.ts
+++ b/packages/register/src/refill.ts
@@ -51,7 +51,7 @@
  * ballot that was promised there. undefined: no such quorum answered, and the caller retries.
  * For the source of the procedure and its alternatives see docs/register.md, "A core that lost its memory".
  */
-export async function readRefill(
+export async function readRegistersForRefill(
   world: World,
   id: string,
   others: LinkedVoter[],
--- a/packages/register/src/register-store.ts
+++ b/packages/register/src/register-store.ts
@@ -20,7 +20,10 @@
  */
 export type RegisterValue = { turn: number; tag: string; body: unknown }
 
-/** Progress of the founding of the core set, as recorded on disk. */
+/**
+ * Progress of the founding of the core set, as recorded on disk. none: this storage may not vote; intent: this core
+ * agreed to found the set; founded: it holds the votes of this core.
+ */
 export type FoundingPhase = 'none' | 'intent' | 'founded'
 
 /**
