--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -14,7 +14,7 @@
   type PersistentLink,
   type World,
 } from '@claynotch/base'
-import { holderOf } from '@claynotch/failover'
+import { dutyHolderOf } from '@claynotch/failover'
 import {
   CoreSet,
   CORESET_KEY,
@@ -203,7 +203,7 @@
     watchMargin(set, await askCores(votersOf(set), view.core))
   }
   async function look(): Promise<void> {
-    if (world.now() >= view.leaseExpiresAt() || holderOf(CORESET_KEY, view.live()) !== view.node) return
+    if (world.now() >= view.leaseExpiresAt() || dutyHolderOf(CORESET_KEY, view.live()) !== view.node) return
     const { set, since } = view.coreSet()
     if (set.cores.length === 0) return
     if (set.next) await finish(set, set.next, since)
