--- a/packages/agent/src/quota-holder.ts
+++ b/packages/agent/src/quota-holder.ts
@@ -29,7 +29,7 @@
   quotaKey,
   quotaSlotOf,
   votersOf,
-  type CorePlace,
+  type CoreMember,
   type CoreSet,
   type Proposer,
   type QuotaRefusal,
@@ -49,7 +49,7 @@
   node: string
   life: string
   /** The core in this process. */
-  place: () => CorePlace
+  place: () => CoreMember
   proposer: Proposer
   registers: RegisterCache
   membership: Membership
--- a/packages/register/src/core-founding.ts
+++ b/packages/register/src/core-founding.ts
@@ -5,14 +5,14 @@
 import { nextFoundingStep, type CoreState } from './founding.js'
 import type { Leases } from './leases.js'
 import { readRegistersForRefill } from './refill.js'
-import type { Store } from './register-store.js'
+import type { RegisterStore } from './register-store.js'
 
 /** What the founding of one core needs from its other parts. */
 export type CoreFoundingDependencies = {
   id: string
   /** Local time (ms) at which this core was started. */
   startedAt: number
-  store: Store
+  store: RegisterStore
   follower: CoreSetFollower
   peers: CorePeers
   leases: Leases
--- a/packages/register/src/core-messages.ts
+++ b/packages/register/src/core-messages.ts
@@ -10,13 +10,13 @@
 import { CoreMessage, type GetAnswer, type LeaseRenewal } from './messages.js'
 import type { DeltaChains, Pushes } from './pushes.js'
 import type { QuotaUseAnswer, QuotaUseQuestion } from './quota-register.js'
-import type { DeltaAnswer, Store, RegisterValue } from './register-store.js'
+import type { DeltaAnswer, RegisterStore, RegisterValue } from './register-store.js'
 import type { Renewals } from './renewals.js'
 
 /** What the message handlers of a core need from its other parts. */
 export type CoreMessagesDependencies = {
   id: string
-  store: Store
+  store: RegisterStore
   chains: DeltaChains
   pushes: Pushes
   renewals: Renewals
@@ -148,7 +148,7 @@
       case 'handover':
         return { ok: true, took: await dependencies.handover.take(message.cells as HandoverEntry[]) }
       case 'offer':
-        return { ok: true, lacks: dependencies.handover.lackingOf(message.cells) }
+        return { ok: true, lacks: dependencies.handover.missingKeysOf(message.cells) }
       case 'get':
         return await get(message.key, message.have)
       case 'subscribe':
--- a/packages/register/src/core-peers.ts
+++ b/packages/register/src/core-peers.ts
@@ -7,7 +7,7 @@
   type PersistentLink,
   type World,
 } from '@claynotch/base'
-import type { CorePlace } from './core-set.js'
+import type { CoreMember } from './core-set.js'
 
 /** Another voter and the persistent link to it. */
 export type CorePeer = { id: string; addr: Address; held: PersistentLink; close: () => void }
@@ -20,7 +20,7 @@
   /** The present peers. */
   list: () => CorePeer[]
   /** Keeps links to exactly these voters; existing links are reused, others are closed. */
-  connect: (voters: CorePlace[]) => void
+  connect: (voters: CoreMember[]) => void
 }
 
 /** Ignores messages: the other voter sends only answers on this link. */
@@ -33,7 +33,7 @@
   const hello = makeHello('core', id)
   let peers: CorePeer[] = []
 
-  function openPeer(voter: CorePlace): CorePeer {
+  function openPeer(voter: CoreMember): CorePeer {
     const closed = makeFlag()
     const unwatch = stop.watch(closed.fire)
     function close(): void {
@@ -47,7 +47,7 @@
       close,
     }
   }
-  function connect(voters: CorePlace[]): void {
+  function connect(voters: CoreMember[]): void {
     const previousPeers = peers
     peers = []
     for (const voter of voters) {
--- a/packages/register/src/core-set-follower.ts
+++ b/packages/register/src/core-set-follower.ts
@@ -1,7 +1,7 @@
 import { DISK_RETRY_DELAY_MS, makeSerialQueue, type World } from '@claynotch/base'
-import { NO_SET, votersOf, type CorePlace, type CoreSet } from './core-set.js'
+import { EMPTY_CORE_SET, votersOf, type CoreMember, type CoreSet } from './core-set.js'
 import type { Leases } from './leases.js'
-import type { Store } from './register-store.js'
+import type { RegisterStore } from './register-store.js'
 
 /**
  * Follows the core set on behalf of one core and decides whether this core may vote.
@@ -26,7 +26,7 @@
   /** Local time (ms) at which this core last stopped voting; every promise that it may have forgotten is older. */
   notServingSince: () => number
   /** The entry of this core in the set. */
-  memberIn: (set: CoreSet) => CorePlace | undefined
+  memberIn: (set: CoreSet) => CoreMember | undefined
   /** Applies the first set that is known since the start of this process. */
   join: (initialSet: CoreSet) => Promise<void>
   /** Applies a later set, which must be committed. */
@@ -51,7 +51,7 @@
 }
 
 /** The ids of these cores, sorted. */
-export function idsOf(members: CorePlace[]): string[] {
+export function idsOf(members: CoreMember[]): string[] {
   const ids: string[] = []
   for (const { id } of members) ids.push(id)
   return ids.sort()
@@ -61,12 +61,12 @@
 export function makeCoreSetFollower(
   world: World,
   settings: FollowerSettings,
-  store: Store,
+  store: RegisterStore,
   leases: Leases,
-  connect: (others: CorePlace[]) => void,
+  connect: (others: CoreMember[]) => void,
 ): CoreSetFollower {
   const runSerially = makeSerialQueue()
-  let coreSet: CoreSet = NO_SET
+  let coreSet: CoreSet = EMPTY_CORE_SET
   let ids: string[] = []
   let isVoter = false
   let isServing = false
@@ -75,13 +75,13 @@
   let notServingSince = settings.startedAt
   let nextRecoveryAt = 0
 
-  function isSelf(member: CorePlace): boolean {
+  function isSelf(member: CoreMember): boolean {
     return member.id === settings.id
   }
-  function isOther(member: CorePlace): boolean {
+  function isOther(member: CoreMember): boolean {
     return member.id !== settings.id
   }
-  function memberIn(set: CoreSet): CorePlace | undefined {
+  function memberIn(set: CoreSet): CoreMember | undefined {
     return votersOf(set).find(isSelf)
   }
   function connectOthers(): void {
--- a/packages/register/src/core.ts
+++ b/packages/register/src/core.ts
@@ -17,14 +17,14 @@
 import { makeCoreMessages, type QuotaService } from './core-messages.js'
 import { makeCorePeers } from './core-peers.js'
 import { idsOf, makeCoreSetFollower, type CoreSetFollower } from './core-set-follower.js'
-import { askSeeds, type CorePlace, type CoreSet } from './core-set.js'
+import { fetchCoreSetFromSeeds, type CoreMember, type CoreSet } from './core-set.js'
 import type { Delta } from './delta.js'
 import type { CoreState } from './founding.js'
 import { makeHandover } from './handover.js'
 import { makeLeases } from './leases.js'
 import type { RegisterSummary } from './messages.js'
 import { makeDeltaChains, makePushes } from './pushes.js'
-import { isStateLoss, makeStore, type RegisterEntry, type Store } from './register-store.js'
+import { isStateLoss, makeRegisterStore, type RegisterEntry, type RegisterStore } from './register-store.js'
 import { makeRenewals } from './renewals.js'
 
 /**
@@ -38,25 +38,25 @@
   /** Operator override: all cores lost their disks, so found the set again even if agents remember the old one. */
   foundAnew?: boolean
 } & (
-  | { cores: CorePlace[] }
+  | { cores: CoreMember[] }
   | {
       /** Address on which this machine accepts links. */
       addr: Address
       /** HTTP addresses of other machines, polled until one of them returns a core set. */
       seeds: () => Address[]
       /** Passed only at the first start of the whole system, with empty disks; the same on every machine. */
-      founders?: CorePlace[]
+      founders?: CoreMember[]
     }
 )
 
 /** A running core. */
 export type Core = {
   /** This machine as a candidate for a core set; its token is already on disk. */
-  place: () => CorePlace
+  place: () => CoreMember
   stop: () => Promise<void>
   /** Whether this core votes and its disk works. */
   serving: () => boolean
-  store: Store
+  store: RegisterStore
   metrics: Metrics
   /** The state of this core in a word or two. */
   state: () => string
@@ -74,7 +74,7 @@
 const FOUNDING_INTERVAL_MS = 200
 
 /** The core set known without asking a seed: from the operator, from disk or from the founders. */
-function initialCoreSet(settings: CoreSettings, store: Store): CoreSet | undefined {
+function initialCoreSet(settings: CoreSettings, store: RegisterStore): CoreSet | undefined {
   if ('cores' in settings) return { epoch: 0, cores: settings.cores }
   if (store.set().cores.length > 0) return store.set()
   return settings.founders ? { epoch: 0, cores: settings.founders } : undefined
@@ -104,7 +104,7 @@
   stop.watch(coreSetKnown.fire)
   async function pollSeeds(): Promise<void> {
     if (follower.coreSet().cores.length > 0) return
-    const seedAnswer = await askSeeds(world, seeds())
+    const seedAnswer = await fetchCoreSetFromSeeds(world, seeds())
     if (!seedAnswer || stop.fired()) return
     world.log.info('core-set-told', { core: id, seed: seedAnswer.seed, set: seedAnswer.set.cores.length })
     // A peer may have sent the set over a link in the meantime.
@@ -122,7 +122,7 @@
   const metrics = makeMetrics()
   const chains = makeDeltaChains()
   const committed = makeCommittedBallots()
-  const store = makeStore(world, `${settings.data}/register`, onValueAccepted)
+  const store = makeRegisterStore(world, `${settings.data}/register`, onValueAccepted)
   const leases = makeLeases(world)
   const pushes = makePushes(store, chains, committed.isCommitted, metrics)
   const renewals = makeRenewals(world, leases, registerSummaries, metrics)
@@ -250,7 +250,7 @@
     pushes.closeAll()
     await listener.close()
   }
-  function ownPlace(): CorePlace {
+  function ownPlace(): CoreMember {
     const token = follower.isVoter() || store.failed() !== undefined ? undefined : store.token()
     return { id, addr: address, ...(token === undefined ? {} : { token }) }
   }
--- a/packages/register/src/handover.ts
+++ b/packages/register/src/handover.ts
@@ -9,7 +9,7 @@
 } from '@claynotch/base'
 import { compareBallots, type Ballot } from './ballot.js'
 import { HandoverOfferAnswer } from './messages.js'
-import type { RegisterEntry, Store, RegisterValue } from './register-store.js'
+import type { RegisterEntry, RegisterStore, RegisterValue } from './register-store.js'
 
 /** A register with its committed value, as handed over. */
 export type HandoverEntry = { key: string; ballot: Ballot; value: RegisterValue }
@@ -35,7 +35,7 @@
   /** Sends each voter that is reachable again the commits that it missed. */
   handOver: (others: { id: string; held: HandoverLink }[]) => Promise<void>
   /** The registers of an offer that this core lacks; it learns that the others are committed. */
-  lackingOf: (offered: OfferedEntry[]) => string[]
+  missingKeysOf: (offered: OfferedEntry[]) => string[]
   /** Accepts committed values like late accepts, never below a higher promise. Returns how many were accepted. */
   take: (cells: HandoverEntry[]) => Promise<number>
 }
@@ -43,7 +43,7 @@
 /** learnCommitted: called when a value is known to be committed at this ballot. */
 export function makeHandover(
   world: World,
-  store: Store,
+  store: RegisterStore,
   isCommitted: (key: string, cell: RegisterEntry) => boolean,
   learnCommitted: (key: string, ballot: Ballot) => void,
   metrics: Metrics,
@@ -129,5 +129,5 @@
     if (takenCount > 0) metrics.add('claynotch_core_taken_over_total', [], takenCount)
     return takenCount
   }
-  return { added, removed, recordMissed, handOver, lackingOf: missingKeysOf, take }
+  return { added, removed, recordMissed, handOver, missingKeysOf: missingKeysOf, take }
 }
--- a/packages/register/src/register-store.ts
+++ b/packages/register/src/register-store.ts
@@ -1,6 +1,6 @@
 import { makeDataFile, makeSerialQueue, type World, type Finding } from '@claynotch/base'
 import { ZERO_BALLOT, compareBallots, type Ballot } from './ballot.js'
-import { NO_SET, type CorePlace, type CoreSet } from './core-set.js'
+import { EMPTY_CORE_SET, type CoreMember, type CoreSet } from './core-set.js'
 import { applyDelta, type Delta } from './delta.js'
 
 /** Marks files that may hold delta records; stored among the ids of the core set. */
@@ -39,9 +39,9 @@
   k: 'set'
   phase: FoundingPhase
   cores: string[]
-  places?: CorePlace[]
+  places?: CoreMember[]
   epoch?: number
-  next?: CorePlace[]
+  next?: CoreMember[]
   token?: string
 }
 type FloorRecord = { k: 'floor'; floor: number }
@@ -60,13 +60,18 @@
 export type DeltaAnswer = AcceptAnswer | { ok: false; lacksBase: true }
 
 /** Called for each accepted value once it is on disk. delta: the delta as which the value arrived, if it did. */
-export type Accepted = (key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined) => void
+export type AcceptedListener = (
+  key: string,
+  before: RegisterEntry,
+  after: RegisterEntry,
+  delta: Delta | undefined,
+) => void
 
 /**
  * Durable state of one core: its registers (promises and accepted values), the core set that it belongs to and the
  * token of its storage.
  */
-export type Store = {
+export type RegisterStore = {
   /** Reads the data file. Returns what is wrong with it: a torn tail or damage. */
   open: () => Promise<Finding[]>
   phase: () => FoundingPhase
@@ -112,13 +117,13 @@
 }
 
 /** Makes the store on the data file at this path. Operations run one after the other. */
-export function makeStore(world: World, path: string, onAccepted?: Accepted): Store {
+export function makeRegisterStore(world: World, path: string, onAccepted?: AcceptedListener): RegisterStore {
   const file = makeDataFile(world, path)
   const entries = new Map<string, RegisterEntry>()
   const runSerially = makeSerialQueue()
   let phase: FoundingPhase = 'none'
   let cores: string[] = []
-  let set: CoreSet = NO_SET
+  let set: CoreSet = EMPTY_CORE_SET
   let token: string | undefined
   /** The file carries FILE_FORMAT, which says that it may hold delta records. */
   let isMarkedWithFormat = false
@@ -162,7 +167,7 @@
   /** Discards everything that was read: the missing record may have been a promise for any register. */
   function clearState(): void {
     entries.clear()
-    setState('none', NO_SET, undefined)
+    setState('none', EMPTY_CORE_SET, undefined)
     ballotFloor = 0
   }
   /** The current state as records, for a rewrite of the file. */
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -134,13 +134,13 @@
     edits: [
       [
         'register/dist/register-store.js',
-        "await save({ k: 'cell', key, promise: ballot, ballot, value });",
-        "void save({ k: 'cell', key, promise: ballot, ballot, value });",
+        "await appendRecord({ k: 'cell', key, promise: ballot, ballot, value });",
+        "void appendRecord({ k: 'cell', key, promise: ballot, ballot, value });",
       ],
       [
         'register/dist/register-store.js',
-        "await save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
-        "void save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
+        "await appendRecord({ k: 'delta', key, promise: ballot, ballot, base, delta });",
+        "void appendRecord({ k: 'delta', key, promise: ballot, ballot, base, delta });",
       ],
     ],
   },
@@ -252,7 +252,7 @@
     rule: 'what a missing core should have had is kept from it',
     scenario: 'core-away',
     seeds: [1, 2],
-    edits: [['register/dist/handover.js', 'if (!list || !other.held.up())', 'if (other)']],
+    edits: [['register/dist/handover.js', 'if (!missedByPeer || !other.held.up())', 'if (other)']],
   },
   {
     name: 'area-blind',
@@ -409,7 +409,7 @@
     rule: 'majorities of two core sets have nobody in common',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['register/dist/core-set.js', '&& (set.next === undefined || hasMost(set.next, ids))', '']],
+    edits: [['register/dist/core-set.js', '&& (set.next === undefined || hasMajority(set.next, ids))', '']],
   },
   {
     name: 'set-unfenced',
@@ -474,13 +474,15 @@
     edits: [
       [
         'register/dist/core-set-follower.js',
-        'const isSameStorage = !isLost && place.token === token;',
+        'const isSameStorage = !hasLostState && ownEntry.token === token;',
         'const isSameStorage = true;',
       ],
       [
         'register/dist/register-store.js',
-        "cells.clear(); floor = 0; keep('founded', next, token);",
-        "keep('founded', next, token);",
+        `entries.clear();
+            ballotFloor = 0;
+            setState('founded', nextSet, token);`,
+        "setState('founded', nextSet, token);",
       ],
     ],
   },
@@ -533,7 +535,15 @@
     rule: 'a newcomer says that it knows of all leases, though others counted some before it voted',
     test: 'controlguards.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/leases.js', 'function doubt() { start = world.now(); }', 'function doubt() { }']],
+    edits: [
+      [
+        'register/dist/leases.js',
+        `function markIncomplete() {
+        incompleteSince = world.now();
+    }`,
+        'function markIncomplete() { }',
+      ],
+    ],
   },
   {
     name: 'newcomer-unrefilled',
@@ -709,13 +719,13 @@
     edits: [
       [
         'register/dist/register-store.js',
-        "await save({ k: 'cell', key, promise: ballot, ballot, value });",
-        "void save({ k: 'cell', key, promise: ballot, ballot, value });",
+        "await appendRecord({ k: 'cell', key, promise: ballot, ballot, value });",
+        "void appendRecord({ k: 'cell', key, promise: ballot, ballot, value });",
       ],
       [
         'register/dist/register-store.js',
-        "await save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
-        "void save({ k: 'delta', key, promise: ballot, ballot, base, delta });",
+        "await appendRecord({ k: 'delta', key, promise: ballot, ballot, base, delta });",
+        "void appendRecord({ k: 'delta', key, promise: ballot, ballot, base, delta });",
       ],
     ],
   },
@@ -731,7 +741,7 @@
     rule: 'a file that lacks a record is taken for whole',
     test: 'deltas.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/register-store.js', 'if (compareBallots(entry.ballot, rec.base) !== 0)', 'if (false)']],
+    edits: [['register/dist/register-store.js', 'if (compareBallots(entry.ballot, record.base) !== 0)', 'if (false)']],
   },
   {
     name: 'push-any-base',
@@ -926,7 +936,7 @@
     rule: 'a seed that tells no later set is passed over',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/core-set.js', '&& (told.val.epoch ?? 0) > above', '']],
+    edits: [['register/dist/core-set.js', '&& (answer.val.epoch ?? 0) > knownEpoch', '']],
   },
   {
     name: 'look-again-any',
@@ -936,8 +946,8 @@
     edits: [
       [
         'agent/dist/core-links.js',
-        'askSeeds(world, settings.seeds(), coreSet.epoch)',
-        'askSeeds(world, settings.seeds())',
+        'fetchCoreSetFromSeeds(world, settings.seeds(), coreSet.epoch)',
+        'fetchCoreSetFromSeeds(world, settings.seeds())',
       ],
     ],
   },
@@ -1208,7 +1218,9 @@
     rule: 'an offered register is lacked where it is held at a lower ballot',
     test: 'handover-offer.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/handover.js', 'if (mine && compareBallots(mine.ballot, ballot) >= 0)', 'if (mine)']],
+    edits: [
+      ['register/dist/handover.js', 'if (ownEntry && compareBallots(ownEntry.ballot, ballot) >= 0)', 'if (ownEntry)'],
+    ],
   },
   {
     name: 'session-values',
