--- a/packages/proxy/src/admission.ts
+++ b/packages/proxy/src/admission.ts
@@ -3,49 +3,51 @@
 import type { Call } from './call.js'
 
 /**
- * How many calls of each route and each tenant are on their way at this node.
+ * Limits the pending calls of each lane and each team at this node.
  *
- * Invariant: a call that was admitted is counted under the route and the tenant that it has in place, until it is released.
+ * Invariant: an admitted call is counted under the lane and the team in its admittedUnder until it is released.
  */
 export type Admission = {
-  /** Counts the call, or says why there are too many. limit: calls of its route. */
+  /**
+   * Counts the call, or returns a refusal if too many are pending. limit: maximum number of pending calls of its lane.
+   */
   admit: (call: Call, limit: number) => Verdict | undefined
-  /** The call ends, or begins anew by other rules; one that isn't counted stays so. */
+  /** Stops counting the call, which ends or restarts under other rules; does nothing if the call isn't counted. */
   release: (call: Call) => void
 }
 
-function tooMany(why: string): Verdict {
+function resourceExhausted(why: string): Verdict {
   return refusal('RESOURCE_EXHAUSTED', why, true, RETRY_AFTER_OVERLOAD_S)
 }
 
 export function makeAdmission(metrics: Metrics): Admission {
-  const byRoute = new Map<string, number>()
-  const byTenant = new Map<string, number>()
+  const pendingByLane = new Map<string, number>()
+  const pendingByTeam = new Map<string, number>()
 
-  function admit(call: Call, limit: number): Verdict | undefined {
+  function admit(call: Call, laneLimit: number): Verdict | undefined {
     const { name, team } = call.lane
-    const ofRoute = byRoute.get(name) ?? 0
-    if (ofRoute >= limit) {
+    const lanePending = pendingByLane.get(name) ?? 0
+    if (lanePending >= laneLimit) {
       metrics.add('claynotch_refused_pending_total', [['lane', name]])
-      return tooMany(`the lane ${name} has ${ofRoute} calls pending`)
+      return resourceExhausted(`the lane ${name} has ${lanePending} calls pending`)
     }
-    const quota = call.rules.pending.get(team)
-    const ofTenant = byTenant.get(team) ?? 0
-    if (quota !== undefined && ofTenant >= quota) {
+    const teamLimit = call.rules.maxPending.get(team)
+    const teamPending = pendingByTeam.get(team) ?? 0
+    if (teamLimit !== undefined && teamPending >= teamLimit) {
       metrics.add('claynotch_refused_quota_total', [['team', team]])
-      return tooMany(`the team ${team} has its ${quota} calls on this node`)
+      return resourceExhausted(`the team ${team} has its ${teamLimit} calls on this node`)
     }
-    byTenant.set(team, ofTenant + 1)
-    byRoute.set(name, ofRoute + 1)
-    call.place = { lane: name, team }
+    pendingByTeam.set(team, teamPending + 1)
+    pendingByLane.set(name, lanePending + 1)
+    call.admittedUnder = { lane: name, team }
     return undefined
   }
   function release(call: Call): void {
-    const { place } = call
+    const { admittedUnder: place } = call
     if (!place) return
-    delete call.place
-    byRoute.set(place.lane, (byRoute.get(place.lane) ?? 1) - 1)
-    byTenant.set(place.team, (byTenant.get(place.team) ?? 1) - 1)
+    delete call.admittedUnder
+    pendingByLane.set(place.lane, (pendingByLane.get(place.lane) ?? 1) - 1)
+    pendingByTeam.set(place.team, (pendingByTeam.get(place.team) ?? 1) - 1)
   }
   return { admit, release }
 }
--- a/packages/proxy/src/call.ts
+++ b/packages/proxy/src/call.ts
@@ -11,48 +11,65 @@
 import type { Verdict } from '@claynotch/requester'
 import type { Token } from './freshness.js'
 import type { CheckedOutConnection, ConnectionRequirements } from './pool.js'
-import type { Kind, LaneRules, Rules } from './rules.js'
+import type { CallKind, LaneRules, Rules } from './rules.js'
 import type { Instance } from './watch.js'
 
-// One call on its way. Kept for it: its deadline, its sends, its last trouble, and what became of each send.
-// Invariants: ran is 'no' only while nothing of it can have run at an instance; a write whose ran is
-// 'maybe' is never sent again; a pending place, a loan, a reservation and a probe are each given up exactly once;
-// lane and need (with the tenant that its connection is for) are those of rules, and nothing is sent while rules are not the ones in force.
+/**
+ * One call in progress: what to run, its deadline, its attempts and the result of the last one.
+ *
+ * Invariants: executed is 'no' only while no part of the call can have been executed at an instance; a write whose
+ * executed is 'maybe' is never retried; the admission slot, the connection, the quota reservation and the breaker probe
+ * are each released exactly once; the lane and the connection requirements (with the connection's tenant) are those of
+ * rules, and nothing is sent while rules aren't the ones in force.
+ */
 export type Call = {
-  kind: Kind
+  kind: CallKind
   rules: Rules
   lane: LaneRules
-  /** Hash of the key that the client came with. */
+  /** Hash of the API key that the client sent. */
   keyHash: string | undefined
   need: ConnectionRequirements
+  /** The client's freshness token: the log position that its reads must have reached. */
   token: Token | undefined
-  mustLead: boolean
+  leaderOnly: boolean
+  /** The statement, as text or as a prepared shape; id: the client's own id of it, passed to the instance unchanged. */
   body: { text?: string; shape?: string; args: unknown[]; id?: string }
-  // find: the call's lane in other rules. hold: until when it waits for a leader or a connection;
-  // moveHold: for a leader, while one is known to be on its way. behind: followers that
-  // said in this call that they lack the place.
-  find: (rules: Rules) => LaneRules | undefined
-  hold: number
-  moveHold: number
-  behind: Set<string>
+  /** Finds the call's lane in other rules. */
+  findLane: (rules: Rules) => LaneRules | undefined
+  /** Until when the call waits for a leader. */
+  queueDeadline: number
+  /** Until when the call waits for a leader while a promotion is known to be in progress. */
+  promotionDeadline: number
+  /** Followers that answered this call that they lack the required log position. */
+  laggingFollowers: Set<string>
   deadline: number
-  byCaller: boolean
-  gone: Flag
-  sends: number
-  waited: boolean
-  ran: 'no' | 'maybe'
-  last: RequestError | undefined
-  probe: boolean
+  /** Whether the caller set a timeout shorter than the retry budget. */
+  hasCallerDeadline: boolean
+  /** Fires when the caller disconnects. */
+  callerGone: Flag
+  attempts: number
+  /** Whether the call has waited for a leader. */
+  hasWaited: boolean
+  /** Whether any part of the call may have been executed at an instance. */
+  executed: 'no' | 'maybe'
+  lastError: RequestError | undefined
+  /** Whether the call is the probe of a half-open breaker. */
+  isBreakerProbe: boolean
   target?: { instance: Instance; epoch: number; floor: LogPosition | undefined }
-  loan?: CheckedOutConnection
-  got?: Result<StatementResult, RequestError>
+  connection?: CheckedOutConnection
+  result?: Result<StatementResult, RequestError>
+  /** When the last attempt was sent. */
   asked: number
-  /** Of the tenant's limit, for the next send. */
+  /** Of the tenant's quota, for the next attempt. */
   reservation?: Reservation
-  // place: the lane and team that this call is counted under as pending.
-  place?: { lane: string; team: string }
+  /** The lane and the team that count this call as pending. */
+  admittedUnder?: { lane: string; team: string }
 }
 
+/**
+ * How a call ended, and for a call that succeeded its log position, epoch and instance; with the connection of a begun
+ * transaction.
+ */
 export type Settled = {
   verdict: Verdict
   mark?: LogPosition
@@ -61,26 +78,29 @@
   instance?: string
 }
 
-// What a call of the lane needs in force on its connection.
-export function needFor(
+/** The settings, prepared shapes, team and tenant that a call of the lane needs its connection to have. */
+export function requirementsFor(
   lane: LaneRules,
   rules: Rules,
-  has: { settings: [string, string][]; shapes: Map<string, string> },
+  sessionState: { settings: [string, string][]; shapes: Map<string, string> },
   tenant: string | undefined,
 ): ConnectionRequirements {
   return {
     database: lane.database,
-    settings: has.settings,
-    shapes: has.shapes,
+    settings: sessionState.settings,
+    shapes: sessionState.shapes,
     team: tenant ?? lane.team,
-    share: rules.shares.get(lane.team) ?? 1,
+    share: rules.connectionShares.get(lane.team) ?? 1,
     ...(tenant !== undefined ? { tenant } : {}),
   }
 }
 
+/**
+ * A call that has not been sent; its deadline is the shortest of the retry budget, the caller's timeout and the lane's.
+ */
 export function makeCall(
   world: World,
-  kind: Kind,
+  kind: CallKind,
   lane: LaneRules,
   rules: Rules,
   parts: {
@@ -91,35 +111,35 @@
     keyHash: string | undefined
     tenant: string | undefined
     body: Call['body']
-    find: Call['find']
+    find: Call['findLane']
     ms: number | undefined
     gone: Flag
   },
 ): Call {
   const now = world.now()
-  const byCaller = parts.ms !== undefined && parts.ms < RETRY_BUDGET_MS
-  const budget = Math.min(RETRY_BUDGET_MS, parts.ms ?? RETRY_BUDGET_MS, lane.limit ?? RETRY_BUDGET_MS)
+  const hasCallerDeadline = parts.ms !== undefined && parts.ms < RETRY_BUDGET_MS
+  const budgetMs = Math.min(RETRY_BUDGET_MS, parts.ms ?? RETRY_BUDGET_MS, lane.limit ?? RETRY_BUDGET_MS)
   return {
     kind,
     rules,
     lane,
     keyHash: parts.keyHash,
     token: parts.token,
-    mustLead: parts.mustLead,
+    leaderOnly: parts.mustLead,
     body: parts.body,
-    gone: parts.gone,
-    byCaller,
-    need: needFor(lane, rules, parts, parts.tenant),
-    find: parts.find,
-    hold: now + (lane.aim === undefined ? budget : lane.aim * QUEUE_TIMEOUT_SHARE),
-    moveHold: now + (lane.aim === undefined ? budget : budget * PROMOTION_WAIT_SHARE),
-    behind: new Set(),
-    deadline: now + budget,
-    sends: 0,
-    waited: false,
-    ran: 'no',
-    last: undefined,
-    probe: false,
+    callerGone: parts.gone,
+    hasCallerDeadline,
+    need: requirementsFor(lane, rules, parts, parts.tenant),
+    findLane: parts.find,
+    queueDeadline: now + (lane.aim === undefined ? budgetMs : lane.aim * QUEUE_TIMEOUT_SHARE),
+    promotionDeadline: now + (lane.aim === undefined ? budgetMs : budgetMs * PROMOTION_WAIT_SHARE),
+    laggingFollowers: new Set(),
+    deadline: now + budgetMs,
+    attempts: 0,
+    hasWaited: false,
+    executed: 'no',
+    lastError: undefined,
+    isBreakerProbe: false,
     asked: now,
   }
 }
--- a/packages/proxy/src/freshness.ts
+++ b/packages/proxy/src/freshness.ts
@@ -1,70 +1,92 @@
 import { comparePositions, type LogPosition } from '@claynotch/instance'
 
-// The proof that a follower is fresh enough. Nothing here takes a follower's word on its lag.
-// asked: local time just before the leader was asked. What the leader answered covers every commit
-// acknowledged before asked, so the sample speaks for that time and no later one. reign: the record's epoch under
-// which it was asked; its mark may be that of an earlier epoch's last entry, where nothing was written since.
-export type Sample = { asked: number; reign: number; mark: LogPosition }
+// Proves that a follower is fresh enough, without relying on the lag that the follower itself reports.
 
-// The place that every commit older than now - within lies at or under: the least among the samples of this reign that
-// are young enough to prove it. undefined: none is. since: a route came to the group then, and the commits that it brought from
-// another group are in no sample that was asked before.
+/** A log position of the leader, sampled at a known time. */
+export type Sample = {
+  /**
+   * Local time just before the leader was asked. Its answer covers every commit acknowledged before then, so the sample
+   * is evidence for that time and for no later one.
+   */
+  asked: number
+  /** Epoch of the group's record under which the leader was asked. */
+  reign: number
+  /** May be the position of an earlier epoch's last entry, if nothing was written since. */
+  mark: LogPosition
+}
+
+/**
+ * The freshness floor: a log position at or above every commit older than now - maxStalenessMs. It is the lowest
+ * position among the samples of this epoch that are recent enough; undefined: no sample is. groupSince: when the lane
+ * came to the group, as earlier samples don't cover the commits that it brought from another group.
+ */
 export function floorOf(
   samples: Sample[],
-  reign: number,
-  within: number,
+  epoch: number,
+  maxStalenessMs: number,
   now: number,
-  since = 0,
+  groupSince = 0,
 ): LogPosition | undefined {
-  let least: LogPosition | undefined
-  for (const s of samples) {
-    if (s.reign !== reign || s.asked < now - within || s.asked < since) continue
-    if (least === undefined || comparePositions(s.mark, least) < 0) least = s.mark
+  let lowest: LogPosition | undefined
+  for (const sample of samples) {
+    if (sample.reign !== epoch || sample.asked < now - maxStalenessMs || sample.asked < groupSince) continue
+    if (lowest === undefined || comparePositions(sample.mark, lowest) < 0) lowest = sample.mark
   }
-  return least
+  return lowest
 }
 
-// What a follower must hold: the floor, and the session's last write. Where epochs are exact, a write of an earlier one
-// lies under every floor of this reign.
-// undefined: it can't be proved. A token of a later epoch than the record's can't be met here at all.
+/**
+ * The log position that a follower must hold: the higher of the floor and the session's last write (token). With exact
+ * epochs, a write of an earlier epoch is below every floor of this epoch. undefined: freshness can't be proved; a token
+ * of a later epoch than the record's can't be satisfied here at all.
+ */
 export function needOf(
   floor: LogPosition | undefined,
-  reign: number,
+  epoch: number,
   token: LogPosition | undefined,
 ): LogPosition | undefined {
   if (floor === undefined) return undefined
   if (!token) return floor
-  if (token.epoch > reign) return undefined
+  if (token.epoch > epoch) return undefined
   return comparePositions(token, floor) > 0 ? token : floor
 }
 
-// Epochs must be alike where answers always carry theirs; else the order of places tells.
-export function isFresh(mark: LogPosition, need: LogPosition, exact: boolean): boolean {
-  return (!exact || mark.epoch === need.epoch) && comparePositions(mark, need) >= 0
+/**
+ * Whether the position reaches the required one. Epochs must be equal if answers always carry the exact epoch;
+ * otherwise the order of positions decides.
+ */
+export function isFresh(position: LogPosition, required: LogPosition, isEpochExact: boolean): boolean {
+  return (!isEpochExact || position.epoch === required.epoch) && comparePositions(position, required) >= 0
 }
 
-// What a requester carries between nodes: a place in one group's history, and no word on any other group's.
+/** What a client carries from node to node: a log position of one group, which says nothing about other groups. */
 export type Token = { group: string; mark: LogPosition }
 
+/** The token's text form; '' for none. */
 export function writeToken(token: Token | undefined): string {
   return token ? `${token.group}:${token.mark.epoch}:${token.mark.position}` : ''
 }
 
+/** Parses a token's text form; undefined for '', 'bad' if it is malformed. */
 export function readToken(text: string): Token | undefined | 'bad' {
   if (text === '') return undefined
-  const m = /^([A-Za-z0-9_.-]+):(\d{1,15}):(\d{1,15})$/.exec(text)
-  return m ? { group: m[1], mark: { epoch: Number(m[2]), position: Number(m[3]) } } : 'bad'
+  const match = /^([A-Za-z0-9_.-]+):(\d{1,15}):(\d{1,15})$/.exec(text)
+  return match ? { group: match[1], mark: { epoch: Number(match[2]), position: Number(match[3]) } } : 'bad'
 }
 
-// Whether a token speaks of another group than the one that serves now: it proves nothing there.
+/** Whether the token belongs to a group other than the one that serves the call, for which it proves nothing. */
 export function isForeign(token: Token | undefined, group: string): boolean {
   return token !== undefined && token.group !== group
 }
 
-// ms within which a follower's position is proved: the age of the youngest sample that lies at or under it.
-export function provedWithin(samples: Sample[], epoch: number, mark: LogPosition, now: number): number | undefined {
-  let best: number | undefined
-  for (const s of samples)
-    if (s.reign === epoch && comparePositions(s.mark, mark) <= 0) best = Math.min(best ?? Infinity, now - s.asked)
-  return best
+/**
+ * Proved staleness of a follower in ms: the age of the latest sample at or below its position; undefined: there is
+ * none.
+ */
+export function provedWithin(samples: Sample[], epoch: number, position: LogPosition, now: number): number | undefined {
+  let youngestMs: number | undefined
+  for (const sample of samples)
+    if (sample.reign === epoch && comparePositions(sample.mark, position) <= 0)
+      youngestMs = Math.min(youngestMs ?? Infinity, now - sample.asked)
+  return youngestMs
 }
--- a/packages/proxy/src/identity.ts
+++ b/packages/proxy/src/identity.ts
@@ -1,19 +1,19 @@
 import type { LaneRules, Rules } from './rules.js'
 
 /**
- * Who a client is by the rules in force. tenant: whose key it has; undefined where no key is asked for and it has none that is
- * known.
+ * A client's identity by the rules in force. tenant: the tenant whose API key it sent; undefined if no key is required
+ * and it sent no known one.
  */
 export type Identity = { isAllowed: true; tenant: string | undefined } | { isAllowed: false }
 
-/** keyHash: of the key that the client came with. */
+/** Identifies a client of the lane; keyHash: hash of the API key that the client sent. */
 export function identify(rules: Rules, lane: LaneRules, keyHash: string | undefined): Identity {
   if (!rules.tenants) return { isAllowed: true, tenant: undefined }
   const tenant = holderOfKey(rules, keyHash)
   return tenant !== undefined || lane.isPublic ? { isAllowed: true, tenant } : { isAllowed: false }
 }
 
-/** The tenant that has the key, whatever the route. */
+/** The tenant that the key belongs to, whatever the lane. */
 export function holderOfKey(rules: Rules, keyHash: string | undefined): string | undefined {
   return keyHash === undefined ? undefined : rules.tenants?.get(keyHash)?.name
 }
--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -25,34 +25,54 @@
 import { makeAdmission } from './admission.js'
 import { identify } from './identity.js'
 import { makeKeyRefusals, type KeyRefusals } from './key-refusals.js'
-import { needFor, type Call, type Settled } from './call.js'
+import { requirementsFor, type Call, type Settled } from './call.js'
 import type { CheckedOutConnection, Pool } from './pool.js'
 import type { QuotaStep } from './quota-step.js'
-import { backoff, makeAlert, makeBreaker, makeTokens, type Alert, type Breaker, type Tokens } from './retry.js'
+import {
+  backoff,
+  makeExhaustionAlert,
+  makeBreaker,
+  makeTokens,
+  type ExhaustionAlert,
+  type Breaker,
+  type RetryTokens,
+} from './retry.js'
 import type { Step } from './rules.js'
 import type { State } from './state.js'
 import { makeTargetSelection, type TargetSelection } from './target-selection.js'
 import type { Instance, Watch } from './watch.js'
 
-export type Tools = { breaker: Breaker; tokens: Tokens; alert: Alert }
+/** The retry state of one group: circuit breaker, retry tokens and exhaustion alert. */
+export type RetryControls = { breaker: Breaker; tokens: RetryTokens; alert: ExhaustionAlert }
 
+/** Runs calls through the steps of their lane, and keeps this node's counts of the work in flight. */
 export type Runner = {
+  /** Runs a call to its end. */
   run: (call: Call) => Promise<Settled>
-  tools: (group: string) => Tools
-  groups: () => Map<string, Tools>
-  // Whether the record that a leader's answer was asked under still stands.
+  /** The retry state of the group; made on first use. */
+  retryControls: (group: string) => RetryControls
+  /** The retry state of every group that was used so far. */
+  groups: () => Map<string, RetryControls>
+  /** Whether the group's record still has this epoch, its lease is valid, and its phase lets the leader serve. */
   stands: (group: string, epoch: number) => boolean
-  // Sends in flight that may write, by group and by lane.
+  /** Attempts in flight that may write, of the group or of one of its lanes. */
   writing: (group: string, lane?: string) => number
-  holdWrite: (group: string, lane: string, by: number) => void
-  // Transactions whose begin went out and that no session has yet. A call counts from the send until it aims anew, ends
-  // without a transaction, or kept() says that its session has it.
+  /** Adds to the counts of attempts in flight that may write; the last argument is negative when one ends. */
+  holdWrite: (group: string, lane: string, delta: number) => void
+  /**
+   * Transactions whose begin was sent and that no session owns yet. A call counts from the send until it selects
+   * another target, ends without a transaction, or its session has taken the transaction over.
+   */
   opening: (group: string, lane: string | undefined, kind: 'begin read' | 'begin write') => number
+  /** Stops counting the call among them: its session owns the transaction, or there is none. */
   kept: (call: Call) => void
-  // The position that a follower must hold for a read that begins now; undefined: it can't be proved.
+  /** The log position that a follower must hold for a read that begins now; undefined: freshness can't be proved. */
   needNow: TargetSelection['requiredPosition']
+  /** The highest log position of an acknowledged write, by group. */
   highs: () => Map<string, LogPosition>
-  sawWrite: (group: string, mark: LogPosition) => void
+  /** Records the log position of an acknowledged write. */
+  sawWrite: (group: string, position: LogPosition) => void
+  /** Fires when a write or a begin in flight ends. */
   quiet: ReturnType<typeof makeSignal>
   keys: KeyRefusals
 }
@@ -62,483 +82,527 @@
   state: State,
   watch: Watch,
   pool: Pool,
-  edge: InstanceAdapter,
+  adapter: InstanceAdapter,
   quota: QuotaStep,
   metrics: Metrics,
   stopping: () => boolean,
 ): Runner {
-  const tools = new Map<string, Tools>()
+  const controlsByGroup = new Map<string, RetryControls>()
   const admission = makeAdmission(metrics)
-  const writes = new Map<string, number>()
-  const begun = new Set<Call>()
-  const highs = new Map<string, LogPosition>()
-  const quiet = makeSignal()
-  const keys = makeKeyRefusals(world, state, metrics)
-  const targets = makeTargetSelection(world, state, watch, edge, metrics)
+  const writeCounts = new Map<string, number>()
+  const openingCalls = new Set<Call>()
+  const lastWrites = new Map<string, LogPosition>()
+  const inFlightEnded = makeSignal()
+  const keyRefusals = makeKeyRefusals(world, state, metrics)
+  const targetSelection = makeTargetSelection(world, state, watch, adapter, metrics)
 
-  function toolsOf(group: string): Tools {
-    let got = tools.get(group)
-    if (!got) {
-      function others(): { firsts: number; retries: number } {
-        return state.others(group)
+  function controlsOf(group: string): RetryControls {
+    let controls = controlsByGroup.get(group)
+    if (!controls) {
+      function otherNodes(): { firsts: number; retries: number } {
+        return state.retriesOnOtherNodes(group)
       }
-      got = {
+      controls = {
         breaker: makeBreaker(world, group, metrics),
-        tokens: makeTokens(world, others),
-        alert: makeAlert(world, group, metrics),
+        tokens: makeTokens(world, otherNodes),
+        alert: makeExhaustionAlert(world, group, metrics),
       }
-      tools.set(group, got)
+      controlsByGroup.set(group, controls)
     }
-    return got
+    return controls
   }
-  function stands(group: string, epoch: number): boolean {
+  function isEpochCurrent(group: string, epoch: number): boolean {
     const known = state.group(group)
     if (!known || world.now() >= known.until || known.record.epoch !== epoch) return false
     return known.record.phase === 'steady' || known.record.phase === 'drain'
   }
-  function keyOf(group: string, lane: string | undefined): string {
+  /** Key of writeCounts: a group, or a group and one of its lanes. */
+  function writeCountKey(group: string, lane: string | undefined): string {
     return lane === undefined ? group : `${group} ${lane}`
   }
-  function writing(group: string, lane?: string): number {
-    return writes.get(keyOf(group, lane)) ?? 0
+  function writesInFlight(group: string, lane?: string): number {
+    return writeCounts.get(writeCountKey(group, lane)) ?? 0
   }
-  function holdWrite(group: string, lane: string, by: number): void {
-    for (const key of [group, keyOf(group, lane)]) writes.set(key, (writes.get(key) ?? 0) + by)
-    if (by < 0) quiet.notify()
+  function addWritesInFlight(group: string, lane: string, delta: number): void {
+    for (const key of [group, writeCountKey(group, lane)]) writeCounts.set(key, (writeCounts.get(key) ?? 0) + delta)
+    if (delta < 0) inFlightEnded.notify()
   }
-  function opening(group: string, lane: string | undefined, kind: 'begin read' | 'begin write'): number {
-    let out = 0
-    for (const call of begun)
-      if (call.kind === kind && call.lane.group === group && (lane === undefined || call.lane.name === lane)) out++
-    return out
+  function beginsInFlight(group: string, lane: string | undefined, kind: 'begin read' | 'begin write'): number {
+    let count = 0
+    for (const call of openingCalls)
+      if (call.kind === kind && call.lane.group === group && (lane === undefined || call.lane.name === lane)) count++
+    return count
   }
-  function kept(call: Call): void {
-    if (begun.delete(call)) quiet.notify()
+  function releaseBegin(call: Call): void {
+    if (openingCalls.delete(call)) inFlightEnded.notify()
   }
-  function sawWrite(group: string, mark: LogPosition): void {
-    const old = highs.get(group)
-    if (!old || mark.epoch > old.epoch || (mark.epoch === old.epoch && mark.position > old.position))
-      highs.set(group, mark)
+  function recordWritePosition(group: string, position: LogPosition): void {
+    const previous = lastWrites.get(group)
+    if (
+      !previous ||
+      position.epoch > previous.epoch ||
+      (position.epoch === previous.epoch && position.position > previous.position)
+    )
+      lastWrites.set(group, position)
   }
 
-  // --- ends of a call ---
+  // --- results of a call ---
 
-  function sendsOf(call: Call): number {
+  function maxAttemptsOf(call: Call): number {
     return Math.min(MAX_ATTEMPTS, call.lane.sends ?? MAX_ATTEMPTS)
   }
   function isWrite(call: Call): boolean {
     return call.kind === 'write'
   }
-  function unavailable(call: Call, why: string, after: number): Verdict {
-    const cls = call.byCaller && world.now() >= call.deadline ? 'DEADLINE_EXCEEDED' : 'UNAVAILABLE'
-    return refusal(cls, why, true, after)
+  /** DEADLINE_EXCEEDED if the deadline that the caller set has passed, else UNAVAILABLE. */
+  function unavailable(call: Call, reason: string, retryAfterS: number): Verdict {
+    const errorClass = call.hasCallerDeadline && world.now() >= call.deadline ? 'DEADLINE_EXCEEDED' : 'UNAVAILABLE'
+    return refusal(errorClass, reason, true, retryAfterS)
   }
-  // A refusal promises that nothing of the try ran; where some of it may have, it is a failure.
-  function honest(call: Call, v: Verdict): Verdict {
-    return v.outcome === 'refused' && call.ran !== 'no' ? { ...v, outcome: 'failed', kept: 'unknown' } : v
+  /** A refusal promises that no part of the call was executed; where one may have been, the call has failed instead. */
+  function withoutFalseRefusal(call: Call, verdict: Verdict): Verdict {
+    return verdict.outcome === 'refused' && call.executed !== 'no'
+      ? { ...verdict, outcome: 'failed', kept: 'unknown' }
+      : verdict
   }
-  function exhausted(call: Call): Verdict {
+  function budgetExhausted(call: Call): Verdict {
     metrics.add('claynotch_retry_budget_exhausted_total', [['group', call.lane.group]])
-    toolsOf(call.lane.group).alert.note(true)
+    controlsOf(call.lane.group).alert.note(true)
     return unavailable(
       call,
-      call.last?.why ?? 'no instance could serve the call within its budget',
+      call.lastError?.why ?? 'no instance could serve the call within its budget',
       RETRY_AFTER_PROMOTION_S,
     )
   }
 
   // --- steps ---
-  // Each returns: undefined, go on; a verdict, the call ends; 'aim', back to aim; 'start', from the first step by new rules.
-  type Turn = Verdict | 'aim' | 'start' | undefined
 
-  function isOld(call: Call): boolean {
+  /**
+   * What a step returns. undefined: continue with the next step; a verdict: the call ends; 'aim': return to target
+   * selection; 'start': restart at the first step under new rules.
+   */
+  type StepResult = Verdict | 'aim' | 'start' | undefined
+
+  function hasStaleRules(call: Call): boolean {
     return state.rules() !== call.rules
   }
-  // The configuration changed on the way: the call goes on by the rules of now, or ends where its lane is gone.
-  function heed(call: Call): Turn {
+  /**
+   * The configuration changed during the call: restarts it under the current rules, or ends it if its lane was removed.
+   */
+  function applyCurrentRules(call: Call): StepResult {
     const rules = state.rules()
     if (!rules) return refusal('UNAVAILABLE', 'no configuration is known here', true, RETRY_AFTER_PROMOTION_S)
-    const lane = call.find(rules)
-    // Without a valid term a later configuration may have the lane again.
+    const lane = call.findLane(rules)
+    // Without a valid lease, a later configuration that this node doesn't know may have the lane again.
     if (!lane && !state.valid())
       return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     if (!lane) return { ...refusal('NOT_FOUND', `the lane ${call.lane.name} was dropped`, false), lacks: 'lane' }
     const identity = identify(rules, lane, call.keyHash)
-    if (!identity.isAllowed) return keys.deny(lane, call.keyHash)
+    if (!identity.isAllowed) return keyRefusals.deny(lane, call.keyHash)
     admission.release(call)
     if (lane.group !== call.lane.group) {
-      if (call.probe) toolsOf(call.lane.group).breaker.note(false, true)
-      call.probe = false
+      if (call.isBreakerProbe) controlsOf(call.lane.group).breaker.note(false, true)
+      call.isBreakerProbe = false
     }
     metrics.add('claynotch_calls_rematched_total', [['lane', lane.name]])
     call.rules = rules
     call.lane = lane
-    call.need = needFor(lane, rules, call.need, identity.tenant)
+    call.need = requirementsFor(lane, rules, call.need, identity.tenant)
     return 'start'
   }
-  function gate(call: Call): Turn {
+  function checkNodeState(call: Call): StepResult {
     if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, RETRY_AFTER_OVERLOAD_S)
     if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     if (!state.share())
       return refusal('UNAVAILABLE', 'this node holds no share of the connections', true, RETRY_AFTER_PROMOTION_S)
-    if (call.gone.fired()) return refusal('ABORTED', 'the requester went away', false)
+    if (call.callerGone.fired()) return refusal('ABORTED', 'the requester went away', false)
     return undefined
   }
-  function breakerStep(call: Call): Turn {
-    if (call.probe) return undefined
-    const { breaker } = toolsOf(call.lane.group)
+  function breakerStep(call: Call): StepResult {
+    if (call.isBreakerProbe) return undefined
+    const { breaker } = controlsOf(call.lane.group)
     if (!breaker.pass())
       return refusal('UNAVAILABLE', `the breaker of group ${call.lane.group} is open`, true, RETRY_AFTER_BREAKER_S)
-    call.probe = breaker.probing()
+    call.isBreakerProbe = breaker.isProbing()
     return undefined
   }
-  // A promotion under way has an end: those who come near it are served late rather than not at all.
-  function holdOf(call: Call): number {
+  /**
+   * Until when the call waits for a leader. A promotion takes a bounded time, so during one a call waits longer: it is
+   * served late rather than rejected.
+   */
+  function waitLimitOf(call: Call): number {
     const phase = state.group(call.lane.group)?.record.phase
-    return phase !== undefined && phase !== 'steady' ? Math.max(call.hold, call.moveHold) : call.hold
-  }
-  // Waits for news of the group, in slices, as news may come from three sides.
-  async function waitNews(call: Call): Promise<void> {
-    call.waited = true
+    return phase !== undefined && phase !== 'steady'
+      ? Math.max(call.queueDeadline, call.promotionDeadline)
+      : call.queueDeadline
+  }
+  /**
+   * Waits until the state or an instance's status changes or the caller disconnects, for 250 ms at most, as a change
+   * can come from any of these three.
+   */
+  async function waitForGroupNews(call: Call): Promise<void> {
+    call.hasWaited = true
     const wake = makeFlag()
-    const unwatch = call.gone.watch(wake.fire)
-    const left = Math.max(1, Math.min(call.deadline - world.now(), holdOf(call) - world.now(), 250))
-    void state.bell.wait(world, left, wake).then(wake.fire)
-    void watch.bell.wait(world, left, wake).then(wake.fire)
+    const stopWatching = call.callerGone.watch(wake.fire)
+    const remainingMs = Math.max(1, Math.min(call.deadline - world.now(), waitLimitOf(call) - world.now(), 250))
+    void state.bell.wait(world, remainingMs, wake).then(wake.fire)
+    void watch.bell.wait(world, remainingMs, wake).then(wake.fire)
     await wake.wait()
-    unwatch()
+    stopWatching()
   }
-  async function aim(call: Call, step: Extract<Step, { op: 'aim' }>): Promise<Turn> {
-    let waited = false
-    kept(call)
+  /** Selects the instance for the next attempt, and waits for a leader where there is none. */
+  async function selectTarget(call: Call, step: Extract<Step, { op: 'aim' }>): Promise<StepResult> {
+    let hasWaited = false
+    releaseBegin(call)
     for (;;) {
-      if (call.gone.fired()) return refusal('ABORTED', 'the requester went away', false)
-      if (isOld(call)) return heed(call)
-      if (world.now() >= call.deadline) return exhausted(call)
+      if (call.callerGone.fired()) return refusal('ABORTED', 'the requester went away', false)
+      if (hasStaleRules(call)) return applyCurrentRules(call)
+      if (world.now() >= call.deadline) return budgetExhausted(call)
       const known = state.group(call.lane.group)
-      if (step.at === 'fresh' && !call.mustLead && !isForeign(call.token, call.lane.group) && known) {
-        const got = targets.followerFor(call, known, step)
-        if (got) {
-          call.target = got
+      if (step.at === 'fresh' && !call.leaderOnly && !isForeign(call.token, call.lane.group) && known) {
+        const followerTarget = targetSelection.followerFor(call, known, step)
+        if (followerTarget) {
+          call.target = followerTarget
           break
         }
       }
-      const lead = targets.leaderFor(call)
-      if (lead) {
-        call.target = { ...lead, floor: undefined }
+      const leaderTarget = targetSelection.leaderFor(call)
+      if (leaderTarget) {
+        call.target = { ...leaderTarget, floor: undefined }
         break
       }
       if (!state.valid() || !state.share()) return unavailable(call, 'this node lost its term', RETRY_AFTER_PROMOTION_S)
-      // A call that only waits is told now, so that its requester can go elsewhere.
+      // End a waiting call at once, so that its caller can try another node.
       if (stopping()) return unavailable(call, 'this node is stopping', RETRY_AFTER_OVERLOAD_S)
-      if (world.now() >= holdOf(call))
+      if (world.now() >= waitLimitOf(call))
         return unavailable(
           call,
-          call.last?.why ?? `the group ${call.lane.group} has no leader to send to`,
+          call.lastError?.why ?? `the group ${call.lane.group} has no leader to send to`,
           RETRY_AFTER_PROMOTION_S,
         )
-      // No leader to send to: a promotion is under way, or the leader is in doubt. Waiting is no send.
-      waited = true
-      await waitNews(call)
+      // No leader is available: a promotion is in progress, or the leader is suspected. Waiting doesn't count as an
+      // attempt.
+      hasWaited = true
+      await waitForGroupNews(call)
     }
-    if (waited) {
-      // All who waited wake at once; they spread out, so that the leader isn't hit by all together.
+    if (hasWaited) {
+      // All waiting calls wake up together: a random delay spreads them, so that they don't hit the leader at once.
       await pause(
         world,
         Math.min(
           world.random() * WAKE_UP_JITTER_MS,
           Math.max(0, call.deadline - world.now()),
-          Math.max(0, call.hold - world.now()),
+          Math.max(0, call.queueDeadline - world.now()),
         ),
-        call.gone,
+        call.callerGone,
       )
-      if (call.target && call.target.floor === undefined && !stands(call.lane.group, call.target.epoch)) return 'aim'
+      if (call.target && call.target.floor === undefined && !isEpochCurrent(call.lane.group, call.target.epoch))
+        return 'aim'
     }
     return undefined
   }
-  // free: ms that the call waits for a connection that others have; dial: ms that opening one may take. Neither counts the
-  // time that it waited for a leader, so that a dial cut short by that is not taken for an instance's silence.
-  function waits(call: Call): { free: number; dial: number } {
-    const left = Math.max(1, call.deadline - world.now())
+  /**
+   * free: ms to wait for a pooled connection that is in use; dial: ms to open a new one. Time spent waiting for a
+   * leader is not subtracted from either, as a dial cut short by it would be mistaken for an unresponsive instance.
+   */
+  function connectionTimeouts(call: Call): { free: number; dial: number } {
+    const remainingMs = Math.max(1, call.deadline - world.now())
     const { aim } = call.lane
-    if (aim === undefined) return { free: Math.min(CHECK_OUT_TIMEOUT_MS, left), dial: Math.min(DIAL_TIMEOUT_MS, left) }
+    if (aim === undefined)
+      return { free: Math.min(CHECK_OUT_TIMEOUT_MS, remainingMs), dial: Math.min(DIAL_TIMEOUT_MS, remainingMs) }
     return {
-      free: Math.min(left, aim * QUEUE_TIMEOUT_SHARE),
-      dial: Math.min(DIAL_TIMEOUT_MS, left, Math.max(MIN_DIAL_TIMEOUT_MS, aim * ATTEMPT_TIMEOUT_SHARE)),
+      free: Math.min(remainingMs, aim * QUEUE_TIMEOUT_SHARE),
+      dial: Math.min(DIAL_TIMEOUT_MS, remainingMs, Math.max(MIN_DIAL_TIMEOUT_MS, aim * ATTEMPT_TIMEOUT_SHARE)),
     }
   }
-  async function borrow(call: Call): Promise<Turn> {
+  /** Checks a connection out of the pool. */
+  async function checkOut(call: Call): Promise<StepResult> {
     const { instance } = call.target!
     const config = state.config()
     const { group } = call.lane
-    const limit = config ? lendable(config, group, state.live()) : 0
-    const closesAfterUse = config !== undefined && isShareBelowOne(config, group, state.live())
+    const maxConnections = config ? lendable(config, group, state.liveProxies()) : 0
+    const closesAfterUse = config !== undefined && isShareBelowOne(config, group, state.liveProxies())
     instance.usage++
-    const asked = world.now()
-    const got = await pool.borrow(instance, limit, { ...call.need, closesAfterUse }, waits(call), call.gone)
+    const startedAt = world.now()
+    const checkOutResult = await pool.borrow(
+      instance,
+      maxConnections,
+      { ...call.need, closesAfterUse },
+      connectionTimeouts(call),
+      call.callerGone,
+    )
     instance.usage--
-    if (got.ok) {
-      call.loan = got.val
+    if (checkOutResult.ok) {
+      call.connection = checkOutResult.val
       return undefined
     }
-    call.last = got.val
-    if (got.val.transient) {
-      if (got.val.full !== true) watch.failed(instance.name, asked, got.val.reach === 'answered', false)
-      return await again(call)
+    call.lastError = checkOutResult.val
+    if (checkOutResult.val.transient) {
+      if (checkOutResult.val.full !== true)
+        watch.failed(instance.name, startedAt, checkOutResult.val.reach === 'answered', false)
+      return await retry(call)
     }
-    const after = got.val.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
-    return refusal(got.val.class, got.val.why, after !== undefined, after)
+    const retryAfterS = checkOutResult.val.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
+    return refusal(checkOutResult.val.class, checkOutResult.val.why, retryAfterS !== undefined, retryAfterS)
   }
-  async function send(call: Call): Promise<Turn> {
+  /** Sends one attempt and waits for its result. */
+  async function send(call: Call): Promise<StepResult> {
     const { instance, epoch, floor } = call.target!
-    const loan = call.loan!
-    // The last look before anything goes out, with no wait between it and the send.
-    const writes = call.kind === 'write' || call.kind === 'begin write'
-    const begins = call.kind === 'begin read' || call.kind === 'begin write'
-    const old = isOld(call)
-    // Aimed before a drain began, and since then waiting: a transaction too would be open after this node told that none is.
+    const connection = call.connection!
+    // The last checks before the attempt; nothing is awaited between them and the send.
+    const mayWrite = call.kind === 'write' || call.kind === 'begin write'
+    const beginsTransaction = call.kind === 'begin read' || call.kind === 'begin write'
+    const isStale = hasStaleRules(call)
+    // The target may have been selected before a drain began: a transaction begun now would be open after this node has
+    // reported that it has none.
     if (
-      old ||
-      (floor === undefined && !stands(call.lane.group, epoch)) ||
-      ((writes || begins) && state.group(call.lane.group)?.record.phase !== 'steady') ||
-      !quota.sent(call)
+      isStale ||
+      (floor === undefined && !isEpochCurrent(call.lane.group, epoch)) ||
+      ((mayWrite || beginsTransaction) && state.group(call.lane.group)?.record.phase !== 'steady') ||
+      !quota.consumeReservation(call)
     ) {
-      loan.end(true)
-      delete call.loan
-      return old ? heed(call) : 'aim'
+      connection.end(true)
+      delete call.connection
+      return isStale ? applyCurrentRules(call) : 'aim'
     }
-    const { tokens } = toolsOf(call.lane.group)
-    if (call.sends === 0) tokens.first()
-    call.sends++
+    const { tokens } = controlsOf(call.lane.group)
+    if (call.attempts === 0) tokens.first()
+    call.attempts++
     metrics.add('claynotch_retry_attempt_total', [
       ['group', call.lane.group],
-      ['send', String(call.sends)],
+      ['send', String(call.attempts)],
     ])
-    const left = Math.max(1, Math.min(ATTEMPT_TIMEOUT_MS, call.deadline - world.now()))
-    const limit =
-      call.lane.aim !== undefined && !isWrite(call) && call.sends < sendsOf(call)
-        ? Math.min(left, call.lane.aim * ATTEMPT_TIMEOUT_SHARE)
-        : left
+    const remainingMs = Math.max(1, Math.min(ATTEMPT_TIMEOUT_MS, call.deadline - world.now()))
+    const timeoutMs =
+      call.lane.aim !== undefined && !isWrite(call) && call.attempts < maxAttemptsOf(call)
+        ? Math.min(remainingMs, call.lane.aim * ATTEMPT_TIMEOUT_SHARE)
+        : remainingMs
     call.asked = world.now()
     instance.usage++
     const { group, name } = call.lane
-    if (writes) holdWrite(group, name, 1)
-    if (begins) begun.add(call)
-    const sent = {
+    if (mayWrite) addWritesInFlight(group, name, 1)
+    if (beginsTransaction) openingCalls.add(call)
+    const sendOptions = {
       ...(call.body.id !== undefined ? { id: call.body.id } : {}),
-      ...(floor !== undefined && !edge.sampler ? { after: floor } : {}),
+      ...(floor !== undefined && !adapter.sampler ? { after: floor } : {}),
     }
     if (call.kind === 'begin read' || call.kind === 'begin write')
-      call.got = await loan.port.begin(call.kind === 'begin read' ? 'read' : 'write', limit, sent)
+      call.result = await connection.port.begin(call.kind === 'begin read' ? 'read' : 'write', timeoutMs, sendOptions)
     else {
       const text = call.body.text
-      call.got = await loan.port.statement(
+      call.result = await connection.port.statement(
         {
-          ...(text !== undefined ? { text } : { shape: loan.shapeId(call.need.shapes.get(call.body.shape!)!) }),
+          ...(text !== undefined ? { text } : { shape: connection.shapeId(call.need.shapes.get(call.body.shape!)!) }),
           args: call.body.args,
           mode: call.kind === 'write' ? 'write' : 'read',
-          ...sent,
+          ...sendOptions,
         },
-        limit,
+        timeoutMs,
       )
     }
-    if (writes) holdWrite(group, name, -1)
+    if (mayWrite) addWritesInFlight(group, name, -1)
     instance.usage--
     return undefined
   }
-  async function judge(call: Call): Promise<Turn> {
+  /** Decides from the attempt's result whether the call ends or is retried. */
+  async function evaluate(call: Call): Promise<StepResult> {
     const { instance, epoch, floor } = call.target!
-    const got = call.got!
-    const loan = call.loan!
+    const result = call.result!
+    const connection = call.connection!
     const group = call.lane.group
-    const { breaker, alert } = toolsOf(group)
-    const lead = floor === undefined
-    if (got.ok) {
-      const { mark, rows, stamp } = got.val
-      watch.saw(instance.name, call.asked, mark, lead ? epoch : undefined)
-      const counted = !isWrite(call) || state.counts(call.lane.name, group, call.asked)
-      const good = lead
-        ? stands(group, epoch) && (!edge.exact || mark.epoch === epoch) && counted
-        : isFresh(mark, floor, edge.exact)
-      if (good) {
-        breaker.note(true, call.probe)
-        if (call.sends > 1 || call.waited) {
-          metrics.add('claynotch_retry_success_on_attempt', [['send', String(call.sends)]])
+    const { breaker, alert } = controlsOf(group)
+    const isFromLeader = floor === undefined
+    if (result.ok) {
+      const { mark, rows, stamp } = result.val
+      watch.saw(instance.name, call.asked, mark, isFromLeader ? epoch : undefined)
+      const canAcknowledge = !isWrite(call) || state.counts(call.lane.name, group, call.asked)
+      const isValid = isFromLeader
+        ? isEpochCurrent(group, epoch) && (!adapter.exact || mark.epoch === epoch) && canAcknowledge
+        : isFresh(mark, floor, adapter.exact)
+      if (isValid) {
+        breaker.note(true, call.isBreakerProbe)
+        if (call.attempts > 1 || call.hasWaited) {
+          metrics.add('claynotch_retry_success_on_attempt', [['send', String(call.attempts)]])
           alert.note(false)
         }
-        if (isWrite(call)) sawWrite(group, mark)
+        if (isWrite(call)) recordWritePosition(group, mark)
         if (call.kind === 'read')
           metrics.add('claynotch_reads_total', [
             ['instance', instance.name],
             ['area', instance.area === state.area() ? 'own' : 'other'],
-            ['role', lead ? 'leader' : 'follower'],
+            ['role', isFromLeader ? 'leader' : 'follower'],
           ])
         if (call.kind === 'read' || call.kind === 'write') {
-          loan.end(true)
-          delete call.loan
+          connection.end(true)
+          delete call.connection
         }
         return { outcome: 'done', rows, ...(stamp !== undefined ? { stamp } : {}) }
       }
-      // It ran, but under a record that no longer stands (or on a follower that fell back).
-      loan.end(call.kind === 'read' || call.kind === 'write')
-      delete call.loan
-      call.ran = 'maybe'
+      // The statement was executed, but under a record that is no longer current, or on a follower that is behind the
+      // floor.
+      connection.end(call.kind === 'read' || call.kind === 'write')
+      delete call.connection
+      call.executed = 'maybe'
       if (isWrite(call))
-        return unknown('the answer came after the leader had been replaced, the lane moved, or the term had ended')
-      call.last = {
+        return unknownOutcome(
+          'the answer came after the leader had been replaced, the lane moved, or the term had ended',
+        )
+      call.lastError = {
         reach: 'maybe',
         class: 'UNAVAILABLE',
         transient: true,
         why: 'the answer came under a record that no longer stands',
       }
-      return await again(call)
+      return await retry(call)
     }
-    const trouble = got.val
-    call.last = trouble
+    const error = result.val
+    call.lastError = error
     metrics.add('claynotch_error_classification_total', [
-      ['class', trouble.class],
-      ['retryable', trouble.transient ? 'yes' : 'no'],
+      ['class', error.class],
+      ['retryable', error.transient ? 'yes' : 'no'],
     ])
-    if (trouble.reach === 'maybe') call.ran = 'maybe'
-    else if (trouble.lags && floor !== undefined) return behind(call, instance, loan)
-    loan.end(trouble.reach === 'answered' && (call.kind === 'read' || call.kind === 'write'))
-    delete call.loan
-    if (trouble.transient) {
-      // One that says it doesn't lead lives, and yet fails as a leader.
-      watch.failed(
-        instance.name,
-        call.asked,
-        trouble.reach === 'answered' && trouble.lead !== false,
-        trouble.lead === false,
-      )
-      // A known promotion is no reason to open the breaker: it has its own end.
-      if (!state.moving(group)) breaker.note(false, call.probe)
-      if (trouble.reach === 'maybe' && isWrite(call)) return unknown(trouble.why)
-      return await again(call)
+    if (error.reach === 'maybe') call.executed = 'maybe'
+    else if (error.lags && floor !== undefined) return skipLaggingFollower(call, instance, connection)
+    connection.end(error.reach === 'answered' && (call.kind === 'read' || call.kind === 'write'))
+    delete call.connection
+    if (error.transient) {
+      // An instance that answers that it isn't the leader is alive, but counts as failed in its role of leader.
+      watch.failed(instance.name, call.asked, error.reach === 'answered' && error.lead !== false, error.lead === false)
+      // Errors during a known promotion don't count for the breaker, as the promotion ends by itself.
+      if (!state.isUnderPromotion(group)) breaker.note(false, call.isBreakerProbe)
+      if (error.reach === 'maybe' && isWrite(call)) return unknownOutcome(error.why)
+      return await retry(call)
     }
-    breaker.note(true, call.probe)
-    if (trouble.class === 'UNKNOWN' && isWrite(call)) return unknown(trouble.why)
-    const after = trouble.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
-    if (call.ran !== 'no' && isWrite(call)) return unknown(trouble.why)
-    return refusal(trouble.class, trouble.why, after !== undefined, after)
-  }
-  // A follower that lacks the place has run nothing and is not in trouble; another, or the leader, is asked at once.
-  function behind(call: Call, instance: Instance, loan: CheckedOutConnection): Turn {
+    breaker.note(true, call.isBreakerProbe)
+    if (error.class === 'UNKNOWN' && isWrite(call)) return unknownOutcome(error.why)
+    const retryAfterS = error.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
+    if (call.executed !== 'no' && isWrite(call)) return unknownOutcome(error.why)
+    return refusal(error.class, error.why, retryAfterS !== undefined, retryAfterS)
+  }
+  /**
+   * A follower that lacks the required log position has executed nothing and is healthy: the call goes to another
+   * follower or to the leader at once, and the attempt isn't counted.
+   */
+  function skipLaggingFollower(call: Call, instance: Instance, connection: CheckedOutConnection): StepResult {
     metrics.add('claynotch_reads_behind_total', [['instance', instance.name]])
-    call.behind.add(instance.name)
-    call.sends--
-    loan.end(call.kind === 'read')
-    delete call.loan
+    call.laggingFollowers.add(instance.name)
+    call.attempts--
+    connection.end(call.kind === 'read')
+    delete call.connection
     return 'aim'
   }
-  function unknown(why: string): Verdict {
+  /** The write may or may not have been committed. */
+  function unknownOutcome(why: string): Verdict {
     metrics.add('claynotch_unknown_total')
     return { outcome: 'unknown', class: 'UNKNOWN', kept: 'unknown', again: false, why }
   }
-  // Whether a further send is allowed; sleeps before it, cut short when the caller goes.
-  async function again(call: Call): Promise<Turn> {
-    if (call.sends >= sendsOf(call)) return exhausted(call)
-    const { tokens } = toolsOf(call.lane.group)
-    if (call.sends > 0 && !tokens.spend()) {
+  /**
+   * Ends the call if no further attempt is allowed; else waits for the backoff delay, or until the caller disconnects.
+   */
+  async function retry(call: Call): Promise<StepResult> {
+    if (call.attempts >= maxAttemptsOf(call)) return budgetExhausted(call)
+    const { tokens } = controlsOf(call.lane.group)
+    if (call.attempts > 0 && !tokens.spend()) {
       metrics.add('claynotch_retry_tokens_out_total', [['group', call.lane.group]])
-      return unavailable(call, `the group's retries are used up: ${call.last?.why ?? ''}`, RETRY_AFTER_OVERLOAD_S)
+      return unavailable(call, `the group's retries are used up: ${call.lastError?.why ?? ''}`, RETRY_AFTER_OVERLOAD_S)
     }
-    const wait = backoff(
+    const delayMs = backoff(
       world,
-      Math.max(0, call.sends - 1),
+      Math.max(0, call.attempts - 1),
       call.lane.aim === undefined ? BACKOFF_BASE_MS : Math.min(BACKOFF_BASE_MS, call.lane.aim * BACKOFF_SHARE),
     )
-    // A sleep that would outlast the deadline is not slept: the final answer goes out at once.
-    if (world.now() + wait >= call.deadline) return exhausted(call)
-    await pause(world, wait, call.gone)
+    // If the delay would outlast the deadline, the call ends at once.
+    if (world.now() + delayMs >= call.deadline) return budgetExhausted(call)
+    await pause(world, delayMs, call.callerGone)
     return 'aim'
   }
 
   // --- the interpreter ---
 
+  /** Runs the steps of the call's lane and kind in order, until one returns a verdict. */
   async function run(call: Call): Promise<Settled> {
-    const from = world.now()
-    let at = 0
-    let turn: Turn
+    const startedAt = world.now()
+    let stepIndex = 0
+    let result: StepResult
     for (;;) {
       const program = call.lane.programs.get(call.kind)!
-      const step: Step = program[at]
+      const step: Step = program[stepIndex]
       switch (step.op) {
-        case 'gate':
-          turn = gate(call)
+        case 'check node':
+          result = checkNodeState(call)
           break
         case 'take':
-          turn = admission.admit(call, step.pending)
+          result = admission.admit(call, step.pending)
           break
         case 'breaker':
-          turn = breakerStep(call)
+          result = breakerStep(call)
           break
         case 'aim':
-          turn = await aim(call, step)
+          result = await selectTarget(call, step)
           break
         case 'quota':
-          turn = await quota.reserve(call)
+          result = await quota.reserve(call)
           break
-        case 'borrow':
-          turn = await borrow(call)
+        case 'check out':
+          result = await checkOut(call)
           break
         case 'send':
-          turn = await send(call)
+          result = await send(call)
           break
-        case 'judge':
-          turn = await judge(call)
+        case 'evaluate':
+          result = await evaluate(call)
           break
       }
-      if (turn === undefined) at++
-      else if (turn === 'aim') at = program.findIndex(isAim)
-      else if (turn === 'start') at = 0
+      if (result === undefined) stepIndex++
+      else if (result === 'aim') stepIndex = program.findIndex(selectsTarget)
+      else if (result === 'start') stepIndex = 0
       else break
     }
-    turn = honest(call, turn)
+    result = withoutFalseRefusal(call, result)
     admission.release(call)
     quota.release(call)
-    if (call.probe && turn.outcome !== 'done') toolsOf(call.lane.group).breaker.note(false, true)
+    if (call.isBreakerProbe && result.outcome !== 'done') controlsOf(call.lane.group).breaker.note(false, true)
     metrics.add('claynotch_calls_total', [
       ['lane', call.lane.name],
       ['kind', call.kind],
-      ['outcome', turn.outcome],
-      ['class', turn.class ?? ''],
+      ['outcome', result.outcome],
+      ['class', result.class ?? ''],
     ])
-    metrics.add('claynotch_call_ms_total', [['lane', call.lane.name]], Math.round(world.now() - from))
-    const out: Settled = { verdict: turn }
-    if (turn.outcome === 'done' && call.got?.ok) {
-      out.mark = call.got.val.mark
-      out.epoch = call.target!.epoch
-      out.instance = call.target!.instance.name
-      if (call.loan) out.loan = call.loan
+    metrics.add('claynotch_call_ms_total', [['lane', call.lane.name]], Math.round(world.now() - startedAt))
+    const settled: Settled = { verdict: result }
+    if (result.outcome === 'done' && call.result?.ok) {
+      settled.mark = call.result.val.mark
+      settled.epoch = call.target!.epoch
+      settled.instance = call.target!.instance.name
+      if (call.connection) settled.loan = call.connection
     } else {
-      if (call.loan) call.loan.end(false)
-      kept(call)
+      if (call.connection) call.connection.end(false)
+      releaseBegin(call)
     }
-    return out
+    return settled
   }
-  function isAim(step: Step): boolean {
+  function selectsTarget(step: Step): boolean {
     return step.op === 'aim'
   }
-  function groups(): Map<string, Tools> {
-    return tools
+  function retryControlsByGroup(): Map<string, RetryControls> {
+    return controlsByGroup
   }
-  function highsNow(): Map<string, LogPosition> {
-    return highs
+  function lastWritePositions(): Map<string, LogPosition> {
+    return lastWrites
   }
   return {
     run,
-    tools: toolsOf,
-    groups,
-    stands,
-    writing,
-    holdWrite,
-    opening,
-    kept,
-    needNow: targets.requiredPosition,
-    highs: highsNow,
-    sawWrite,
-    quiet,
-    keys,
+    retryControls: controlsOf,
+    groups: retryControlsByGroup,
+    stands: isEpochCurrent,
+    writing: writesInFlight,
+    holdWrite: addWritesInFlight,
+    opening: beginsInFlight,
+    kept: releaseBegin,
+    needNow: targetSelection.requiredPosition,
+    highs: lastWritePositions,
+    sawWrite: recordWritePosition,
+    quiet: inFlightEnded,
+    keys: keyRefusals,
   }
 }
--- a/packages/proxy/src/key-refusals.ts
+++ b/packages/proxy/src/key-refusals.ts
@@ -12,83 +12,92 @@
 import type { State } from './state.js'
 
 /**
- * Why a client was refused for its key: it has none; an earlier configuration had it here, and the one in force doesn't; none had it
- * here; or none has it, and without a valid lease this node can't tell whether a later one does.
+ * Why a client's API key was refused. no-key: it sent none; removed: an earlier configuration had the key at this node,
+ * and the current one doesn't; unknown: no configuration had it at this node; no-lease: the key isn't known, and
+ * without a valid lease this node can't tell whether a later configuration has it.
  */
 export type KeyRefusalReason = 'no-key' | 'removed' | 'unknown' | 'no-lease'
 
 /**
- * What clients are told whose keys aren't known, and what the operator is told of it: no line and no label holds a key or its hash.
+ * Refuses clients whose API keys aren't known, and reports the refusals to the operator in the log and in metrics. No
+ * log line and no metric label contains a key or its hash.
  *
- * Invariant: that the key is unknown is told under a valid lease alone, as without one the key may have been added since.
+ * Invariant: a client is told that its key is unknown only under a valid lease, as without one the key may have been
+ * added since.
  */
 export type KeyRefusals = {
-  /** What a client of the lane is told; keyHash: of the key that it came with. */
+  /** The answer to a refused client of the lane; keyHash: hash of the key that the client sent. */
   deny: (lane: LaneRules, keyHash: string | undefined) => Verdict
-  /** Compares the rules in force with those before, and tells what was refused since it was told last. To be called often. */
+  /**
+   * Compares the current rules with the previous ones, and logs the refusals not yet logged. To be called periodically.
+   */
   look: () => void
 }
 
-/** A key that was taken away here: who had it last, and the first configuration without it. */
-type Removed = { tenant: string; epoch: number }
-/** A key that was refused here, and since when. */
-type Refused = { times: number; since: number }
-/** What was refused for one reason since the last line that told of it. */
-type Untold = { times: number; keys: Set<string>; lane: string; removed: Removed | undefined }
+/** A key that was removed: the tenant that had it last, and the epoch of the first configuration without it. */
+type RemovedKey = { tenant: string; epoch: number }
+/** A key that was refused at this node: how often, and since when. */
+type RefusedKey = { count: number; since: number }
+/** The refusals for one reason since the last log line about it. */
+type UnreportedRefusals = { count: number; keys: Set<string>; lane: string; removed: RemovedKey | undefined }
 
 export function makeKeyRefusals(world: World, state: State, metrics: Metrics): KeyRefusals {
-  const removed = new LRUCache<string, Removed>({ max: MAX_KEYS_REMEMBERED })
-  const refused = new LRUCache<string, Refused>({ max: MAX_KEYS_REMEMBERED })
-  const untold = new Map<KeyRefusalReason, Untold>()
-  const toldAt = new Map<KeyRefusalReason, number>()
-  let seen: Rules | undefined
+  const removed = new LRUCache<string, RemovedKey>({ max: MAX_KEYS_REMEMBERED })
+  const refused = new LRUCache<string, RefusedKey>({ max: MAX_KEYS_REMEMBERED })
+  const unreported = new Map<KeyRefusalReason, UnreportedRefusals>()
+  const reportedAt = new Map<KeyRefusalReason, number>()
+  let comparedRules: Rules | undefined
 
   // --- changes of the configuration ---
 
-  /** Keys that came since, and those that were refused here before. */
+  /**
+   * Counts the keys that were added or given to another tenant, and reports keys that this node refused before they
+   * were known to it.
+   */
   function notePresent(next: Rules, before: Map<string, Tenant>): { added: number; moved: number } {
     let added = 0
     let moved = 0
-    let late = 0
-    let times = 0
-    let longest = 0
+    let lateKeys = 0
+    let refusals = 0
+    let longestMs = 0
     for (const [hash, tenant] of next.tenants ?? []) {
-      const old = before.get(hash)
-      if (!old) added++
-      else if (old.name !== tenant.name) moved++
+      const previousTenant = before.get(hash)
+      if (!previousTenant) added++
+      else if (previousTenant.name !== tenant.name) moved++
       removed.delete(hash)
-      const missed = refused.get(hash)
-      if (!missed) continue
+      const earlierRefusal = refused.get(hash)
+      if (!earlierRefusal) continue
       refused.delete(hash)
-      late++
-      times += missed.times
-      longest = Math.max(longest, world.now() - missed.since)
+      lateKeys++
+      refusals += earlierRefusal.count
+      longestMs = Math.max(longestMs, world.now() - earlierRefusal.since)
     }
-    if (late > 0) {
-      metrics.add('claynotch_keys_known_late_total', [], late)
-      world.log.warn('keys-known-late', { epoch: next.epoch, keys: late, refused: times, longestMs: longest })
+    if (lateKeys > 0) {
+      metrics.add('claynotch_keys_known_late_total', [], lateKeys)
+      world.log.warn('keys-known-late', { epoch: next.epoch, keys: lateKeys, refused: refusals, longestMs: longestMs })
     }
     return { added, moved }
   }
+  /** Records the keys that were removed, and returns their number. */
   function noteAbsent(next: Rules, before: Map<string, Tenant>): number {
-    let gone = 0
+    let removedCount = 0
     for (const [hash, tenant] of before) {
       if (next.tenants?.has(hash)) continue
-      gone++
+      removedCount++
       removed.set(hash, { tenant: tenant.name, epoch: next.epoch })
     }
-    return gone
+    return removedCount
   }
-  function compare(): void {
-    const next = state.rules()
-    if (next === seen || !next) return
-    const isFirst = seen === undefined
-    const before = seen?.tenants ?? new Map<string, Tenant>()
-    seen = next
-    const { added, moved } = notePresent(next, before)
-    const gone = noteAbsent(next, before)
-    if (!isFirst && added + moved + gone > 0)
-      world.log.info('keys-changed', { epoch: next.epoch, added, removed: gone, moved })
+  function compareRules(): void {
+    const current = state.rules()
+    if (current === comparedRules || !current) return
+    const isFirst = comparedRules === undefined
+    const before = comparedRules?.tenants ?? new Map<string, Tenant>()
+    comparedRules = current
+    const { added, moved } = notePresent(current, before)
+    const removedCount = noteAbsent(current, before)
+    if (!isFirst && added + moved + removedCount > 0)
+      world.log.info('keys-changed', { epoch: current.epoch, added, removed: removedCount, moved })
   }
 
   // --- refusals ---
@@ -98,48 +107,49 @@
     if (keyHash === undefined) return 'no-key'
     return removed.has(keyHash) ? 'removed' : 'unknown'
   }
-  function tell(reason: KeyRefusalReason, what: Untold): void {
-    if (world.now() - (toldAt.get(reason) ?? -Infinity) < KEY_REFUSAL_LOG_INTERVAL_MS) return
-    toldAt.set(reason, world.now())
-    untold.delete(reason)
+  /** Logs the refusals, unless the last line for this reason is too recent. */
+  function report(reason: KeyRefusalReason, unreportedRefusals: UnreportedRefusals): void {
+    if (world.now() - (reportedAt.get(reason) ?? -Infinity) < KEY_REFUSAL_LOG_INTERVAL_MS) return
+    reportedAt.set(reason, world.now())
+    unreported.delete(reason)
     world.log.warn('keys-refused', {
       reason,
-      refused: what.times,
-      keys: what.keys.size,
-      lane: what.lane,
-      epoch: seen?.epoch,
-      tenant: what.removed?.tenant,
-      removedBy: what.removed?.epoch,
+      refused: unreportedRefusals.count,
+      keys: unreportedRefusals.keys.size,
+      lane: unreportedRefusals.lane,
+      epoch: comparedRules?.epoch,
+      tenant: unreportedRefusals.removed?.tenant,
+      removedBy: unreportedRefusals.removed?.epoch,
     })
   }
   function remember(keyHash: string): void {
-    const old = refused.get(keyHash)
-    refused.set(keyHash, { times: (old?.times ?? 0) + 1, since: old?.since ?? world.now() })
+    const previousRefusals = refused.get(keyHash)
+    refused.set(keyHash, { count: (previousRefusals?.count ?? 0) + 1, since: previousRefusals?.since ?? world.now() })
   }
   function note(reason: KeyRefusalReason, lane: string, keyHash: string | undefined): void {
     metrics.add('claynotch_keys_refused_total', [['reason', reason]])
-    const what = untold.get(reason) ?? { times: 0, keys: new Set(), lane, removed: undefined }
-    what.times++
-    what.lane = lane
+    const unreportedRefusals = unreported.get(reason) ?? { count: 0, keys: new Set(), lane, removed: undefined }
+    unreportedRefusals.count++
+    unreportedRefusals.lane = lane
     if (keyHash !== undefined) {
-      if (what.keys.size < MAX_KEYS_REMEMBERED) what.keys.add(keyHash)
-      what.removed = removed.get(keyHash)
+      if (unreportedRefusals.keys.size < MAX_KEYS_REMEMBERED) unreportedRefusals.keys.add(keyHash)
+      unreportedRefusals.removed = removed.get(keyHash)
       if (reason === 'unknown' || reason === 'no-lease') remember(keyHash)
     }
-    untold.set(reason, what)
-    tell(reason, what)
+    unreported.set(reason, unreportedRefusals)
+    report(reason, unreportedRefusals)
   }
-  function deny(lane: LaneRules, keyHash: string | undefined): Verdict {
-    compare()
+  function refuse(lane: LaneRules, keyHash: string | undefined): Verdict {
+    compareRules()
     const reason = reasonFor(keyHash)
     note(reason, lane.name, keyHash)
     if (reason === 'no-lease')
       return refusal('UNAVAILABLE', 'this node holds no valid lease', true, RETRY_AFTER_PROMOTION_S)
     return refusal('PERMISSION_DENIED', 'the key is unknown', false)
   }
-  function look(): void {
-    compare()
-    for (const [reason, what] of untold) tell(reason, what)
+  function refresh(): void {
+    compareRules()
+    for (const [reason, unreportedRefusals] of unreported) report(reason, unreportedRefusals)
   }
-  return { deny, look }
+  return { deny: refuse, look: refresh }
 }
--- a/packages/proxy/src/quota-step.ts
+++ b/packages/proxy/src/quota-step.ts
@@ -15,39 +15,40 @@
 import type { State } from './state.js'
 
 /**
- * The tenants' limits on the way of a call: a single statement, or the beginning of a transaction, is one operation each time that
- * it is sent. Only tenants with a rate are counted.
+ * Applies the tenants' rate quotas to calls: each attempt of a single statement, or of the begin of a transaction, is
+ * one operation. Only tenants with a configured rate are metered.
  *
- * Invariant: nothing of such a tenant is sent but with a reservation of that tenant, which is used up in the same turn.
+ * Invariant: nothing of a metered tenant is sent without a reservation of that tenant, which is consumed synchronously
+ * with the send.
  */
 export type QuotaStep = {
-  /** Reserves the call's next send; a verdict: its tenant is at its limit. */
+  /** Reserves an operation for the call's next attempt; returns a verdict if there is none to be had. */
   reserve: (call: Call) => Promise<Verdict | undefined>
-  /** The call goes out in this turn; false: it must not. */
-  sent: (call: Call) => boolean
-  /** The call is over, or begins anew. */
+  /** Consumes the reservation; the call is to be sent synchronously after it. False: the call must not be sent. */
+  consumeReservation: (call: Call) => boolean
+  /** Cancels the call's reservation, if it has one: the call has ended, or now counts against another tenant. */
   release: (call: Call) => void
 }
 
-/** Whose limit the call counts against. */
+/** The tenant whose quota the call counts against; undefined: the call isn't metered. */
 function meteredTenantOf(call: Call): string | undefined {
   const tenant = call.keyHash === undefined ? undefined : call.rules.tenants?.get(call.keyHash)
   return tenant?.rate === undefined ? undefined : tenant.name
 }
 
-/** ms that the call waits for an allowance. */
-function waitOf(call: Call, now: number): number {
-  const most = Math.max(1, call.deadline - now) * QUOTA_WAIT_SHARE
-  return Math.min(most, call.lane.aim ?? CHECK_OUT_TIMEOUT_MS)
+/** Maximum time in ms that the call waits for an allowance. */
+function allowanceWaitMs(call: Call, now: number): number {
+  const maxWaitMs = Math.max(1, call.deadline - now) * QUOTA_WAIT_SHARE
+  return Math.min(maxWaitMs, call.lane.aim ?? CHECK_OUT_TIMEOUT_MS)
 }
 
 export function makeQuotaStep(
   world: World,
   state: State,
   askAgent: (message: unknown, ms: number) => Promise<unknown>,
-  life: string,
+  processId: string,
   metrics: Metrics,
-  stop: Flag,
+  stopped: Flag,
 ): QuotaStep {
   async function ask(question: QuotaQuestion): Promise<QuotaGrant[] | undefined> {
     const answer = readAs(QuotaAnswer, await askAgent(question, QUOTA_QUESTION_TIMEOUT_MS))
@@ -58,7 +59,7 @@
     return false
   }
   const { valid: isLeased, leasedSince } = state
-  const allowances = makeAllowances(world, { life, isLeased, leasedSince, isActive, ask }, metrics, stop)
+  const allowances = makeAllowances(world, { life: processId, isLeased, leasedSince, isActive, ask }, metrics, stopped)
 
   function release(call: Call): void {
     call.reservation?.cancel()
@@ -68,13 +69,13 @@
     const tenant = meteredTenantOf(call)
     if (call.reservation && call.reservation.tenant !== tenant) release(call)
     if (tenant === undefined || call.reservation) return undefined
-    call.reservation = await allowances.reserve(tenant, waitOf(call, world.now()), call.gone)
+    call.reservation = await allowances.reserve(tenant, allowanceWaitMs(call, world.now()), call.callerGone)
     if (call.reservation) return undefined
-    if (call.gone.fired()) return refusal('ABORTED', 'the requester went away', false)
+    if (call.callerGone.fired()) return refusal('ABORTED', 'the requester went away', false)
     if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     return refusal('RESOURCE_EXHAUSTED', `the tenant ${tenant} is at its limit`, true, RETRY_AFTER_QUOTA_S)
   }
-  function sent(call: Call): boolean {
+  function consumeReservation(call: Call): boolean {
     const tenant = meteredTenantOf(call)
     if (tenant === undefined) return true
     const { reservation } = call
@@ -82,5 +83,5 @@
     delete call.reservation
     return reservation.sent()
   }
-  return { reserve, sent, release }
+  return { reserve, consumeReservation: consumeReservation, release }
 }
--- a/packages/proxy/src/retry.ts
+++ b/packages/proxy/src/retry.ts
@@ -14,168 +14,194 @@
   type World,
 } from '@claynotch/base'
 
-// The retry policy of one node, by group: pauses, tokens, breaker, alert. docs/retry.md tells where each comes from.
+// Retry policy of one node, kept for each group: backoff, retry tokens, circuit breaker and alert. docs/retry.md gives
+// the reasons for the values.
 
-export function backoff(world: World, sends: number, first = BACKOFF_BASE_MS): number {
-  const base = 2 ** sends * first
-  return base + world.random() * (base / 2)
+/** Delay before the next attempt in ms: doubles with each attempt, plus up to half of it at random. */
+export function backoff(world: World, attempts: number, firstDelayMs = BACKOFF_BASE_MS): number {
+  const baseDelayMs = 2 ** attempts * firstDelayMs
+  return baseDelayMs + world.random() * (baseDelayMs / 2)
 }
 
-// --- tokens: a cap on retries, summed over nodes ---
-// Invariants: 0 <= left <= RETRY_TOKENS; a first send adds, a retry takes.
-// A retry costs double while the fleet as a whole, by the summaries, retries more than it may.
-export type Tokens = { first: () => void; spend: () => boolean; recent: () => { firsts: number; retries: number } }
+// --- retry tokens ---
 
-export function makeTokens(world: World, others: () => { firsts: number; retries: number }): Tokens {
-  let left = RETRY_TOKENS
-  let cut = world.now()
-  let last = { firsts: 0, retries: 0 }
-  let now = { firsts: 0, retries: 0 }
-  // Two buckets of 2 s make a window that rolls.
-  function roll(): void {
-    if (world.now() - cut < 2000) return
-    last = world.now() - cut < 4000 ? now : { firsts: 0, retries: 0 }
-    now = { firsts: 0, retries: 0 }
-    cut = world.now()
+/**
+ * Token bucket that limits retries, with regard to the retries of all nodes. A retry costs double while the whole
+ * fleet, by the nodes' summaries, retries more than it may (RETRY_TOKENS_PER_ATTEMPT of the first attempts).
+ *
+ * Invariants: 0 <= tokensLeft <= RETRY_TOKENS; a first attempt adds tokens, a retry takes them.
+ */
+export type RetryTokens = {
+  /** Counts a first attempt. */
+  first: () => void
+  /** Takes the tokens for a retry; false: too few are left. */
+  spend: () => boolean
+  /** This node's first attempts and retries of the last 2 to 4 s. */
+  recent: () => { firsts: number; retries: number }
+}
+
+/** otherNodes: the recent counts of the other nodes. */
+export function makeTokens(world: World, otherNodes: () => { firsts: number; retries: number }): RetryTokens {
+  let tokensLeft = RETRY_TOKENS
+  let bucketStartedAt = world.now()
+  let previousBucket = { firsts: 0, retries: 0 }
+  let currentBucket = { firsts: 0, retries: 0 }
+  /** Two buckets of 2 s form a rolling window. */
+  function rollBuckets(): void {
+    if (world.now() - bucketStartedAt < 2000) return
+    previousBucket = world.now() - bucketStartedAt < 4000 ? currentBucket : { firsts: 0, retries: 0 }
+    currentBucket = { firsts: 0, retries: 0 }
+    bucketStartedAt = world.now()
   }
-  function recent(): { firsts: number; retries: number } {
-    roll()
-    return { firsts: last.firsts + now.firsts, retries: last.retries + now.retries }
+  function recentCounts(): { firsts: number; retries: number } {
+    rollBuckets()
+    return {
+      firsts: previousBucket.firsts + currentBucket.firsts,
+      retries: previousBucket.retries + currentBucket.retries,
+    }
   }
-  function first(): void {
-    roll()
-    now.firsts++
-    left = Math.min(RETRY_TOKENS, left + RETRY_TOKENS_PER_ATTEMPT)
+  function noteFirstAttempt(): void {
+    rollBuckets()
+    currentBucket.firsts++
+    tokensLeft = Math.min(RETRY_TOKENS, tokensLeft + RETRY_TOKENS_PER_ATTEMPT)
   }
-  function spend(): boolean {
-    roll()
-    const mine = recent()
-    const all = others()
-    const firsts = mine.firsts + all.firsts
-    const retries = mine.retries + all.retries
+  function spendOnRetry(): boolean {
+    rollBuckets()
+    const ownCounts = recentCounts()
+    const fleetCounts = otherNodes()
+    const firsts = ownCounts.firsts + fleetCounts.firsts
+    const retries = ownCounts.retries + fleetCounts.retries
     const cost = retries > RETRY_TOKENS && retries > RETRY_TOKENS_PER_ATTEMPT * firsts ? 2 : 1
-    if (left < cost) return false
-    left -= cost
-    now.retries++
+    if (tokensLeft < cost) return false
+    tokensLeft -= cost
+    currentBucket.retries++
     return true
   }
-  return { first, spend, recent }
+  return { first: noteFirstAttempt, spend: spendOnRetry, recent: recentCounts }
 }
 
-// --- breaker ---
-// closed -> open when the failure rate over a window is sustained; open -> half after a pause with jitter;
-// half lets one probe through at a time: enough good ones in a row close it, a bad one opens it again.
+// --- circuit breaker ---
+
+/**
+ * Circuit breaker of one group. closed -> open when the failure rate over a window reaches its limit; open -> half
+ * (half-open) after a delay with jitter. Half-open lets one probe through at a time: enough successes in a row close
+ * it, a failure opens it.
+ */
 export type Breaker = {
+  /** Whether a call may be sent; in state half it becomes the probe. */
   pass: () => boolean
-  note: (good: boolean, probe: boolean) => void
-  probing: () => boolean
+  /** Records the result of an attempt. */
+  note: (isSuccess: boolean, wasProbe: boolean) => void
+  isProbing: () => boolean
   state: () => 'closed' | 'open' | 'half'
 }
 
 export function makeBreaker(world: World, group: string, metrics: Metrics): Breaker {
   let state: 'closed' | 'open' | 'half' = 'closed'
-  let cut = world.now()
-  let good = 0
-  let bad = 0
-  let oldGood = 0
-  let oldBad = 0
-  let until = 0
-  let probe = false
-  let probeAt = 0
-  let row = 0
+  let bucketStartedAt = world.now()
+  let successes = 0
+  let failures = 0
+  let previousSuccesses = 0
+  let previousFailures = 0
+  let openUntil = 0
+  let isProbeInFlight = false
+  let probeStartedAt = 0
+  let consecutiveSuccesses = 0
 
-  function turn(to: 'closed' | 'open' | 'half'): void {
-    state = to
-    metrics.set('claynotch_breaker_open', [['group', group]], to === 'closed' ? 0 : 1)
-    world.log.warn('breaker', { group, state: to })
+  function setState(newState: 'closed' | 'open' | 'half'): void {
+    state = newState
+    metrics.set('claynotch_breaker_open', [['group', group]], newState === 'closed' ? 0 : 1)
+    world.log.warn('breaker', { group, state: newState })
   }
-  function roll(): void {
+  function rollBuckets(): void {
     const now = world.now()
-    if (now - cut < BREAKER_WINDOW_MS / 2) return
-    const near = now - cut < BREAKER_WINDOW_MS
-    oldGood = near ? good : 0
-    oldBad = near ? bad : 0
-    good = 0
-    bad = 0
-    cut = now
+    if (now - bucketStartedAt < BREAKER_WINDOW_MS / 2) return
+    const isPreviousBucketRecent = now - bucketStartedAt < BREAKER_WINDOW_MS
+    previousSuccesses = isPreviousBucketRecent ? successes : 0
+    previousFailures = isPreviousBucketRecent ? failures : 0
+    successes = 0
+    failures = 0
+    bucketStartedAt = now
   }
-  function openNow(): void {
-    until = world.now() + BREAKER_OPEN_MS * (1 + world.random() / 2)
-    good = bad = oldGood = oldBad = row = 0
-    probe = false
-    turn('open')
+  function open(): void {
+    openUntil = world.now() + BREAKER_OPEN_MS * (1 + world.random() / 2)
+    successes = failures = previousSuccesses = previousFailures = consecutiveSuccesses = 0
+    isProbeInFlight = false
+    setState('open')
     metrics.add('claynotch_breaker_opened_total', [['group', group]])
   }
-  function pass(): boolean {
+  function allows(): boolean {
     if (state === 'closed') return true
     const now = world.now()
     if (state === 'open') {
-      if (now < until) return false
-      turn('half')
+      if (now < openUntil) return false
+      setState('half')
     }
-    // A probe whose end was never told (its caller went away) does not hold the breaker for ever.
-    if (probe && now - probeAt < BREAKER_WINDOW_MS * 2) return false
-    probe = true
-    probeAt = now
+    // A probe whose result was never recorded (its caller disconnected) blocks further probes for a bounded time only.
+    if (isProbeInFlight && now - probeStartedAt < BREAKER_WINDOW_MS * 2) return false
+    isProbeInFlight = true
+    probeStartedAt = now
     return true
   }
-  function note(isGood: boolean, wasProbe: boolean): void {
+  function record(isSuccess: boolean, wasProbe: boolean): void {
     if (state === 'half') {
       if (!wasProbe) return
-      probe = false
-      if (!isGood) openNow()
-      else if (++row >= BREAKER_PROBES) {
-        row = 0
-        cut = world.now()
-        turn('closed')
+      isProbeInFlight = false
+      if (!isSuccess) open()
+      else if (++consecutiveSuccesses >= BREAKER_PROBES) {
+        consecutiveSuccesses = 0
+        bucketStartedAt = world.now()
+        setState('closed')
       }
       return
     }
     if (state === 'open') return
-    roll()
-    if (isGood) good++
-    else bad++
-    const all = good + bad + oldGood + oldBad
-    if (all >= BREAKER_MIN_RESULTS && bad + oldBad >= BREAKER_FAILURE_RATE * all) openNow()
+    rollBuckets()
+    if (isSuccess) successes++
+    else failures++
+    const results = successes + failures + previousSuccesses + previousFailures
+    if (results >= BREAKER_MIN_RESULTS && failures + previousFailures >= BREAKER_FAILURE_RATE * results) open()
   }
-  function probing(): boolean {
+  function isProbing(): boolean {
     return state === 'half'
   }
-  function stateNow(): 'closed' | 'open' | 'half' {
+  function currentState(): 'closed' | 'open' | 'half' {
     return state
   }
-  return { pass, note, probing, state: stateNow }
+  return { pass: allows, note: record, isProbing, state: currentState }
 }
 
-// --- alert: budgets exhausted over calls that were retried or waited ---
-export type Alert = { note: (exhausted: boolean) => void; raised: () => boolean }
+// --- exhaustion alert ---
+
+/** Alert on the share of calls that exhausted their retry budget, among the calls that were retried or waited. */
+export type ExhaustionAlert = { note: (isExhausted: boolean) => void; raised: () => boolean }
 
-export function makeAlert(world: World, group: string, metrics: Metrics): Alert {
-  let cut = world.now()
-  let all = 0
-  let out = 0
-  let raised = false
-  function judge(): void {
-    const is = all >= EXHAUSTION_MIN_RESULTS && out > EXHAUSTION_ALERT_RATE * all
-    if (is === raised) return
-    if (!is && all < EXHAUSTION_MIN_RESULTS) return
-    raised = is
-    metrics.set('claynotch_retry_alert', [['group', group]], is ? 1 : 0)
-    if (is) world.log.error('retry-budget-alert', { group, exhausted: out, retried: all })
-    else world.log.info('retry-budget-alert-over', { group, exhausted: out, retried: all })
+export function makeExhaustionAlert(world: World, group: string, metrics: Metrics): ExhaustionAlert {
+  let windowStartedAt = world.now()
+  let retriedCalls = 0
+  let exhaustedCalls = 0
+  let isRaised = false
+  function updateAlert(): void {
+    const shouldRaise = retriedCalls >= EXHAUSTION_MIN_RESULTS && exhaustedCalls > EXHAUSTION_ALERT_RATE * retriedCalls
+    if (shouldRaise === isRaised) return
+    if (!shouldRaise && retriedCalls < EXHAUSTION_MIN_RESULTS) return
+    isRaised = shouldRaise
+    metrics.set('claynotch_retry_alert', [['group', group]], shouldRaise ? 1 : 0)
+    if (shouldRaise) world.log.error('retry-budget-alert', { group, exhausted: exhaustedCalls, retried: retriedCalls })
+    else world.log.info('retry-budget-alert-over', { group, exhausted: exhaustedCalls, retried: retriedCalls })
   }
-  function note(exhausted: boolean): void {
-    if (world.now() - cut > EXHAUSTION_WINDOW_MS) {
-      cut = world.now()
-      all = 0
-      out = 0
+  function record(isExhausted: boolean): void {
+    if (world.now() - windowStartedAt > EXHAUSTION_WINDOW_MS) {
+      windowStartedAt = world.now()
+      retriedCalls = 0
+      exhaustedCalls = 0
     }
-    all++
-    if (exhausted) out++
-    judge()
+    retriedCalls++
+    if (isExhausted) exhaustedCalls++
+    updateAlert()
   }
-  function raisedNow(): boolean {
-    return raised
+  function isAlertRaised(): boolean {
+    return isRaised
   }
-  return { note, raised: raisedNow }
+  return { note: record, raised: isAlertRaised }
 }
--- a/packages/proxy/src/rules.ts
+++ b/packages/proxy/src/rules.ts
@@ -9,52 +9,61 @@
   type Tenant,
 } from '@claynotch/operator'
 
-// The way of a request: a short list of steps, compiled from the configuration for each lane and kind of call.
-// The interpreter (interpret.ts) runs them in order; judge ends the call or goes back to aim.
+/**
+ * One step of a call. The steps are compiled from the configuration for each lane and kind of call; the interpreter
+ * (interpret.ts) runs them in order, and evaluate ends the call or returns to aim for a retry.
+ */
 export type Step =
-  | { op: 'gate' } // a valid term, and this node not stopping
-  | { op: 'take'; pending: number } // a place among the lane's pending calls
-  | { op: 'breaker' } // the group's breaker lets it pass
-  | { op: 'aim'; at: 'leader' } // the group's leader, waited for while a promotion is under way
-  | { op: 'aim'; at: 'fresh'; within: number; own: boolean } // a follower proved fresh enough, else the leader
-  | { op: 'quota' } // within what the tenant may run
-  | { op: 'borrow' } // one connection, with the session's settings and shapes in force
+  | { op: 'check node' } // this node has a valid lease and a connection share, and isn't stopping
+  | { op: 'take'; pending: number } // admission: the lane has fewer than this many pending calls
+  | { op: 'breaker' } // the group's circuit breaker lets the call through
+  | { op: 'aim'; at: 'leader' } // selects the group's leader, and waits for one during a promotion
+  | { op: 'aim'; at: 'fresh'; within: number; own: boolean } // selects a follower proved fresh enough, else the leader
+  | { op: 'quota' } // reserves an operation of the tenant's quota
+  | { op: 'check out' } // checks out a connection, with the session's settings and shapes applied
   | { op: 'send' }
-  | { op: 'judge' }
+  | { op: 'evaluate' }
 
-export type Kind = 'read' | 'write' | 'begin read' | 'begin write'
-// limit: ms that one statement may take. aim: ms that a call should be answered within. sends: most sends of a call.
-// move: the phase of the move that the lane is in, from where it stops anything.
-// groupSince: from when (local time, ms) this node has known the lane to be of this group and not of another; 0 where it never knew
-// it to be of another.
+export type CallKind = 'read' | 'write' | 'begin read' | 'begin write'
+/** The rules of one lane: a named route to a group and database. */
 export type LaneRules = {
   name: string
   group: string
+  /**
+   * Since when (local time, ms) this node has known the lane to belong to this group and not to another; 0 if it never
+   * knew it to belong to another.
+   */
   groupSince: number
   team: string
   database: string
-  pending: number
+  maxPending: number
+  /** ms that one statement may take. */
   limit: number | undefined
+  /** Target latency: ms within which a call should be answered. */
   aim: number | undefined
+  /** Maximum number of attempts of a call. */
   sends: number | undefined
-  programs: Map<Kind, Step[]>
-  /** Nobody is asked for a key. */
+  programs: Map<CallKind, Step[]>
+  /** No API key is required. */
   isPublic: boolean
+  /** The phase of the move that the lane is in; undefined for the phase copy, which stops nothing. */
   move: Exclude<Move['phase'], 'copy'> | undefined
 }
-// share, sessions and pending by team; a lane without a team belongs to the team ''.
-// transactionIdle: ms; a transaction that rests for longer may be ended.
-// since: when this node began to work by them. bases: the first lane of each database.
+/** The rules compiled from one configuration. A lane without a team belongs to the team ''. */
 export type Rules = {
   epoch: number
+  /** When this node began to work by these rules. */
   since: number
   lanes: Map<string, LaneRules>
+  /** The first lane of each database. */
   bases: Map<string, LaneRules>
-  shares: Map<string, number>
+  /** The share of the connections by team. */
+  connectionShares: Map<string, number>
   sessions: Map<string, number>
-  pending: Map<string, number>
+  maxPending: Map<string, number>
+  /** ms after which an idle transaction may be ended. */
   transactionIdle: number | undefined
-  /** By the hash of each of their keys; undefined: no key is asked for. */
+  /** The tenants by the hash of each of their API keys; undefined: no key is required. */
   tenants: Map<string, Tenant> | undefined
   policy: { policy: Policy; fallback: string } | undefined
 }
@@ -65,49 +74,49 @@
   return before.group === group ? before.groupSince : now
 }
 
-/** previous: the rules that these replace. */
+/** Compiles a configuration into rules; previous: the rules that they replace. */
 export function compile(
   config: Config,
   epoch: number,
   moves: Move[],
-  since: number,
+  appliedAt: number,
   previous: Rules | undefined = undefined,
 ): Rules {
   const lanes = new Map<string, LaneRules>()
-  const bases = new Map<string, LaneRules>()
+  const laneByDatabase = new Map<string, LaneRules>()
   for (const lane of config.lanes) {
-    const pending = lane.pending ?? MAX_QUEUED_CALLS
+    const maxPending = lane.pending ?? MAX_QUEUED_CALLS
     const phase = moveOf(moves, lane.name)?.phase
-    const lead: Step = { op: 'aim', at: 'leader' }
-    const near: Step =
+    const toLeader: Step = { op: 'aim', at: 'leader' }
+    const forReads: Step =
       lane.reads === 'leader'
-        ? lead
+        ? toLeader
         : { op: 'aim', at: 'fresh', within: lane.reads.within, own: lane.reads.own === true }
-    const programs = new Map<Kind, Step[]>()
-    for (const [kind, aim] of [
-      ['read', near],
-      ['write', lead],
-      ['begin read', near],
-      ['begin write', lead],
-    ] as [Kind, Step][]) {
+    const programs = new Map<CallKind, Step[]>()
+    for (const [kind, selectTarget] of [
+      ['read', forReads],
+      ['write', toLeader],
+      ['begin read', forReads],
+      ['begin write', toLeader],
+    ] as [CallKind, Step][]) {
       programs.set(kind, [
-        { op: 'gate' },
-        { op: 'take', pending },
+        { op: 'check node' },
+        { op: 'take', pending: maxPending },
         { op: 'breaker' },
-        aim,
+        selectTarget,
         { op: 'quota' },
-        { op: 'borrow' },
+        { op: 'check out' },
         { op: 'send' },
-        { op: 'judge' },
+        { op: 'evaluate' },
       ])
     }
-    const one: LaneRules = {
+    const laneRules: LaneRules = {
       name: lane.name,
       group: lane.group,
-      groupSince: groupSinceOf(lane.name, lane.group, since, previous),
+      groupSince: groupSinceOf(lane.name, lane.group, appliedAt, previous),
       team: lane.team ?? '',
       database: lane.database,
-      pending,
+      maxPending: maxPending,
       limit: lane.limit,
       aim: lane.aim,
       sends: lane.sends,
@@ -115,27 +124,27 @@
       isPublic: lane.public === true,
       move: phase === 'copy' ? undefined : phase,
     }
-    lanes.set(lane.name, one)
-    if (!bases.has(lane.database)) bases.set(lane.database, one)
+    lanes.set(lane.name, laneRules)
+    if (!laneByDatabase.has(lane.database)) laneByDatabase.set(lane.database, laneRules)
   }
-  const shares = new Map<string, number>()
-  const sessions = new Map<string, number>()
-  const pending = new Map<string, number>()
+  const connectionShares = new Map<string, number>()
+  const maxSessions = new Map<string, number>()
+  const maxPending = new Map<string, number>()
   for (const team of config.teams ?? []) {
-    shares.set(team.name, team.share ?? 1)
-    if (team.sessions !== undefined) sessions.set(team.name, team.sessions)
-    if (team.pending !== undefined) pending.set(team.name, team.pending)
+    connectionShares.set(team.name, team.share ?? 1)
+    if (team.sessions !== undefined) maxSessions.set(team.name, team.sessions)
+    if (team.pending !== undefined) maxPending.set(team.name, team.pending)
   }
-  // It compiled when the configuration was taken; if it doesn't here, every call goes to the fallback.
+  // The policy compiled when the configuration was accepted; if it doesn't compile here, every call uses the fallback.
   const policy = config.policy ? compilePolicy(config.policy.lua) : undefined
   return {
     epoch,
-    since,
+    since: appliedAt,
     lanes,
-    bases,
-    shares,
-    sessions,
-    pending,
+    bases: laneByDatabase,
+    connectionShares: connectionShares,
+    sessions: maxSessions,
+    maxPending: maxPending,
     transactionIdle: config.transactionIdle,
     tenants: tenantsByKey(config.tenants),
     policy: config.policy && policy?.ok ? { policy: policy.val, fallback: config.policy.fallback } : undefined,
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -12,228 +12,270 @@
 } from '@claynotch/register'
 import { compile, type Rules } from './rules.js'
 
-// Invariants: a turn never goes back; work under a cell is done only while now < until;
-// rules are those of the configuration in the cell and of no other.
-type Cell = { turn: number; until: number; body: unknown; since: number }
+/**
+ * A replicated record (the configuration, the connection shares or a group) as the agent last sent it, with its lease.
+ *
+ * Invariants: a version never goes back; work that relies on a record is done only while now < leaseExpiresAt; the
+ * rules in force are compiled from the configuration record and from nothing else.
+ */
+type LeasedRecord = { version: number; leaseExpiresAt: number; body: unknown; appliedAt: number }
 
-export type Known = { record: GroupRecord; turn: number; until: number; since: number }
+/** A group's record, its version, when its lease expires and when it was applied here (local time, ms). */
+export type KnownGroup = { record: GroupRecord; turn: number; until: number; since: number }
 
+/**
+ * What the proxy knows of the fleet from its agent's feeds: the replicated records, the instances and the other nodes.
+ */
 export type State = {
-  take: (f: AgentFeed) => void
-  // Ends all terms at once, at shutdown.
+  /** Applies a feed. */
+  take: (feed: AgentFeed) => void
+  /** Expires all leases at once, at shutdown. */
   halt: () => void
+  /** The rules in force, compiled from the configuration. */
   rules: () => Rules | undefined
   config: () => Config | undefined
-  // Whether the configuration's term runs.
+  /** Whether the configuration's lease is valid. */
   valid: () => boolean
-  // Since when (local time, ms) that term has run without a break, if it runs.
+  /** Since when (local time, ms) that lease has been valid without a gap, if it is valid. */
   leasedSince: () => number
-  // Whether this node holds a share of the instances' connections.
+  /** Whether this node holds a share of the instances' connections. */
   share: () => boolean
-  // Live members that have a proxy, at least 1.
-  live: () => number
-  group: (name: string) => Known | undefined
-  // Whether a write of the lane that went to the group at that time may be told done, if a move was on its way.
-  counts: (lane: string, group: string, sent: number) => boolean
-  // Whether a group of that name is configured, or ever had a leader here.
+  /** Number of live members that have a proxy, at least 1. */
+  liveProxies: () => number
+  /** The group's record, whether or not its lease is still valid. */
+  group: (name: string) => KnownGroup | undefined
+  /** Whether a write of the lane that was sent to the group at that time may be acknowledged, with regard to moves. */
+  counts: (lane: string, group: string, sentAt: number) => boolean
+  /** Whether a group of that name is configured, or a record of it was received. */
   knows: (name: string) => boolean
+  /** The status of each instance by its name, as the agent last sent it. */
   sights: () => Map<string, InstanceStatus>
-  gone: (name: string) => boolean
-  // ms since any node that we heard of learned that the instance leaves; 0 if it doesn't.
+  /** Whether the instance is leaving or has signed off. */
+  isLeaving: (name: string) => boolean
+  /** ms since the first node known here learned that the instance is leaving; 0 if it isn't. */
   goneFor: (name: string) => number
-  moving: (group: string) => boolean
-  others: (group: string) => { firsts: number; retries: number }
+  /** Whether any node knows the group to be under promotion. */
+  isUnderPromotion: (group: string) => boolean
+  /** Recent first attempts and retries of the other nodes. */
+  retriesOnOtherNodes: (group: string) => { firsts: number; retries: number }
   node: () => string
   area: () => string
+  /** The version of each record by its key. */
   turns: () => Map<string, number>
+  /** Fires after each feed, and at shutdown. */
   bell: Signal
 }
 
 export function makeState(world: World): State {
-  const cells = new Map<string, Cell>()
-  const signal = makeSignal()
+  const records = new Map<string, LeasedRecord>()
+  const changed = makeSignal()
   let rules: Rules | undefined
-  let made = ''
-  // shut: when each lane was last seen in a phase of a move in which its writes don't count. unbroken: since when this
-  // node has worked under the configuration without a break.
-  const shut = new Map<string, number>()
-  let unbroken = 0
-  let sights = new Map<string, InstanceStatus>()
-  let leaving = new Set<string>()
-  let moving = new Map<string, number>()
-  let tries = new Map<string, { firsts: number; retries: number }>()
-  // departed: instances that signed off, by the groups' records; departedOf: the same by group.
+  let appliedRulesKey = ''
+  /** When each lane was last seen in a phase of a move (quiet or held) in which its writes aren't acknowledged. */
+  const lastBlockedAt = new Map<string, number>()
+  /** Since when the configuration's lease has been valid without a gap. */
+  let leaseUnbrokenSince = 0
+  let statuses = new Map<string, InstanceStatus>()
+  let leavingHints = new Set<string>()
+  let promotionEpochs = new Map<string, number>()
+  let retryCounts = new Map<string, { firsts: number; retries: number }>()
+  /** Instances that signed off according to the groups' records. */
   const departed = new Set<string>()
-  const departedOf = new Map<string, string[]>()
-  const goneSince = new Map<string, number>()
+  const departedByGroup = new Map<string, string[]>()
+  const leavingSince = new Map<string, number>()
   let live = 1
   let node = ''
   let area = ''
-  let halted = false
+  let isHalted = false
 
-  function take(f: AgentFeed): void {
-    if (halted) return
-    node = f.node
-    area = f.area
-    live = f.live
-    for (const c of f.cells) {
-      const old = cells.get(c.key)
-      if (old && c.turn < old.turn) continue
-      if (old && c.turn === old.turn) {
-        if (c.key === CONFIG_KEY && old.until <= world.now()) unbroken = world.now()
-        old.until = Math.max(old.until, c.until)
+  function applyFeed(feed: AgentFeed): void {
+    if (isHalted) return
+    node = feed.node
+    area = feed.area
+    live = feed.live
+    for (const cell of feed.cells) {
+      const previous = records.get(cell.key)
+      if (previous && cell.turn < previous.version) continue
+      if (previous && cell.turn === previous.version) {
+        if (cell.key === CONFIG_KEY && previous.leaseExpiresAt <= world.now()) leaseUnbrokenSince = world.now()
+        previous.leaseExpiresAt = Math.max(previous.leaseExpiresAt, cell.until)
         continue
       }
-      // A newer turn whose body did not come along can't be applied; the agent sends it once more on a new link.
-      if (c.body === undefined) continue
-      // A time up to which nothing newer than the old turn was known to a majority holds for a newer turn as well.
-      if (c.key === CONFIG_KEY && (!old || old.until <= world.now())) unbroken = world.now()
-      cells.set(c.key, { turn: c.turn, until: Math.max(old?.until ?? 0, c.until), body: c.body, since: world.now() })
-      if (c.key === CONFIG_KEY) {
-        const body = c.body as Body
-        const mine = configFor(body, area)
-        // A turn that only kept a decision leaves the rules as they are.
-        const next = `${mine.epoch} ${JSON.stringify(mine.moves)}`
-        if (next !== made)
-          rules = mine.config ? compile(mine.config, mine.epoch, mine.moves, world.now(), rules) : undefined
-        made = next
-        for (const m of mine.moves)
-          if (m.phase === 'quiet' || m.phase === 'held') for (const lane of m.lanes) shut.set(lane, world.now())
-        world.log.info('configuration-applied', { epoch: mine.epoch, turn: c.turn })
-      } else if (groupOf(c.key) !== undefined) {
-        const rec = c.body as GroupRecord
-        takeDeparted(groupOf(c.key) as string, rec, old === undefined)
+      // A newer version without its body can't be applied; the agent sends it again on a new link.
+      if (cell.body === undefined) continue
+      // If a majority is known to have nothing newer than the previous version until some time, it has nothing newer
+      // than this version until then either, so the later of the two expiries holds.
+      if (cell.key === CONFIG_KEY && (!previous || previous.leaseExpiresAt <= world.now()))
+        leaseUnbrokenSince = world.now()
+      records.set(cell.key, {
+        version: cell.turn,
+        leaseExpiresAt: Math.max(previous?.leaseExpiresAt ?? 0, cell.until),
+        body: cell.body,
+        appliedAt: world.now(),
+      })
+      if (cell.key === CONFIG_KEY) {
+        const body = cell.body as Body
+        const ownConfig = configFor(body, area)
+        // A version that only records a decision leaves the rules as they are.
+        const nextRulesKey = `${ownConfig.epoch} ${JSON.stringify(ownConfig.moves)}`
+        if (nextRulesKey !== appliedRulesKey)
+          rules = ownConfig.config
+            ? compile(ownConfig.config, ownConfig.epoch, ownConfig.moves, world.now(), rules)
+            : undefined
+        appliedRulesKey = nextRulesKey
+        for (const move of ownConfig.moves)
+          if (move.phase === 'quiet' || move.phase === 'held')
+            for (const lane of move.lanes) lastBlockedAt.set(lane, world.now())
+        world.log.info('configuration-applied', { epoch: ownConfig.epoch, turn: cell.turn })
+      } else if (groupOf(cell.key) !== undefined) {
+        const record = cell.body as GroupRecord
+        applyDeparted(groupOf(cell.key) as string, record, previous === undefined)
         world.log.info('group-applied', {
-          group: groupOf(c.key),
-          phase: rec.phase,
-          epoch: rec.epoch,
-          leader: rec.leader,
+          group: groupOf(cell.key),
+          phase: record.phase,
+          epoch: record.epoch,
+          leader: record.leader,
         })
       }
     }
-    sights = new Map()
-    for (const s of f.sights) sights.set(s.name, s)
-    leaving = new Set(f.leaving)
-    moving = new Map(f.moving)
-    tries = new Map()
-    for (const [g, firsts, retries] of f.tries) tries.set(g, { firsts, retries })
+    statuses = new Map()
+    for (const status of feed.sights) statuses.set(status.name, status)
+    leavingHints = new Set(feed.leaving)
+    promotionEpochs = new Map(feed.moving)
+    retryCounts = new Map()
+    for (const [groupName, firsts, retries] of feed.tries) retryCounts.set(groupName, { firsts, retries })
     const now = world.now()
-    // Since when any of us knew, by the notice's own age; by a hint alone, since now.
-    for (const [name, one] of sights)
-      if (gone(name))
-        goneSince.set(name, Math.min(goneSince.get(name) ?? now, one.leaving ? now - one.age - (one.gone ?? 0) : now))
-    for (const name of goneSince.keys()) if (!gone(name)) goneSince.delete(name)
-    signal.notify()
-  }
-  /** isFirst: nothing is known of when they signed off, so their time to get work may be over. */
-  function takeDeparted(group: string, record: GroupRecord, isFirst: boolean): void {
+    // The earliest time at which any node knew of the leaving, by the age of the notice; now, if only a hint tells of
+    // it.
+    for (const [name, status] of statuses)
+      if (isLeaving(name))
+        leavingSince.set(
+          name,
+          Math.min(leavingSince.get(name) ?? now, status.leaving ? now - status.age - (status.gone ?? 0) : now),
+        )
+    for (const name of leavingSince.keys()) if (!isLeaving(name)) leavingSince.delete(name)
+    changed.notify()
+  }
+  /**
+   * Applies the instances that the group's record lists as signed off. isFirst: when they signed off is unknown, so
+   * their grace period may be over.
+   */
+  function applyDeparted(group: string, record: GroupRecord, isFirst: boolean): void {
     const names = record.departed ?? []
-    for (const name of departedOf.get(group) ?? []) if (!names.includes(name)) departed.delete(name)
-    departedOf.set(group, names)
+    for (const name of departedByGroup.get(group) ?? []) if (!names.includes(name)) departed.delete(name)
+    departedByGroup.set(group, names)
     for (const name of names) {
       if (departed.has(name)) continue
       departed.add(name)
       const since = isFirst ? -Infinity : world.now()
-      goneSince.set(name, Math.min(goneSince.get(name) ?? Infinity, since))
+      leavingSince.set(name, Math.min(leavingSince.get(name) ?? Infinity, since))
     }
   }
-  function halt(): void {
-    halted = true
-    for (const c of cells.values()) c.until = 0
-    signal.notify()
+  function expireLeases(): void {
+    isHalted = true
+    for (const leased of records.values()) leased.leaseExpiresAt = 0
+    changed.notify()
   }
   function config(): Config | undefined {
-    const body = cells.get(CONFIG_KEY)?.body as Body | undefined
+    const body = records.get(CONFIG_KEY)?.body as Body | undefined
     return body ? (configFor(body, area).config ?? undefined) : undefined
   }
-  function valid(): boolean {
-    const c = cells.get(CONFIG_KEY)
-    return c !== undefined && world.now() < c.until
+  function hasValidLease(): boolean {
+    const leased = records.get(CONFIG_KEY)
+    return leased !== undefined && world.now() < leased.leaseExpiresAt
   }
   function leasedSince(): number {
-    return unbroken
+    return leaseUnbrokenSince
   }
-  function share(): boolean {
-    // Shares by the live proxies need no register: whoever has a term has one.
+  function hasConnectionShare(): boolean {
+    // Where connections are divided among the live proxies, no slot is needed: every node with a valid lease has a
+    // share.
     const size = config()?.proxies ?? 0
-    if (size === 'live') return valid()
-    const c = cells.get(SHARES_KEY)
-    if (!c || world.now() >= c.until) return false
-    const { slots } = c.body as ConnectionShares
-    const at = shareOf(slots, node)
-    return at >= 0 && at < size && slots[at]?.ready === true
-  }
-  function liveNow(): number {
+    if (size === 'live') return hasValidLease()
+    const leased = records.get(SHARES_KEY)
+    if (!leased || world.now() >= leased.leaseExpiresAt) return false
+    const { slots } = leased.body as ConnectionShares
+    const slot = shareOf(slots, node)
+    return slot >= 0 && slot < size && slots[slot]?.ready === true
+  }
+  function liveProxies(): number {
     return live
   }
-  function group(name: string): Known | undefined {
-    const c = cells.get(groupKey(name))
-    return c ? { record: c.body as GroupRecord, turn: c.turn, until: c.until, since: c.since } : undefined
+  function group(name: string): KnownGroup | undefined {
+    const leased = records.get(groupKey(name))
+    return leased
+      ? {
+          record: leased.body as GroupRecord,
+          turn: leased.version,
+          until: leased.leaseExpiresAt,
+          since: leased.appliedAt,
+        }
+      : undefined
   }
-  function knows(name: string): boolean {
-    if (cells.has(groupKey(name))) return true
-    for (const g of config()?.groups ?? []) if (g.name === name) return true
+  function isGroupKnown(name: string): boolean {
+    if (records.has(groupKey(name))) return true
+    for (const configured of config()?.groups ?? []) if (configured.name === name) return true
     return false
   }
-  // A node that a move's holder waited out by its term has a break; one that acknowledged saw the lane shut.
-  function counts(lane: string, group: string, sent: number): boolean {
-    if ((shut.get(lane) ?? -1) >= sent) return false
-    return rules?.lanes.get(lane)?.group === group || unbroken <= sent
+  // A move goes on once this node's lease expired, which shows as a gap in the lease, or once this node acknowledged
+  // the phase, which shows in lastBlockedAt.
+  function canAcknowledgeWrite(lane: string, group: string, sentAt: number): boolean {
+    if ((lastBlockedAt.get(lane) ?? -1) >= sentAt) return false
+    return rules?.lanes.get(lane)?.group === group || leaseUnbrokenSince <= sentAt
   }
-  function rulesNow(): Rules | undefined {
+  function currentRules(): Rules | undefined {
     return rules
   }
-  function sightsNow(): Map<string, InstanceStatus> {
-    return sights
+  function instanceStatuses(): Map<string, InstanceStatus> {
+    return statuses
   }
-  function gone(name: string): boolean {
-    return leaving.has(name) || departed.has(name) || sights.get(name)?.leaving === true
+  function isLeaving(name: string): boolean {
+    return leavingHints.has(name) || departed.has(name) || statuses.get(name)?.leaving === true
   }
-  function goneFor(name: string): number {
-    const at = goneSince.get(name)
-    return at === undefined ? 0 : world.now() - at
+  function leavingForMs(name: string): number {
+    const since = leavingSince.get(name)
+    return since === undefined ? 0 : world.now() - since
   }
-  // Whether any node knows the group to be under promotion.
-  function movingNow(name: string): boolean {
+  function isUnderPromotion(name: string): boolean {
     const known = group(name)
     if (known && known.record.phase !== 'steady') return true
-    const epoch = moving.get(name)
+    const epoch = promotionEpochs.get(name)
     return epoch !== undefined && (!known || epoch > known.record.epoch)
   }
-  function others(name: string): { firsts: number; retries: number } {
-    return tries.get(name) ?? { firsts: 0, retries: 0 }
+  function retriesOnOtherNodes(name: string): { firsts: number; retries: number } {
+    return retryCounts.get(name) ?? { firsts: 0, retries: 0 }
   }
-  function nodeNow(): string {
+  function nodeName(): string {
     return node
   }
-  function areaNow(): string {
+  function areaName(): string {
     return area
   }
-  function turns(): Map<string, number> {
-    const out = new Map<string, number>()
-    for (const [key, c] of cells) out.set(key, c.turn)
-    return out
+  function versions(): Map<string, number> {
+    const versionByKey = new Map<string, number>()
+    for (const [key, leased] of records) versionByKey.set(key, leased.version)
+    return versionByKey
   }
   return {
-    take,
-    halt,
-    rules: rulesNow,
+    take: applyFeed,
+    halt: expireLeases,
+    rules: currentRules,
     config,
-    valid,
+    valid: hasValidLease,
     leasedSince,
-    share,
-    live: liveNow,
+    share: hasConnectionShare,
+    liveProxies,
     group,
-    counts,
-    knows,
-    sights: sightsNow,
-    gone,
-    goneFor,
-    moving: movingNow,
-    others,
-    node: nodeNow,
-    area: areaNow,
-    turns,
-    bell: signal,
+    counts: canAcknowledgeWrite,
+    knows: isGroupKnown,
+    sights: instanceStatuses,
+    isLeaving,
+    goneFor: leavingForMs,
+    isUnderPromotion,
+    retriesOnOtherNodes,
+    node: nodeName,
+    area: areaName,
+    turns: versions,
+    bell: changed,
   }
 }
--- a/packages/proxy/src/target-selection.ts
+++ b/packages/proxy/src/target-selection.ts
@@ -3,25 +3,28 @@
 import { guardOf } from '@claynotch/operator'
 import type { Call } from './call.js'
 import { floorOf, isFresh, needOf, provedWithin, type Token } from './freshness.js'
-import type { Known, State } from './state.js'
+import type { KnownGroup, State } from './state.js'
 import type { Instance, Watch } from './watch.js'
 
 /** The instance that a call is sent to, and the epoch of the record that it was chosen under. */
 export type LeaderTarget = { instance: Instance; epoch: number }
-/** floor: the position that the follower must hold. */
+/** floor: the log position that the follower must hold. */
 export type FollowerTarget = LeaderTarget & { floor: LogPosition }
-/** How fresh a read must be. within: ms; own: its session's writes as well. */
+/** How fresh a read must be. within: maximum staleness in ms; own: it must see its session's own writes as well. */
 export type Freshness = { within: number; own: boolean }
 
-/** Chooses the instance for a call by the group's record, what this node saw of the instances, and the freshness owed. */
+/** Selects the instance for a call by the group's record, the observed instance status, and the required freshness. */
 export type TargetSelection = {
-  /** The leader, where the call may go to it now. */
+  /** The leader, if the call may be sent to it now. */
   leaderFor: (call: Call) => LeaderTarget | undefined
-  /** The least loaded follower that is fresh enough, or that proves it itself; undefined: the leader is to be asked. */
-  followerFor: (call: Call, known: Known, freshness: Freshness) => FollowerTarget | undefined
   /**
-   * The position that a follower must hold for a read that begins now; undefined: it can't be proved. groupSince: from when its
-   * route has been of this group.
+   * The least loaded follower that is fresh enough, or that checks its own position when it gets the call; undefined:
+   * the leader is to be used.
+   */
+  followerFor: (call: Call, known: KnownGroup, freshness: Freshness) => FollowerTarget | undefined
+  /**
+   * The log position that a follower must hold for a read that begins now; undefined: freshness can't be proved.
+   * groupSince: since when the call's lane has belonged to this group.
    */
   requiredPosition: (
     group: string,
@@ -35,96 +38,114 @@
   world: World,
   state: State,
   watch: Watch,
-  edge: InstanceAdapter,
+  adapter: InstanceAdapter,
   metrics: Metrics,
 ): TargetSelection {
   function leaderFor(call: Call): { instance: Instance; epoch: number } | undefined {
-    const known = state.group(call.lane.group)
-    if (!known || world.now() >= known.until) return undefined
-    const rec = known.record
-    const calm = rec.phase === 'steady' || (rec.phase === 'drain' && call.kind === 'read')
-    if (!calm || rec.leader === undefined) return undefined
-    const instance = watch.get(rec.leader)
+    const knownGroup = state.group(call.lane.group)
+    if (!knownGroup || world.now() >= knownGroup.until) return undefined
+    const record = knownGroup.record
+    const acceptsCalls = record.phase === 'steady' || (record.phase === 'drain' && call.kind === 'read')
+    if (!acceptsCalls || record.leader === undefined) return undefined
+    const instance = watch.get(record.leader)
     if (!instance || !watch.usable(instance, false)) return undefined
-    if (stopsHere(call)) return undefined
-    const writes = call.kind === 'write' || call.kind === 'begin write'
-    if (writes && !guarded(call.lane.group, rec.leader, rec.epoch)) return undefined
-    // A leaving leader still leads until its successor does, but not for ever.
-    if (state.goneFor(rec.leader) > LEAVING_GRACE_MS) return undefined
+    if (isStoppedByMove(call)) return undefined
+    const mayWrite = call.kind === 'write' || call.kind === 'begin write'
+    if (mayWrite && !isWithinPromotionGuard(call.lane.group, record.leader, record.epoch)) return undefined
+    // A leader that is leaving stays in use until its successor takes over, but for a bounded time only.
+    if (state.goneFor(record.leader) > LEAVING_GRACE_MS) return undefined
     watch.usable(instance, true)
-    return { instance, epoch: rec.epoch }
+    return { instance, epoch: record.epoch }
   }
-  // A lane under move takes no writes and no transactions, and in its last phase no reads either.
-  function stopsHere(call: Call): boolean {
+  /**
+   * A lane that is being moved accepts no writes and no new transactions, and in phase held no reads either; in phase
+   * ease only read transactions are stopped.
+   */
+  function isStoppedByMove(call: Call): boolean {
     if (call.lane.move === 'ease') return call.kind === 'begin read'
     return call.lane.move === 'held' || (call.lane.move !== undefined && call.kind !== 'read')
   }
-  // Whether some follower is proved to hold what the leader had within the group's guard, where it has one.
-  function guarded(group: string, leader: string, epoch: number): boolean {
+  /**
+   * Whether at least one follower is proved to be no further behind the leader than the group's guard allows; true if
+   * the group has no guard.
+   */
+  function isWithinPromotionGuard(group: string, leader: string, epoch: number): boolean {
     const guard = guardOf(state.config(), group)
     if (guard === undefined) return true
     const samples = watch.get(leader)?.samples ?? []
-    for (const one of watch.all().values()) {
-      if (one.group !== group || one.name === leader || !one.mark || one.doubt) continue
-      const age = provedWithin(samples, epoch, one.mark, world.now())
-      if (age !== undefined && age <= guard) return true
+    for (const follower of watch.all().values()) {
+      if (follower.group !== group || follower.name === leader || !follower.mark || follower.doubt) continue
+      const stalenessMs = provedWithin(samples, epoch, follower.mark, world.now())
+      if (stalenessMs !== undefined && stalenessMs <= guard) return true
     }
     metrics.add('claynotch_guard_waits_total', [['group', group]])
     return false
   }
   function followerFor(
     call: Call,
-    known: Known,
-    step: { within: number; own: boolean },
+    known: KnownGroup,
+    freshness: { within: number; own: boolean },
   ): { instance: Instance; epoch: number; floor: LogPosition } | undefined {
-    const rec = known.record
-    if (rec.leader === undefined || world.now() >= known.until || stopsHere(call)) return undefined
-    // A transaction begun now would be cut when the drain ends; it waits for the next leader.
-    if (rec.phase === 'drain' && call.kind === 'begin read') return undefined
-    const need = requiredPosition(call.lane.group, step, call.token, call.lane.groupSince)
-    if (need === undefined) return undefined
+    const record = known.record
+    if (record.leader === undefined || world.now() >= known.until || isStoppedByMove(call)) return undefined
+    // A transaction begun now would be aborted when the drain ends, so it waits for the next leader.
+    if (record.phase === 'drain' && call.kind === 'begin read') return undefined
+    const requiredFloor = requiredPosition(call.lane.group, freshness, call.token, call.lane.groupSince)
+    if (requiredFloor === undefined) return undefined
     let best: Instance | undefined
-    let least = Infinity
-    for (const one of watch.all().values()) {
+    let lowestCost = Infinity
+    for (const candidate of watch.all().values()) {
       if (
-        one.group !== call.lane.group ||
-        one.name === rec.leader ||
-        !watch.usable(one, false) ||
-        state.gone(one.name) ||
-        call.behind.has(one.name)
+        candidate.group !== call.lane.group ||
+        candidate.name === record.leader ||
+        !watch.usable(candidate, false) ||
+        state.isLeaving(candidate.name) ||
+        call.laggingFollowers.has(candidate.name)
       )
         continue
-      // Where followers are sampled, what they hold is known; else each proves it itself, on the send.
-      if (edge.sampler && (!one.mark || one.status?.role !== 'follower' || !isFresh(one.mark, need, edge.exact)))
+      // With sampling, the follower's log position is known; without, the follower checks it itself when it gets the
+      // call.
+      if (
+        adapter.sampler &&
+        (!candidate.mark ||
+          candidate.status?.role !== 'follower' ||
+          !isFresh(candidate.mark, requiredFloor, adapter.exact))
+      )
         continue
-      // The own area first, then the least usage.
-      const cost = one.usage + (one.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST)
-      if (cost < least) {
-        least = cost
-        best = one
+      // Prefers instances in this node's own area, then the lowest usage.
+      const cost = candidate.usage + (candidate.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST)
+      if (cost < lowestCost) {
+        lowestCost = cost
+        best = candidate
       }
     }
     if (!best) return undefined
-    // A leader in the own area is nearer than any follower elsewhere, as long as it has no more to do.
-    const head = watch.get(rec.leader)
-    if (head && rec.phase === 'steady' && head.area === state.area() && head.usage < least && watch.usable(head, false))
+    // Prefers a leader in the own area if it is less loaded than the best follower (with the cost of another area).
+    const leader = watch.get(record.leader)
+    if (
+      leader &&
+      record.phase === 'steady' &&
+      leader.area === state.area() &&
+      leader.usage < lowestCost &&
+      watch.usable(leader, false)
+    )
       return undefined
     watch.usable(best, true)
-    return { instance: best, epoch: rec.epoch, floor: need }
+    return { instance: best, epoch: record.epoch, floor: requiredFloor }
   }
   function requiredPosition(
     group: string,
-    fresh: { within: number; own: boolean },
+    freshness: { within: number; own: boolean },
     token: Token | undefined,
     groupSince = 0,
   ): LogPosition | undefined {
-    const rec = state.group(group)?.record
-    const head = rec?.leader !== undefined ? watch.get(rec.leader) : undefined
-    if (!rec || !head) return undefined
+    const record = state.group(group)?.record
+    const leader = record?.leader !== undefined ? watch.get(record.leader) : undefined
+    if (!record || !leader) return undefined
     return needOf(
-      floorOf(head.samples, rec.epoch, fresh.within, world.now(), groupSince),
-      rec.epoch,
-      fresh.own && token?.group === group ? token.mark : undefined,
+      floorOf(leader.samples, record.epoch, freshness.within, world.now(), groupSince),
+      record.epoch,
+      freshness.own && token?.group === group ? token.mark : undefined,
     )
   }
   return { leaderFor, followerFor, requiredPosition }
