--- a/packages/proxy/src/freshness.ts
+++ b/packages/proxy/src/freshness.ts
@@ -84,9 +84,9 @@
  * none.
  */
 export function provedWithin(samples: Sample[], epoch: number, position: LogPosition, now: number): number | undefined {
-  let youngestMs: number | undefined
+  let lowestAgeMs: number | undefined
   for (const sample of samples)
     if (sample.reign === epoch && comparePositions(sample.mark, position) <= 0)
-      youngestMs = Math.min(youngestMs ?? Infinity, now - sample.asked)
-  return youngestMs
+      lowestAgeMs = Math.min(lowestAgeMs ?? Infinity, now - sample.asked)
+  return lowestAgeMs
 }
--- a/packages/proxy/src/key-refusals.ts
+++ b/packages/proxy/src/key-refusals.ts
@@ -54,7 +54,7 @@
    * Counts the keys that were added or given to another tenant, and reports keys that this node refused before they
    * were known to it.
    */
-  function notePresent(next: Rules, before: Map<string, Tenant>): { added: number; moved: number } {
+  function recordPresentKeys(next: Rules, before: Map<string, Tenant>): { added: number; moved: number } {
     let added = 0
     let moved = 0
     let lateKeys = 0
@@ -79,7 +79,7 @@
     return { added, moved }
   }
   /** Records the keys that were removed, and returns their number. */
-  function noteAbsent(next: Rules, before: Map<string, Tenant>): number {
+  function recordRemovedKeys(next: Rules, before: Map<string, Tenant>): number {
     let removedCount = 0
     for (const [hash, tenant] of before) {
       if (next.tenants?.has(hash)) continue
@@ -94,8 +94,8 @@
     const isFirst = comparedRules === undefined
     const before = comparedRules?.tenants ?? new Map<string, Tenant>()
     comparedRules = current
-    const { added, moved } = notePresent(current, before)
-    const removedCount = noteAbsent(current, before)
+    const { added, moved } = recordPresentKeys(current, before)
+    const removedCount = recordRemovedKeys(current, before)
     if (!isFirst && added + moved + removedCount > 0)
       world.log.info('keys-changed', { epoch: current.epoch, added, removed: removedCount, moved })
   }
@@ -122,11 +122,11 @@
       removedBy: unreportedRefusals.removed?.epoch,
     })
   }
-  function remember(keyHash: string): void {
+  function rememberRefusedKey(keyHash: string): void {
     const previousRefusals = refused.get(keyHash)
     refused.set(keyHash, { count: (previousRefusals?.count ?? 0) + 1, since: previousRefusals?.since ?? world.now() })
   }
-  function note(reason: KeyRefusalReason, lane: string, keyHash: string | undefined): void {
+  function recordRefusal(reason: KeyRefusalReason, lane: string, keyHash: string | undefined): void {
     metrics.add('claynotch_keys_refused_total', [['reason', reason]])
     const unreportedRefusals = unreported.get(reason) ?? { count: 0, keys: new Set(), lane, removed: undefined }
     unreportedRefusals.count++
@@ -134,7 +134,7 @@
     if (keyHash !== undefined) {
       if (unreportedRefusals.keys.size < MAX_KEYS_REMEMBERED) unreportedRefusals.keys.add(keyHash)
       unreportedRefusals.removed = removed.get(keyHash)
-      if (reason === 'unknown' || reason === 'no-lease') remember(keyHash)
+      if (reason === 'unknown' || reason === 'no-lease') rememberRefusedKey(keyHash)
     }
     unreported.set(reason, unreportedRefusals)
     report(reason, unreportedRefusals)
@@ -142,7 +142,7 @@
   function refuse(lane: LaneRules, keyHash: string | undefined): Verdict {
     compareRules()
     const reason = reasonFor(keyHash)
-    note(reason, lane.name, keyHash)
+    recordRefusal(reason, lane.name, keyHash)
     if (reason === 'no-lease')
       return refusal('UNAVAILABLE', 'this node holds no valid lease', true, RETRY_AFTER_PROMOTION_S)
     return refusal('PERMISSION_DENIED', 'the key is unknown', false)
--- a/packages/proxy/src/rules.ts
+++ b/packages/proxy/src/rules.ts
@@ -24,6 +24,7 @@
   | { op: 'send' }
   | { op: 'evaluate' }
 
+/** What a call does: a single read or write statement, or the begin of a read or write transaction. */
 export type CallKind = 'read' | 'write' | 'begin read' | 'begin write'
 /** The rules of one lane: a named route to a group and database. */
 export type LaneRules = {
@@ -36,6 +37,7 @@
   groupSince: number
   team: string
   database: string
+  /** Maximum number of pending calls on one node. */
   maxPending: number
   /** ms that one statement may take. */
   limit: number | undefined
@@ -43,6 +45,7 @@
   aim: number | undefined
   /** Maximum number of attempts of a call. */
   sends: number | undefined
+  /** The steps of each kind of call. */
   programs: Map<CallKind, Step[]>
   /** No API key is required. */
   isPublic: boolean
@@ -59,7 +62,9 @@
   bases: Map<string, LaneRules>
   /** The share of the connections by team. */
   connectionShares: Map<string, number>
+  /** Maximum number of sessions by team. */
   sessions: Map<string, number>
+  /** Maximum number of pending calls on one node by team. */
   maxPending: Map<string, number>
   /** ms after which an idle transaction may be ended. */
   transactionIdle: number | undefined
@@ -68,10 +73,11 @@
   policy: { policy: Policy; fallback: string } | undefined
 }
 
+/** The groupSince of a lane: kept while it stays in its group, now if it came from another. */
 function groupSinceOf(lane: string, group: string, now: number, previous: Rules | undefined): number {
-  const before = previous?.lanes.get(lane)
-  if (!before) return 0
-  return before.group === group ? before.groupSince : now
+  const previousLane = previous?.lanes.get(lane)
+  if (!previousLane) return 0
+  return previousLane.group === group ? previousLane.groupSince : now
 }
 
 /** Compiles a configuration into rules; previous: the rules that they replace. */
--- a/packages/proxy/src/target-selection.ts
+++ b/packages/proxy/src/target-selection.ts
@@ -103,8 +103,7 @@
         call.laggingFollowers.has(candidate.name)
       )
         continue
-      // With sampling, the follower's log position is known; without, the follower checks it itself when it gets the
-      // call.
+      // With sampling, the follower's log position is known; without, the follower itself checks it on the send.
       if (
         adapter.sampler &&
         (!candidate.mark ||
@@ -120,7 +119,8 @@
       }
     }
     if (!best) return undefined
-    // Prefers a leader in the own area if it is less loaded than the best follower (with the cost of another area).
+    // A leader in the own area is nearer than a follower in another one, so it is preferred while its usage is below the
+    // follower's cost.
     const leader = watch.get(record.leader)
     if (
       leader &&
