--- a/packages/agent/src/adapter.ts
+++ b/packages/agent/src/adapter.ts
@@ -9,7 +9,7 @@
   type World,
 } from '@claynotch/base'
 import { promote, takeProbe, type PromotionEdge } from '@claynotch/host'
-import { httpInstance, takeAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
+import { httpInstanceAdapter, handleAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
 import type { Body, Change, Verdict } from '@claynotch/operator'
 import type { CoreSet } from '@claynotch/register'
 
@@ -55,10 +55,10 @@
   async function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
     const first = takeProbe(ask, desk) ?? answerSeeds(ask, desk.coreSet())
     if (first) return first
-    if (ask.path === '/announcement') return await takeAnnouncement(ask, announced)
+    if (ask.path === '/announcement') return await handleAnnouncement(ask, announced)
     return await desk.operator.take(ask)
   }
   return serveHttp(world, addr, handle, { raw: desk.operator.raw, limit: OPERATOR_BODY_LIMIT_BYTES })
 }
 
-export const ownAdapters: AgentAdapters = { instance: httpInstance, promotion: promote, control: httpControl }
+export const ownAdapters: AgentAdapters = { instance: httpInstanceAdapter, promotion: promote, control: httpControl }
--- a/packages/fleet/src/test/parts.test.ts
+++ b/packages/fleet/src/test/parts.test.ts
@@ -19,7 +19,7 @@
   type Decision,
 } from '@claynotch/operator'
 import { backoff, floorOf, isFresh, makeBreaker, makeTokens, needOf, type Sample } from '@claynotch/proxy'
-import { holderOf } from '@claynotch/failover'
+import { dutyHolderOf } from '@claynotch/failover'
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
 
@@ -262,9 +262,9 @@
   let moved = 0
   for (let k = 0; k < 900; k++) {
     const key = `group/g${k}`
-    const now = holderOf(key, nodes) as string
+    const now = dutyHolderOf(key, nodes) as string
     counts.set(now, (counts.get(now) ?? 0) + 1)
-    const without = holderOf(key, nodes.slice(1))
+    const without = dutyHolderOf(key, nodes.slice(1))
     if (now !== 'front1' && without !== now) moved++
   }
   c.equal(moved, 0, 'a node that goes moves only its own keys')
