--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -262,7 +262,7 @@
   }
   function allReady(): boolean {
     for (const f of fronts) {
-      if (!f.proxy?.state.valid() || !f.proxy.state.share()) return false
+      if (!f.proxy?.state.hasValidLease() || !f.proxy.state.hasConnectionShare()) return false
       for (const g of shape.groups) if (f.proxy.state.group(g)?.record.phase !== 'steady') return false
     }
     return true
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -298,7 +298,13 @@
     function group(): undefined {
       return undefined
     }
-    const state = { bell, share, config: configNow, sights, group } as unknown as State
+    const state = {
+      changed: bell,
+      hasConnectionShare: share,
+      config: configNow,
+      instanceStatuses: sights,
+      group,
+    } as unknown as State
     const stop = makeFlag()
     const watch = startWatch(world, state, modelEdge([], 1), stop, makeMetrics())
     await pause(world, 10)
--- a/packages/fleet/src/test/quota-holder-fleet.ts
+++ b/packages/fleet/src/test/quota-holder-fleet.ts
@@ -162,7 +162,7 @@
       const life = Math.floor(world.random() * 2 ** 40).toString(36)
       function take(message: unknown): undefined {
         const feed = readAs(AgentFeed, message)
-        if (feed.ok) state.take(feed.val)
+        if (feed.ok) state.applyFeed(feed.val)
         return undefined
       }
       const hello = makeHello('proxy', front.node)
@@ -179,7 +179,7 @@
       function isActive(): boolean {
         return true
       }
-      const { valid: isLeased, leasedSince } = state
+      const { hasValidLease: isLeased, leasedSince } = state
       const options = { life, isLeased, leasedSince, isActive, ask }
       const allowances = makeAllowances(world, options, makeMetrics(), stop)
       front.allowances = allowances
--- a/packages/proxy/src/call.ts
+++ b/packages/proxy/src/call.ts
@@ -28,7 +28,7 @@
   lane: LaneRules
   /** Hash of the API key that the client sent. */
   keyHash: string | undefined
-  need: ConnectionRequirements
+  requirements: ConnectionRequirements
   /** The client's freshness token: the log position that its reads must have reached. */
   token: Token | undefined
   leaderOnly: boolean
@@ -59,7 +59,7 @@
   connection?: CheckedOutConnection
   result?: Result<StatementResult, RequestError>
   /** When the last attempt was sent. */
-  asked: number
+  sentAt: number
   /** Of the tenant's quota, for the next attempt. */
   reservation?: Reservation
   /** The lane and the team that count this call as pending. */
@@ -70,10 +70,10 @@
  * How a call ended, and for a call that succeeded its log position, epoch and instance; with the connection of a begun
  * transaction.
  */
-export type Settled = {
+export type CallResult = {
   verdict: Verdict
-  mark?: LogPosition
-  loan?: CheckedOutConnection
+  position?: LogPosition
+  connection?: CheckedOutConnection
   epoch?: number
   instance?: string
 }
@@ -118,7 +118,7 @@
 ): Call {
   const now = world.now()
   const hasCallerDeadline = parts.ms !== undefined && parts.ms < RETRY_BUDGET_MS
-  const budgetMs = Math.min(RETRY_BUDGET_MS, parts.ms ?? RETRY_BUDGET_MS, lane.limit ?? RETRY_BUDGET_MS)
+  const budgetMs = Math.min(RETRY_BUDGET_MS, parts.ms ?? RETRY_BUDGET_MS, lane.statementTimeoutMs ?? RETRY_BUDGET_MS)
   return {
     kind,
     rules,
@@ -129,10 +129,10 @@
     body: parts.body,
     callerGone: parts.gone,
     hasCallerDeadline,
-    need: requirementsFor(lane, rules, parts, parts.tenant),
+    requirements: requirementsFor(lane, rules, parts, parts.tenant),
     findLane: parts.find,
-    queueDeadline: now + (lane.aim === undefined ? budgetMs : lane.aim * QUEUE_TIMEOUT_SHARE),
-    promotionDeadline: now + (lane.aim === undefined ? budgetMs : budgetMs * PROMOTION_WAIT_SHARE),
+    queueDeadline: now + (lane.targetLatencyMs === undefined ? budgetMs : lane.targetLatencyMs * QUEUE_TIMEOUT_SHARE),
+    promotionDeadline: now + (lane.targetLatencyMs === undefined ? budgetMs : budgetMs * PROMOTION_WAIT_SHARE),
     laggingFollowers: new Set(),
     deadline: now + budgetMs,
     attempts: 0,
@@ -140,6 +140,6 @@
     executed: 'no',
     lastError: undefined,
     isBreakerProbe: false,
-    asked: now,
+    sentAt: now,
   }
 }
--- a/packages/proxy/src/freshness.ts
+++ b/packages/proxy/src/freshness.ts
@@ -8,11 +8,11 @@
    * Local time just before the leader was asked. Its answer covers every commit acknowledged before then, so the sample
    * is evidence for that time and for no later one.
    */
-  asked: number
+  askedAt: number
   /** Epoch of the group's record under which the leader was asked. */
-  reign: number
+  epoch: number
   /** May be the position of an earlier epoch's last entry, if nothing was written since. */
-  mark: LogPosition
+  position: LogPosition
 }
 
 /**
@@ -20,7 +20,7 @@
  * position among the samples of this epoch that are recent enough; undefined: no sample is. groupSince: when the lane
  * came to the group, as earlier samples don't cover the commits that it brought from another group.
  */
-export function floorOf(
+export function freshnessFloor(
   samples: Sample[],
   epoch: number,
   maxStalenessMs: number,
@@ -29,8 +29,8 @@
 ): LogPosition | undefined {
   let lowest: LogPosition | undefined
   for (const sample of samples) {
-    if (sample.reign !== epoch || sample.asked < now - maxStalenessMs || sample.asked < groupSince) continue
-    if (lowest === undefined || comparePositions(sample.mark, lowest) < 0) lowest = sample.mark
+    if (sample.epoch !== epoch || sample.askedAt < now - maxStalenessMs || sample.askedAt < groupSince) continue
+    if (lowest === undefined || comparePositions(sample.position, lowest) < 0) lowest = sample.position
   }
   return lowest
 }
@@ -40,7 +40,7 @@
  * epochs, a write of an earlier epoch is below every floor of this epoch. undefined: freshness can't be proved; a token
  * of a later epoch than the record's can't be satisfied here at all.
  */
-export function needOf(
+export function requiredPositionOf(
   floor: LogPosition | undefined,
   epoch: number,
   token: LogPosition | undefined,
@@ -60,22 +60,22 @@
 }
 
 /** What a client carries from node to node: a log position of one group, which says nothing about other groups. */
-export type Token = { group: string; mark: LogPosition }
+export type Token = { group: string; position: LogPosition }
 
 /** The token's text form; '' for none. */
-export function writeToken(token: Token | undefined): string {
-  return token ? `${token.group}:${token.mark.epoch}:${token.mark.position}` : ''
+export function formatToken(token: Token | undefined): string {
+  return token ? `${token.group}:${token.position.epoch}:${token.position.position}` : ''
 }
 
 /** Parses a token's text form; undefined for '', 'bad' if it is malformed. */
-export function readToken(text: string): Token | undefined | 'bad' {
+export function parseToken(text: string): Token | undefined | 'bad' {
   if (text === '') return undefined
   const match = /^([A-Za-z0-9_.-]+):(\d{1,15}):(\d{1,15})$/.exec(text)
-  return match ? { group: match[1], mark: { epoch: Number(match[2]), position: Number(match[3]) } } : 'bad'
+  return match ? { group: match[1], position: { epoch: Number(match[2]), position: Number(match[3]) } } : 'bad'
 }
 
 /** Whether the token belongs to a group other than the one that serves the call, for which it proves nothing. */
-export function isForeign(token: Token | undefined, group: string): boolean {
+export function isForOtherGroup(token: Token | undefined, group: string): boolean {
   return token !== undefined && token.group !== group
 }
 
@@ -83,10 +83,15 @@
  * Proved staleness of a follower in ms: the age of the latest sample at or below its position; undefined: there is
  * none.
  */
-export function provedWithin(samples: Sample[], epoch: number, position: LogPosition, now: number): number | undefined {
+export function provedStalenessMs(
+  samples: Sample[],
+  epoch: number,
+  position: LogPosition,
+  now: number,
+): number | undefined {
   let lowestAgeMs: number | undefined
   for (const sample of samples)
-    if (sample.reign === epoch && comparePositions(sample.mark, position) <= 0)
-      lowestAgeMs = Math.min(lowestAgeMs ?? Infinity, now - sample.asked)
+    if (sample.epoch === epoch && comparePositions(sample.position, position) <= 0)
+      lowestAgeMs = Math.min(lowestAgeMs ?? Infinity, now - sample.askedAt)
   return lowestAgeMs
 }
--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -21,18 +21,18 @@
 import type { InstanceAdapter, LogPosition } from '@claynotch/instance'
 import { isShareBelowOne, lendable } from '@claynotch/operator'
 import { refusal, type Verdict } from '@claynotch/requester'
-import { isForeign, isFresh } from './freshness.js'
+import { isForOtherGroup, isFresh } from './freshness.js'
 import { makeAdmission } from './admission.js'
 import { identify } from './identity.js'
 import { makeKeyRefusals, type KeyRefusals } from './key-refusals.js'
-import { requirementsFor, type Call, type Settled } from './call.js'
+import { requirementsFor, type Call, type CallResult } from './call.js'
 import type { CheckedOutConnection, Pool } from './pool.js'
 import type { QuotaStep } from './quota-step.js'
 import {
-  backoff,
+  backoffDelayMs,
   makeExhaustionAlert,
   makeBreaker,
-  makeTokens,
+  makeRetryTokens,
   type ExhaustionAlert,
   type Breaker,
   type RetryTokens,
@@ -48,33 +48,33 @@
 /** Runs calls through the steps of their lane, and keeps this node's counts of the work in flight. */
 export type Runner = {
   /** Runs a call to its end. */
-  run: (call: Call) => Promise<Settled>
+  run: (call: Call) => Promise<CallResult>
   /** The retry state of the group; made on first use. */
   retryControls: (group: string) => RetryControls
   /** The retry state of every group that was used so far. */
-  groups: () => Map<string, RetryControls>
+  retryControlsByGroup: () => Map<string, RetryControls>
   /** Whether the group's record still has this epoch, its lease is valid, and its phase lets the leader serve. */
-  stands: (group: string, epoch: number) => boolean
+  isEpochCurrent: (group: string, epoch: number) => boolean
   /** Attempts in flight that may write, of the group or of one of its lanes. */
-  writing: (group: string, lane?: string) => number
+  writesInFlight: (group: string, lane?: string) => number
   /** Adds to the counts of attempts in flight that may write; the last argument is negative when one ends. */
-  holdWrite: (group: string, lane: string, delta: number) => void
+  addWritesInFlight: (group: string, lane: string, delta: number) => void
   /**
    * Transactions whose begin was sent and that no session owns yet. A call counts from the send until it selects
    * another target, ends without a transaction, or its session has taken the transaction over.
    */
-  opening: (group: string, lane: string | undefined, kind: 'begin read' | 'begin write') => number
+  beginsInFlight: (group: string, lane: string | undefined, kind: 'begin read' | 'begin write') => number
   /** Stops counting the call among them: its session owns the transaction, or there is none. */
-  kept: (call: Call) => void
+  releaseBegin: (call: Call) => void
   /** The log position that a follower must hold for a read that begins now; undefined: freshness can't be proved. */
-  needNow: TargetSelection['requiredPosition']
+  requiredPosition: TargetSelection['requiredPosition']
   /** The highest log position of an acknowledged write, by group. */
-  highs: () => Map<string, LogPosition>
+  lastWritePositions: () => Map<string, LogPosition>
   /** Records the log position of an acknowledged write. */
-  sawWrite: (group: string, position: LogPosition) => void
+  recordWritePosition: (group: string, position: LogPosition) => void
   /** Fires when a write or a begin in flight ends. */
-  quiet: ReturnType<typeof makeSignal>
-  keys: KeyRefusals
+  inFlightEnded: ReturnType<typeof makeSignal>
+  keyRefusals: KeyRefusals
 }
 
 export function makeRunner(
@@ -104,7 +104,7 @@
       }
       controls = {
         breaker: makeBreaker(world, group, metrics),
-        tokens: makeTokens(world, otherNodes),
+        tokens: makeRetryTokens(world, otherNodes),
         alert: makeExhaustionAlert(world, group, metrics),
       }
       controlsByGroup.set(group, controls)
@@ -113,7 +113,7 @@
   }
   function isEpochCurrent(group: string, epoch: number): boolean {
     const known = state.group(group)
-    if (!known || world.now() >= known.until || known.record.epoch !== epoch) return false
+    if (!known || world.now() >= known.leaseExpiresAt || known.record.epoch !== epoch) return false
     return known.record.phase === 'steady' || known.record.phase === 'drain'
   }
   /** Key of writeCounts: a group, or a group and one of its lanes. */
@@ -149,7 +149,7 @@
   // --- results of a call ---
 
   function maxAttemptsOf(call: Call): number {
-    return Math.min(MAX_ATTEMPTS, call.lane.sends ?? MAX_ATTEMPTS)
+    return Math.min(MAX_ATTEMPTS, call.lane.maxAttempts ?? MAX_ATTEMPTS)
   }
   function isWrite(call: Call): boolean {
     return call.kind === 'write'
@@ -167,7 +167,7 @@
   }
   function budgetExhausted(call: Call): Verdict {
     metrics.add('claynotch_retry_budget_exhausted_total', [['group', call.lane.group]])
-    controlsOf(call.lane.group).alert.note(true)
+    controlsOf(call.lane.group).alert.record(true)
     return unavailable(
       call,
       call.lastError?.why ?? 'no instance could serve the call within its budget',
@@ -194,26 +194,27 @@
     if (!rules) return refusal('UNAVAILABLE', 'no configuration is known here', true, RETRY_AFTER_PROMOTION_S)
     const lane = call.findLane(rules)
     // Without a valid lease, a later configuration that this node doesn't know may have the lane again.
-    if (!lane && !state.valid())
+    if (!lane && !state.hasValidLease())
       return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     if (!lane) return { ...refusal('NOT_FOUND', `the lane ${call.lane.name} was dropped`, false), lacks: 'lane' }
     const identity = identify(rules, lane, call.keyHash)
-    if (!identity.isAllowed) return keyRefusals.deny(lane, call.keyHash)
+    if (!identity.isAllowed) return keyRefusals.refuse(lane, call.keyHash)
     admission.release(call)
     if (lane.group !== call.lane.group) {
-      if (call.isBreakerProbe) controlsOf(call.lane.group).breaker.note(false, true)
+      if (call.isBreakerProbe) controlsOf(call.lane.group).breaker.record(false, true)
       call.isBreakerProbe = false
     }
     metrics.add('claynotch_calls_rematched_total', [['lane', lane.name]])
     call.rules = rules
     call.lane = lane
-    call.need = requirementsFor(lane, rules, call.need, identity.tenant)
+    call.requirements = requirementsFor(lane, rules, call.requirements, identity.tenant)
     return 'start'
   }
   function checkNodeState(call: Call): StepResult {
     if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, RETRY_AFTER_OVERLOAD_S)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
-    if (!state.share())
+    if (!state.hasValidLease())
+      return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.hasConnectionShare())
       return refusal('UNAVAILABLE', 'this node holds no share of the connections', true, RETRY_AFTER_PROMOTION_S)
     if (call.callerGone.fired()) return refusal('ABORTED', 'the requester went away', false)
     return undefined
@@ -221,7 +222,7 @@
   function breakerStep(call: Call): StepResult {
     if (call.isBreakerProbe) return undefined
     const { breaker } = controlsOf(call.lane.group)
-    if (!breaker.pass())
+    if (!breaker.allows())
       return refusal('UNAVAILABLE', `the breaker of group ${call.lane.group} is open`, true, RETRY_AFTER_BREAKER_S)
     call.isBreakerProbe = breaker.isProbing()
     return undefined
@@ -245,7 +246,7 @@
     const wake = makeFlag()
     const stopWatching = call.callerGone.watch(wake.fire)
     const remainingMs = Math.max(1, Math.min(call.deadline - world.now(), waitLimitOf(call) - world.now(), 250))
-    void state.bell.wait(world, remainingMs, wake).then(wake.fire)
+    void state.changed.wait(world, remainingMs, wake).then(wake.fire)
     void watch.bell.wait(world, remainingMs, wake).then(wake.fire)
     await wake.wait()
     stopWatching()
@@ -259,7 +260,7 @@
       if (hasStaleRules(call)) return applyCurrentRules(call)
       if (world.now() >= call.deadline) return budgetExhausted(call)
       const known = state.group(call.lane.group)
-      if (step.at === 'fresh' && !call.leaderOnly && !isForeign(call.token, call.lane.group) && known) {
+      if (step.at === 'fresh' && !call.leaderOnly && !isForOtherGroup(call.token, call.lane.group) && known) {
         const followerTarget = targetSelection.followerFor(call, known, step)
         if (followerTarget) {
           call.target = followerTarget
@@ -271,7 +272,8 @@
         call.target = { ...leaderTarget, floor: undefined }
         break
       }
-      if (!state.valid() || !state.share()) return unavailable(call, 'this node lost its term', RETRY_AFTER_PROMOTION_S)
+      if (!state.hasValidLease() || !state.hasConnectionShare())
+        return unavailable(call, 'this node lost its term', RETRY_AFTER_PROMOTION_S)
       // End a waiting call at once, so that its caller can try another node.
       if (stopping()) return unavailable(call, 'this node is stopping', RETRY_AFTER_OVERLOAD_S)
       if (world.now() >= waitLimitOf(call))
@@ -307,7 +309,7 @@
    */
   function connectionTimeouts(call: Call): { free: number; dial: number } {
     const remainingMs = Math.max(1, call.deadline - world.now())
-    const { aim } = call.lane
+    const { targetLatencyMs: aim } = call.lane
     if (aim === undefined)
       return { free: Math.min(CHECK_OUT_TIMEOUT_MS, remainingMs), dial: Math.min(DIAL_TIMEOUT_MS, remainingMs) }
     return {
@@ -327,7 +329,7 @@
     const checkOutResult = await pool.borrow(
       instance,
       maxConnections,
-      { ...call.need, closesAfterUse },
+      { ...call.requirements, closesAfterUse },
       connectionTimeouts(call),
       call.callerGone,
     )
@@ -366,7 +368,7 @@
       return isStale ? applyCurrentRules(call) : 'aim'
     }
     const { tokens } = controlsOf(call.lane.group)
-    if (call.attempts === 0) tokens.first()
+    if (call.attempts === 0) tokens.noteFirstAttempt()
     call.attempts++
     metrics.add('claynotch_retry_attempt_total', [
       ['group', call.lane.group],
@@ -374,10 +376,10 @@
     ])
     const remainingMs = Math.max(1, Math.min(ATTEMPT_TIMEOUT_MS, call.deadline - world.now()))
     const timeoutMs =
-      call.lane.aim !== undefined && !isWrite(call) && call.attempts < maxAttemptsOf(call)
-        ? Math.min(remainingMs, call.lane.aim * ATTEMPT_TIMEOUT_SHARE)
+      call.lane.targetLatencyMs !== undefined && !isWrite(call) && call.attempts < maxAttemptsOf(call)
+        ? Math.min(remainingMs, call.lane.targetLatencyMs * ATTEMPT_TIMEOUT_SHARE)
         : remainingMs
-    call.asked = world.now()
+    call.sentAt = world.now()
     instance.usage++
     const { group, name } = call.lane
     if (mayWrite) addWritesInFlight(group, name, 1)
@@ -392,7 +394,9 @@
       const text = call.body.text
       call.result = await connection.port.statement(
         {
-          ...(text !== undefined ? { text } : { shape: connection.shapeId(call.need.shapes.get(call.body.shape!)!) }),
+          ...(text !== undefined
+            ? { text }
+            : { shape: connection.shapeId(call.requirements.shapes.get(call.body.shape!)!) }),
           args: call.body.args,
           mode: call.kind === 'write' ? 'write' : 'read',
           ...sendOptions,
@@ -414,16 +418,16 @@
     const isFromLeader = floor === undefined
     if (result.ok) {
       const { mark, rows, stamp } = result.val
-      watch.saw(instance.name, call.asked, mark, isFromLeader ? epoch : undefined)
-      const canAcknowledge = !isWrite(call) || state.counts(call.lane.name, group, call.asked)
+      watch.saw(instance.name, call.sentAt, mark, isFromLeader ? epoch : undefined)
+      const canAcknowledge = !isWrite(call) || state.canAcknowledgeWrite(call.lane.name, group, call.sentAt)
       const isValid = isFromLeader
         ? isEpochCurrent(group, epoch) && (!adapter.exact || mark.epoch === epoch) && canAcknowledge
         : isFresh(mark, floor, adapter.exact)
       if (isValid) {
-        breaker.note(true, call.isBreakerProbe)
+        breaker.record(true, call.isBreakerProbe)
         if (call.attempts > 1 || call.hasWaited) {
           metrics.add('claynotch_retry_success_on_attempt', [['send', String(call.attempts)]])
-          alert.note(false)
+          alert.record(false)
         }
         if (isWrite(call)) recordWritePosition(group, mark)
         if (call.kind === 'read')
@@ -467,13 +471,13 @@
     delete call.connection
     if (error.transient) {
       // An instance that answers that it isn't the leader is alive, but counts as failed in its role of leader.
-      watch.failed(instance.name, call.asked, error.reach === 'answered' && error.lead !== false, error.lead === false)
+      watch.failed(instance.name, call.sentAt, error.reach === 'answered' && error.lead !== false, error.lead === false)
       // Errors during a known promotion don't count for the breaker, as the promotion ends by itself.
-      if (!state.isUnderPromotion(group)) breaker.note(false, call.isBreakerProbe)
+      if (!state.isUnderPromotion(group)) breaker.record(false, call.isBreakerProbe)
       if (error.reach === 'maybe' && isWrite(call)) return unknownOutcome(error.why)
       return await retry(call)
     }
-    breaker.note(true, call.isBreakerProbe)
+    breaker.record(true, call.isBreakerProbe)
     if (error.class === 'UNKNOWN' && isWrite(call)) return unknownOutcome(error.why)
     const retryAfterS = error.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
     if (call.executed !== 'no' && isWrite(call)) return unknownOutcome(error.why)
@@ -502,14 +506,16 @@
   async function retry(call: Call): Promise<StepResult> {
     if (call.attempts >= maxAttemptsOf(call)) return budgetExhausted(call)
     const { tokens } = controlsOf(call.lane.group)
-    if (call.attempts > 0 && !tokens.spend()) {
+    if (call.attempts > 0 && !tokens.spendOnRetry()) {
       metrics.add('claynotch_retry_tokens_out_total', [['group', call.lane.group]])
       return unavailable(call, `the group's retries are used up: ${call.lastError?.why ?? ''}`, RETRY_AFTER_OVERLOAD_S)
     }
-    const delayMs = backoff(
+    const delayMs = backoffDelayMs(
       world,
       Math.max(0, call.attempts - 1),
-      call.lane.aim === undefined ? BACKOFF_BASE_MS : Math.min(BACKOFF_BASE_MS, call.lane.aim * BACKOFF_SHARE),
+      call.lane.targetLatencyMs === undefined
+        ? BACKOFF_BASE_MS
+        : Math.min(BACKOFF_BASE_MS, call.lane.targetLatencyMs * BACKOFF_SHARE),
     )
     // If the delay would outlast the deadline, the call ends at once.
     if (world.now() + delayMs >= call.deadline) return budgetExhausted(call)
@@ -520,7 +526,7 @@
   // --- the interpreter ---
 
   /** Runs the steps of the call's lane and kind in order, until one returns a verdict. */
-  async function run(call: Call): Promise<Settled> {
+  async function run(call: Call): Promise<CallResult> {
     const startedAt = world.now()
     let stepIndex = 0
     let result: StepResult
@@ -561,7 +567,7 @@
     result = withoutFalseRefusal(call, result)
     admission.release(call)
     quota.release(call)
-    if (call.isBreakerProbe && result.outcome !== 'done') controlsOf(call.lane.group).breaker.note(false, true)
+    if (call.isBreakerProbe && result.outcome !== 'done') controlsOf(call.lane.group).breaker.record(false, true)
     metrics.add('claynotch_calls_total', [
       ['lane', call.lane.name],
       ['kind', call.kind],
@@ -569,12 +575,12 @@
       ['class', result.class ?? ''],
     ])
     metrics.add('claynotch_call_ms_total', [['lane', call.lane.name]], Math.round(world.now() - startedAt))
-    const settled: Settled = { verdict: result }
+    const settled: CallResult = { verdict: result }
     if (result.outcome === 'done' && call.result?.ok) {
-      settled.mark = call.result.val.mark
+      settled.position = call.result.val.mark
       settled.epoch = call.target!.epoch
       settled.instance = call.target!.instance.name
-      if (call.connection) settled.loan = call.connection
+      if (call.connection) settled.connection = call.connection
     } else {
       if (call.connection) call.connection.end(false)
       releaseBegin(call)
@@ -593,16 +599,16 @@
   return {
     run,
     retryControls: controlsOf,
-    groups: retryControlsByGroup,
-    stands: isEpochCurrent,
-    writing: writesInFlight,
-    holdWrite: addWritesInFlight,
-    opening: beginsInFlight,
-    kept: releaseBegin,
-    needNow: targetSelection.requiredPosition,
-    highs: lastWritePositions,
-    sawWrite: recordWritePosition,
-    quiet: inFlightEnded,
-    keys: keyRefusals,
+    retryControlsByGroup: retryControlsByGroup,
+    isEpochCurrent: isEpochCurrent,
+    writesInFlight: writesInFlight,
+    addWritesInFlight: addWritesInFlight,
+    beginsInFlight: beginsInFlight,
+    releaseBegin: releaseBegin,
+    requiredPosition: targetSelection.requiredPosition,
+    lastWritePositions: lastWritePositions,
+    recordWritePosition: recordWritePosition,
+    inFlightEnded: inFlightEnded,
+    keyRefusals: keyRefusals,
   }
 }
--- a/packages/proxy/src/key-refusals.ts
+++ b/packages/proxy/src/key-refusals.ts
@@ -27,11 +27,11 @@
  */
 export type KeyRefusals = {
   /** The answer to a refused client of the lane; keyHash: hash of the key that the client sent. */
-  deny: (lane: LaneRules, keyHash: string | undefined) => Verdict
+  refuse: (lane: LaneRules, keyHash: string | undefined) => Verdict
   /**
    * Compares the current rules with the previous ones, and logs the refusals not yet logged. To be called periodically.
    */
-  look: () => void
+  refresh: () => void
 }
 
 /** A key that was removed: the tenant that had it last, and the epoch of the first configuration without it. */
@@ -103,7 +103,7 @@
   // --- refusals ---
 
   function reasonFor(keyHash: string | undefined): KeyRefusalReason {
-    if (!state.valid()) return 'no-lease'
+    if (!state.hasValidLease()) return 'no-lease'
     if (keyHash === undefined) return 'no-key'
     return removed.has(keyHash) ? 'removed' : 'unknown'
   }
@@ -151,5 +151,5 @@
     compareRules()
     for (const [reason, unreportedRefusals] of unreported) report(reason, unreportedRefusals)
   }
-  return { deny: refuse, look: refresh }
+  return { refuse: refuse, refresh: refresh }
 }
--- a/packages/proxy/src/quota-step.ts
+++ b/packages/proxy/src/quota-step.ts
@@ -39,7 +39,7 @@
 /** Maximum time in ms that the call waits for an allowance. */
 function allowanceWaitMs(call: Call, now: number): number {
   const maxWaitMs = Math.max(1, call.deadline - now) * QUOTA_WAIT_SHARE
-  return Math.min(maxWaitMs, call.lane.aim ?? CHECK_OUT_TIMEOUT_MS)
+  return Math.min(maxWaitMs, call.lane.targetLatencyMs ?? CHECK_OUT_TIMEOUT_MS)
 }
 
 export function makeQuotaStep(
@@ -58,7 +58,7 @@
     for (const { rate } of state.rules()?.tenants?.values() ?? []) if (rate !== undefined) return true
     return false
   }
-  const { valid: isLeased, leasedSince } = state
+  const { hasValidLease: isLeased, leasedSince } = state
   const allowances = makeAllowances(world, { life: processId, isLeased, leasedSince, isActive, ask }, metrics, stopped)
 
   function release(call: Call): void {
@@ -72,7 +72,8 @@
     call.reservation = await allowances.reserve(tenant, allowanceWaitMs(call, world.now()), call.callerGone)
     if (call.reservation) return undefined
     if (call.callerGone.fired()) return refusal('ABORTED', 'the requester went away', false)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.hasValidLease())
+      return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     return refusal('RESOURCE_EXHAUSTED', `the tenant ${tenant} is at its limit`, true, RETRY_AFTER_QUOTA_S)
   }
   function consumeReservation(call: Call): boolean {
--- a/packages/proxy/src/retry.ts
+++ b/packages/proxy/src/retry.ts
@@ -18,7 +18,7 @@
 // the reasons for the values.
 
 /** Delay before the next attempt in ms: doubles with each attempt, plus up to half of it at random. */
-export function backoff(world: World, attempts: number, firstDelayMs = BACKOFF_BASE_MS): number {
+export function backoffDelayMs(world: World, attempts: number, firstDelayMs = BACKOFF_BASE_MS): number {
   const baseDelayMs = 2 ** attempts * firstDelayMs
   return baseDelayMs + world.random() * (baseDelayMs / 2)
 }
@@ -33,15 +33,15 @@
  */
 export type RetryTokens = {
   /** Counts a first attempt. */
-  first: () => void
+  noteFirstAttempt: () => void
   /** Takes the tokens for a retry; false: too few are left. */
-  spend: () => boolean
+  spendOnRetry: () => boolean
   /** This node's first attempts and retries of the last 2 to 4 s. */
-  recent: () => { firsts: number; retries: number }
+  recentCounts: () => { firsts: number; retries: number }
 }
 
 /** otherNodes: the recent counts of the other nodes. */
-export function makeTokens(world: World, otherNodes: () => { firsts: number; retries: number }): RetryTokens {
+export function makeRetryTokens(world: World, otherNodes: () => { firsts: number; retries: number }): RetryTokens {
   let tokensLeft = RETRY_TOKENS
   let bucketStartedAt = world.now()
   let previousBucket = { firsts: 0, retries: 0 }
@@ -77,7 +77,7 @@
     currentBucket.retries++
     return true
   }
-  return { first: noteFirstAttempt, spend: spendOnRetry, recent: recentCounts }
+  return { noteFirstAttempt: noteFirstAttempt, spendOnRetry: spendOnRetry, recentCounts: recentCounts }
 }
 
 // --- circuit breaker ---
@@ -89,9 +89,9 @@
  */
 export type Breaker = {
   /** Whether a call may be sent; in state half it becomes the probe. */
-  pass: () => boolean
+  allows: () => boolean
   /** Records the result of an attempt. */
-  note: (isSuccess: boolean, wasProbe: boolean) => void
+  record: (isSuccess: boolean, wasProbe: boolean) => void
   isProbing: () => boolean
   state: () => 'closed' | 'open' | 'half'
 }
@@ -168,13 +168,13 @@
   function currentState(): 'closed' | 'open' | 'half' {
     return state
   }
-  return { pass: allows, note: record, isProbing, state: currentState }
+  return { allows: allows, record: record, isProbing, state: currentState }
 }
 
 // --- exhaustion alert ---
 
 /** Alert on the share of calls that exhausted their retry budget, among the calls that were retried or waited. */
-export type ExhaustionAlert = { note: (isExhausted: boolean) => void; raised: () => boolean }
+export type ExhaustionAlert = { record: (isExhausted: boolean) => void; isRaised: () => boolean }
 
 export function makeExhaustionAlert(world: World, group: string, metrics: Metrics): ExhaustionAlert {
   let windowStartedAt = world.now()
@@ -203,5 +203,5 @@
   function isAlertRaised(): boolean {
     return isRaised
   }
-  return { note: record, raised: isAlertRaised }
+  return { record: record, isRaised: isAlertRaised }
 }
--- a/packages/proxy/src/rules.ts
+++ b/packages/proxy/src/rules.ts
@@ -40,34 +40,34 @@
   /** Maximum number of pending calls on one node. */
   maxPending: number
   /** ms that one statement may take. */
-  limit: number | undefined
+  statementTimeoutMs: number | undefined
   /** Target latency: ms within which a call should be answered. */
-  aim: number | undefined
+  targetLatencyMs: number | undefined
   /** Maximum number of attempts of a call. */
-  sends: number | undefined
+  maxAttempts: number | undefined
   /** The steps of each kind of call. */
   programs: Map<CallKind, Step[]>
   /** No API key is required. */
   isPublic: boolean
   /** The phase of the move that the lane is in; undefined for the phase copy, which stops nothing. */
-  move: Exclude<Move['phase'], 'copy'> | undefined
+  movePhase: Exclude<Move['phase'], 'copy'> | undefined
 }
 /** The rules compiled from one configuration. A lane without a team belongs to the team ''. */
 export type Rules = {
   epoch: number
   /** When this node began to work by these rules. */
-  since: number
+  appliedAt: number
   lanes: Map<string, LaneRules>
   /** The first lane of each database. */
-  bases: Map<string, LaneRules>
+  laneByDatabase: Map<string, LaneRules>
   /** The share of the connections by team. */
   connectionShares: Map<string, number>
   /** Maximum number of sessions by team. */
-  sessions: Map<string, number>
+  maxSessions: Map<string, number>
   /** Maximum number of pending calls on one node by team. */
   maxPending: Map<string, number>
   /** ms after which an idle transaction may be ended. */
-  transactionIdle: number | undefined
+  transactionIdleMs: number | undefined
   /** The tenants by the hash of each of their API keys; undefined: no key is required. */
   tenants: Map<string, Tenant> | undefined
   policy: { policy: Policy; fallback: string } | undefined
@@ -81,7 +81,7 @@
 }
 
 /** Compiles a configuration into rules; previous: the rules that they replace. */
-export function compile(
+export function compileRules(
   config: Config,
   epoch: number,
   moves: Move[],
@@ -123,12 +123,12 @@
       team: lane.team ?? '',
       database: lane.database,
       maxPending: maxPending,
-      limit: lane.limit,
-      aim: lane.aim,
-      sends: lane.sends,
+      statementTimeoutMs: lane.limit,
+      targetLatencyMs: lane.aim,
+      maxAttempts: lane.sends,
       programs,
       isPublic: lane.public === true,
-      move: phase === 'copy' ? undefined : phase,
+      movePhase: phase === 'copy' ? undefined : phase,
     }
     lanes.set(lane.name, laneRules)
     if (!laneByDatabase.has(lane.database)) laneByDatabase.set(lane.database, laneRules)
@@ -145,13 +145,13 @@
   const policy = config.policy ? compilePolicy(config.policy.lua) : undefined
   return {
     epoch,
-    since: appliedAt,
+    appliedAt: appliedAt,
     lanes,
-    bases: laneByDatabase,
+    laneByDatabase: laneByDatabase,
     connectionShares: connectionShares,
-    sessions: maxSessions,
+    maxSessions: maxSessions,
     maxPending: maxPending,
-    transactionIdle: config.transactionIdle,
+    transactionIdleMs: config.transactionIdle,
     tenants: tenantsByKey(config.tenants),
     policy: config.policy && policy?.ok ? { policy: policy.val, fallback: config.policy.fallback } : undefined,
   }
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -10,7 +10,7 @@
   type InstanceStatus,
   type ConnectionShares,
 } from '@claynotch/register'
-import { compile, type Rules } from './rules.js'
+import { compileRules, type Rules } from './rules.js'
 
 /**
  * A replicated record (the configuration, the connection shares or a group) as the agent last sent it, with its lease.
@@ -21,39 +21,39 @@
 type LeasedRecord = { version: number; leaseExpiresAt: number; body: unknown; appliedAt: number }
 
 /** A group's record, its version, when its lease expires and when it was applied here (local time, ms). */
-export type KnownGroup = { record: GroupRecord; turn: number; until: number; since: number }
+export type KnownGroup = { record: GroupRecord; version: number; leaseExpiresAt: number; appliedAt: number }
 
 /**
  * What the proxy knows of the fleet from its agent's feeds: the replicated records, the instances and the other nodes.
  */
 export type State = {
   /** Applies a feed. */
-  take: (feed: AgentFeed) => void
+  applyFeed: (feed: AgentFeed) => void
   /** Expires all leases at once, at shutdown. */
-  halt: () => void
+  expireLeases: () => void
   /** The rules in force, compiled from the configuration. */
   rules: () => Rules | undefined
   config: () => Config | undefined
   /** Whether the configuration's lease is valid. */
-  valid: () => boolean
+  hasValidLease: () => boolean
   /** Since when (local time, ms) that lease has been valid without a gap, if it is valid. */
   leasedSince: () => number
   /** Whether this node holds a share of the instances' connections. */
-  share: () => boolean
+  hasConnectionShare: () => boolean
   /** Number of live members that have a proxy, at least 1. */
   liveProxies: () => number
   /** The group's record, whether or not its lease is still valid. */
   group: (name: string) => KnownGroup | undefined
   /** Whether a write of the lane that was sent to the group at that time may be acknowledged, with regard to moves. */
-  counts: (lane: string, group: string, sentAt: number) => boolean
+  canAcknowledgeWrite: (lane: string, group: string, sentAt: number) => boolean
   /** Whether a group of that name is configured, or a record of it was received. */
-  knows: (name: string) => boolean
+  isGroupKnown: (name: string) => boolean
   /** The status of each instance by its name, as the agent last sent it. */
-  sights: () => Map<string, InstanceStatus>
+  instanceStatuses: () => Map<string, InstanceStatus>
   /** Whether the instance is leaving or has signed off. */
   isLeaving: (name: string) => boolean
   /** ms since the first node known here learned that the instance is leaving; 0 if it isn't. */
-  goneFor: (name: string) => number
+  leavingForMs: (name: string) => number
   /** Whether any node knows the group to be under promotion. */
   isUnderPromotion: (group: string) => boolean
   /** Recent first attempts and retries of the other nodes. */
@@ -61,9 +61,9 @@
   node: () => string
   area: () => string
   /** The version of each record by its key. */
-  turns: () => Map<string, number>
+  versions: () => Map<string, number>
   /** Fires after each feed, and at shutdown. */
-  bell: Signal
+  changed: Signal
 }
 
 export function makeState(world: World): State {
@@ -120,7 +120,7 @@
         const nextRulesKey = `${ownConfig.epoch} ${JSON.stringify(ownConfig.moves)}`
         if (nextRulesKey !== appliedRulesKey)
           rules = ownConfig.config
-            ? compile(ownConfig.config, ownConfig.epoch, ownConfig.moves, world.now(), rules)
+            ? compileRules(ownConfig.config, ownConfig.epoch, ownConfig.moves, world.now(), rules)
             : undefined
         appliedRulesKey = nextRulesKey
         for (const move of ownConfig.moves)
@@ -206,9 +206,9 @@
     return leased
       ? {
           record: leased.body as GroupRecord,
-          turn: leased.version,
-          until: leased.leaseExpiresAt,
-          since: leased.appliedAt,
+          version: leased.version,
+          leaseExpiresAt: leased.leaseExpiresAt,
+          appliedAt: leased.appliedAt,
         }
       : undefined
   }
@@ -257,25 +257,25 @@
     return versionByKey
   }
   return {
-    take: applyFeed,
-    halt: expireLeases,
+    applyFeed: applyFeed,
+    expireLeases: expireLeases,
     rules: currentRules,
     config,
-    valid: hasValidLease,
+    hasValidLease: hasValidLease,
     leasedSince,
-    share: hasConnectionShare,
+    hasConnectionShare: hasConnectionShare,
     liveProxies,
     group,
-    counts: canAcknowledgeWrite,
-    knows: isGroupKnown,
-    sights: instanceStatuses,
+    canAcknowledgeWrite: canAcknowledgeWrite,
+    isGroupKnown: isGroupKnown,
+    instanceStatuses: instanceStatuses,
     isLeaving,
-    goneFor: leavingForMs,
+    leavingForMs: leavingForMs,
     isUnderPromotion,
     retriesOnOtherNodes,
     node: nodeName,
     area: areaName,
-    turns: versions,
-    bell: changed,
+    versions: versions,
+    changed: changed,
   }
 }
--- a/packages/proxy/src/target-selection.ts
+++ b/packages/proxy/src/target-selection.ts
@@ -2,7 +2,7 @@
 import type { InstanceAdapter, LogPosition } from '@claynotch/instance'
 import { guardOf } from '@claynotch/operator'
 import type { Call } from './call.js'
-import { floorOf, isFresh, needOf, provedWithin, type Token } from './freshness.js'
+import { freshnessFloor, isFresh, requiredPositionOf, provedStalenessMs, type Token } from './freshness.js'
 import type { KnownGroup, State } from './state.js'
 import type { Instance, Watch } from './watch.js'
 
@@ -43,7 +43,7 @@
 ): TargetSelection {
   function leaderFor(call: Call): { instance: Instance; epoch: number } | undefined {
     const knownGroup = state.group(call.lane.group)
-    if (!knownGroup || world.now() >= knownGroup.until) return undefined
+    if (!knownGroup || world.now() >= knownGroup.leaseExpiresAt) return undefined
     const record = knownGroup.record
     const acceptsCalls = record.phase === 'steady' || (record.phase === 'drain' && call.kind === 'read')
     if (!acceptsCalls || record.leader === undefined) return undefined
@@ -53,7 +53,7 @@
     const mayWrite = call.kind === 'write' || call.kind === 'begin write'
     if (mayWrite && !isWithinPromotionGuard(call.lane.group, record.leader, record.epoch)) return undefined
     // A leader that is leaving stays in use until its successor takes over, but for a bounded time only.
-    if (state.goneFor(record.leader) > LEAVING_GRACE_MS) return undefined
+    if (state.leavingForMs(record.leader) > LEAVING_GRACE_MS) return undefined
     watch.usable(instance, true)
     return { instance, epoch: record.epoch }
   }
@@ -62,8 +62,8 @@
    * ease only read transactions are stopped.
    */
   function isStoppedByMove(call: Call): boolean {
-    if (call.lane.move === 'ease') return call.kind === 'begin read'
-    return call.lane.move === 'held' || (call.lane.move !== undefined && call.kind !== 'read')
+    if (call.lane.movePhase === 'ease') return call.kind === 'begin read'
+    return call.lane.movePhase === 'held' || (call.lane.movePhase !== undefined && call.kind !== 'read')
   }
   /**
    * Whether at least one follower is proved to be no further behind the leader than the group's guard allows; true if
@@ -75,7 +75,7 @@
     const samples = watch.get(leader)?.samples ?? []
     for (const follower of watch.all().values()) {
       if (follower.group !== group || follower.name === leader || !follower.mark || follower.doubt) continue
-      const stalenessMs = provedWithin(samples, epoch, follower.mark, world.now())
+      const stalenessMs = provedStalenessMs(samples, epoch, follower.mark, world.now())
       if (stalenessMs !== undefined && stalenessMs <= guard) return true
     }
     metrics.add('claynotch_guard_waits_total', [['group', group]])
@@ -87,7 +87,7 @@
     freshness: { within: number; own: boolean },
   ): { instance: Instance; epoch: number; floor: LogPosition } | undefined {
     const record = known.record
-    if (record.leader === undefined || world.now() >= known.until || isStoppedByMove(call)) return undefined
+    if (record.leader === undefined || world.now() >= known.leaseExpiresAt || isStoppedByMove(call)) return undefined
     // A transaction begun now would be aborted when the drain ends, so it waits for the next leader.
     if (record.phase === 'drain' && call.kind === 'begin read') return undefined
     const requiredFloor = requiredPosition(call.lane.group, freshness, call.token, call.lane.groupSince)
@@ -142,10 +142,10 @@
     const record = state.group(group)?.record
     const leader = record?.leader !== undefined ? watch.get(record.leader) : undefined
     if (!record || !leader) return undefined
-    return needOf(
-      floorOf(leader.samples, record.epoch, freshness.within, world.now(), groupSince),
+    return requiredPositionOf(
+      freshnessFloor(leader.samples, record.epoch, freshness.within, world.now(), groupSince),
       record.epoch,
-      freshness.own && token?.group === group ? token.mark : undefined,
+      freshness.own && token?.group === group ? token.position : undefined,
     )
   }
   return { leaderFor, followerFor, requiredPosition }
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -6,7 +6,7 @@
     rule: 'a write that may have reached is sent again',
     scenario: 'answers-lost',
     seeds: [1, 6],
-    edits: [['proxy/dist/interpret.js', "if (trouble.reach === 'maybe' && isWrite(call))", 'if (false)']],
+    edits: [['proxy/dist/interpret.js', "if (error.reach === 'maybe' && isWrite(call))", 'if (false)']],
   },
   {
     name: 'promise-unclear',
@@ -29,8 +29,8 @@
     edits: [
       [
         'proxy/dist/freshness.js',
-        'return (!exact || mark.epoch === need.epoch) && comparePositions(mark, need) >= 0;',
-        'return !exact || mark.epoch === need.epoch;',
+        'return (!isEpochExact || position.epoch === required.epoch) && comparePositions(position, required) >= 0;',
+        'return !isEpochExact || position.epoch === required.epoch;',
       ],
     ],
   },
@@ -49,8 +49,8 @@
     edits: [
       [
         'proxy/dist/watch.js',
-        'one.samples.push({ asked, reign, mark });',
-        'one.samples.push({ asked: now + 1500, reign, mark });',
+        'one.samples.push({ askedAt: asked, epoch: reign, position: mark });',
+        'one.samples.push({ askedAt: now + 1500, reign, mark });',
       ],
     ],
   },
@@ -62,17 +62,33 @@
     edits: [
       [
         'proxy/dist/interpret.js',
-        'if (!known || world.now() >= known.until || known.record.epoch !== epoch)',
+        'if (!known || world.now() >= known.leaseExpiresAt || known.record.epoch !== epoch)',
         'if (!known || known.record.epoch !== epoch)',
       ],
-      ['proxy/dist/transactions.js', 'if (!known || world.now() >= known.until)\n', 'if (!known)\n'],
+      [
+        'proxy/dist/transactions.js',
+        `if (!known || world.now() >= known.leaseExpiresAt)
+`,
+        `if (!known)
+`,
+      ],
       [
         'proxy/dist/target-selection.js',
-        'if (!known || world.now() >= known.until)\n            return undefined;\n        const rec = known.record;\n        const calm',
-        'if (!known)\n            return undefined;\n        const rec = known.record;\n        const calm',
+        `if (!knownGroup || world.now() >= knownGroup.leaseExpiresAt)
+            return undefined;
+        const record = knownGroup.record;
+        const acceptsCalls`,
+        `if (!knownGroup)
+            return undefined;
+        const record = knownGroup.record;
+        const acceptsCalls`,
+      ],
+      [
+        'proxy/dist/state.js',
+        'return leased !== undefined && world.now() < leased.leaseExpiresAt;',
+        'return leased !== undefined;',
       ],
-      ['proxy/dist/state.js', 'return c !== undefined && world.now() < c.until;', 'return c !== undefined;'],
-      ['proxy/dist/state.js', 'if (!c || world.now() >= c.until)', 'if (!c)'],
+      ['proxy/dist/state.js', 'if (!leased || world.now() >= leased.leaseExpiresAt)', 'if (!leased)'],
     ],
   },
   {
@@ -83,7 +99,9 @@
     edits: [
       [
         'proxy/dist/interpret.js',
-        'lead ? stands(group, epoch) && (!edge.exact || mark.epoch === epoch) && counted : isFresh(mark, floor, edge.exact)',
+        `isFromLeader
+                ? isEpochCurrent(group, epoch) && (!adapter.exact || mark.epoch === epoch) && canAcknowledge
+                : isFresh(mark, floor, adapter.exact)`,
         'true',
       ],
       ['proxy/dist/transactions.js', 'if (!stillStands(tx, got.val.mark))', 'if (false)'],
@@ -163,7 +181,12 @@
     test: 'registers.test.js',
     seeds: [1, 1],
     edits: [
-      ['proxy/dist/state.js', 'if (old && c.turn < old.turn)\n                continue;', ''],
+      [
+        'proxy/dist/state.js',
+        `if (previous && cell.turn < previous.version)
+                continue;`,
+        '',
+      ],
       ['agent/dist/register-cache.js', 'if (mine && compareBallots(mine.ballot, push.ballot) >= 0)', 'if (false)'],
       ['agent/dist/register-cache.js', 'if (old && value.turn < old.value.turn)\n            return;', ''],
       [
@@ -186,7 +209,14 @@
     rule: 'a leaving instance gets new work',
     scenario: 'leaving',
     seeds: [1, 6],
-    edits: [['proxy/dist/target-selection.js', ' || state.gone(one.name)', '']],
+    edits: [
+      [
+        'proxy/dist/target-selection.js',
+        ` ||
+                state.isLeaving(candidate.name)`,
+        '',
+      ],
+    ],
   },
   {
     name: 'drain-drops',
@@ -225,7 +255,7 @@
     rule: 'a promotion is absorbed within the budget',
     scenario: 'leader-crash',
     seeds: [1, 3],
-    edits: [['proxy/dist/interpret.js', 'await waitNews(call);', 'return exhausted(call);']],
+    edits: [['proxy/dist/interpret.js', 'await waitForGroupNews(call);', 'return budgetExhausted(call);']],
   },
   {
     name: 'tx-elsewhere',
@@ -259,14 +289,21 @@
     rule: 'reads leave their area without need',
     scenario: 'own-area',
     seeds: [1, 2],
-    edits: [['proxy/dist/target-selection.js', 'one.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST', '0']],
+    edits: [['proxy/dist/target-selection.js', 'candidate.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST', '0']],
   },
   {
     name: 'no-tokens',
     rule: 'retries summed over nodes are uncapped',
     scenario: 'sick-leader',
     seeds: [1, 2],
-    edits: [['proxy/dist/retry.js', 'if (left < cost)\n            return false;', '']],
+    edits: [
+      [
+        'proxy/dist/retry.js',
+        `if (tokensLeft < cost)
+            return false;`,
+        '',
+      ],
+    ],
   },
   {
     name: 'no-guard',
@@ -280,7 +317,7 @@
     rule: 'more machines than shares pass the cap',
     scenario: 'too-many',
     seeds: [1, 3],
-    edits: [['proxy/dist/state.js', 'return at >= 0 && at < size && slots[at]?.ready === true;', 'return true;']],
+    edits: [['proxy/dist/state.js', 'return slot >= 0 && slot < size && slots[slot]?.ready === true;', 'return true;']],
   },
   {
     name: 'transaction-ages',
@@ -347,7 +384,9 @@
     rule: 'a transaction begun in a drain that was acknowledged is cut',
     scenario: 'homecoming',
     seeds: [1, 8],
-    edits: [['proxy/dist/interpret.js', '((writes || begins) && state.group(', '(writes && state.group(']],
+    edits: [
+      ['proxy/dist/interpret.js', '((mayWrite || beginsTransaction) && state.group(', '(mayWrite && state.group('],
+    ],
   },
   {
     name: 'home-at-once',
@@ -381,7 +420,7 @@
     rule: 'an open transaction goes on at a leaving instance',
     scenario: 'leaving-through',
     seeds: [1, 12],
-    edits: [['proxy/dist/transactions.js', 'if (state.goneFor(instance) > LEAVING_GRACE_MS)', 'if (false)']],
+    edits: [['proxy/dist/transactions.js', 'if (state.leavingForMs(instance) > LEAVING_GRACE_MS)', 'if (false)']],
   },
   {
     name: 'caps',
@@ -572,7 +611,7 @@
     rule: 'STALE: a floor older than the bound',
     scenario: 'deaf replica, then primary crash',
     seeds: [1, 3],
-    edits: [['proxy/dist/freshness.js', 's.asked < now - within', 'false']],
+    edits: [['proxy/dist/freshness.js', 'sample.askedAt < now - maxStalenessMs', 'false']],
   },
   {
     on: 'platform',
@@ -588,7 +627,7 @@
     rule: 'TWICE: a write that may have reached is sent again',
     scenario: 'answers lost, connections reset',
     seeds: [1, 3],
-    edits: [['proxy/dist/interpret.js', "if (trouble.reach === 'maybe' && isWrite(call))", 'if (false)']],
+    edits: [['proxy/dist/interpret.js', "if (error.reach === 'maybe' && isWrite(call))", 'if (false)']],
   },
   {
     on: 'platform',
@@ -623,7 +662,9 @@
     edits: [
       [
         'proxy/dist/sessions.js',
-        'if (!identity.isAllowed)\n            return runner.keys.deny(found.lane, session.keyHash);\n        const shapeName',
+        `if (!identity.isAllowed)
+            return runner.keyRefusals.refuse(found.lane, session.keyHash);
+        const shapeName`,
         'const shapeName',
       ],
     ],
@@ -640,7 +681,14 @@
     rule: 'CONFIG: DENIED is told without a lease',
     test: 'platform/dist/test/tenant-keys.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/key-refusals.js', "if (!state.valid())\n            return 'no-lease';", '']],
+    edits: [
+      [
+        'proxy/dist/key-refusals.js',
+        `if (!state.hasValidLease())
+            return 'no-lease';`,
+        '',
+      ],
+    ],
   },
   {
     name: 'platform-key-shared',
@@ -678,7 +726,14 @@
     rule: 'DRAIN_TIMEOUT_MS: new work at an instance that leaves',
     scenario: 'all copies',
     seeds: [1, 3],
-    edits: [['proxy/dist/target-selection.js', ' || state.gone(one.name)', '']],
+    edits: [
+      [
+        'proxy/dist/target-selection.js',
+        ` ||
+                state.isLeaving(candidate.name)`,
+        '',
+      ],
+    ],
   },
   {
     on: 'platform',
@@ -1128,8 +1183,8 @@
     test: 'noroute.test.js',
     seeds: [1, 1],
     edits: [
-      ['proxy/dist/sessions.js', 'if (!state.valid())', 'if (false)'],
-      ['proxy/dist/interpret.js', 'if (!lane && !state.valid())', 'if (false)'],
+      ['proxy/dist/sessions.js', 'if (!state.hasValidLease())', 'if (false)'],
+      ['proxy/dist/interpret.js', 'if (!lane && !state.hasValidLease())', 'if (false)'],
     ],
   },
   {
@@ -1624,7 +1679,7 @@
     rule: 'QUOTA: nothing goes out but with a reservation',
     test: 'quota-proxy.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/interpret.js', '!quota.sent(call)', '(quota.sent(call), false)']],
+    edits: [['proxy/dist/interpret.js', '!quota.consumeReservation(call)', '(quota.consumeReservation(call), false)']],
   },
   {
     name: 'quota-not-cancelled',
