--- a/packages/agent/src/adapter.ts
+++ b/packages/agent/src/adapter.ts
@@ -13,52 +13,64 @@
 import type { Body, Change, Verdict } from '@claynotch/operator'
 import type { CoreSet } from '@claynotch/register'
 
-// What operators, instances and probes may have of an agent, whatever they speak.
+/** The agent's interface for operators, instances and probes, independent of the protocol they use. */
 export type ControlService = {
   metrics: Metrics
-  // An instance's word of itself; false: not kept, as too many are known.
-  heardInstance: (a: Announcement) => boolean
-  // An instance's last word, where it tells its name alone; false: not known here.
+  /** Records an instance's announcement; false: rejected, because too many instances are known. */
+  heardInstance: (announcement: Announcement) => boolean
+  /**
+   * Records the sign-off of an instance that sends only its name; false: rejected, because too many instances are
+   * known.
+   */
   instanceLeft: (name: string) => boolean
-  // Why an instance's word that was heard here can't be acknowledged; undefined, within CHANGE_ANSWER: a majority of the
-  // cores has it.
+  /**
+   * Waits, up to CHANGE_ANSWER_TIMEOUT_MS, until a majority of the cores has the announcement. Resolves to the reason
+   * why it can't be acknowledged, or to undefined if it can.
+   */
   reportFailure: (name: string) => Promise<string | undefined>
-  // One numbered change, decided at the cores, or unclear, after CHANGE_ANSWER at most. stream: a digest of all that it is, so
-  // that under one number there is one change alone.
+  /**
+   * Decides one numbered change at the cores, or resolves to an unclear outcome, within CHANGE_ANSWER_TIMEOUT_MS.
+   * stream: a digest of the whole change, so that one number stands for only one change.
+   */
   change: (stream: string, change: Change) => Promise<Verdict>
-  // The configuration, read at a majority; undefined after CHANGE_ANSWER at most: no majority. body: as known here.
+  /** Reads the configuration at a majority, within CHANGE_ANSWER_TIMEOUT_MS; undefined: no majority answered. */
   read: () => Promise<Body | undefined>
+  /** The configuration as this node knows it. */
   body: () => Body | undefined
   coreSet: () => CoreSet
-  // Why this node is not ready, if so.
+  /** The reason why this node isn't ready; undefined: it is ready. */
   ready: () => string | undefined
-  // Our own operators' calls.
-  operator: { take: (ask: HttpRequest) => Promise<HttpResponse | undefined>; raw: (path: string) => boolean }
+  /** Handles the HTTP calls of operators. */
+  operator: { take: (request: HttpRequest) => Promise<HttpResponse | undefined>; raw: (path: string) => boolean }
 }
-export type ControlAdapter = (world: World, addr: Address, desk: ControlService) => Promise<HttpListener>
+/** Serves a control service on an address. */
+export type ControlAdapter = (world: World, addr: Address, service: ControlService) => Promise<HttpListener>
 
-// How an agent speaks with its peers, chosen when the process starts.
+/** The protocols of an agent towards instances, the platform and operators, chosen when the process starts. */
 export type AgentAdapters = { instance: InstanceAdapter; promotion: PromotionEdge; control: ControlAdapter }
 
-// Where nodes that look for the cores are answered.
-export function answerSeeds(ask: HttpRequest, { epoch, ...set }: CoreSet): HttpResponse | undefined {
-  if (ask.path !== '/seeds') return undefined
+/** Answers nodes that look up the core set; undefined: the request is for another path. */
+export function answerSeeds(request: HttpRequest, { epoch, ...set }: CoreSet): HttpResponse | undefined {
+  if (request.path !== '/seeds') return undefined
   return set.cores.length > 0
     ? { status: 200, body: { ...set, ...(epoch > 0 ? { epoch } : {}) } }
     : { status: 503, body: { cores: [] }, after: 1 }
 }
 
-function httpControl(world: World, addr: Address, desk: ControlService): Promise<HttpListener> {
-  async function announced(a: Announcement): Promise<string | undefined> {
-    return desk.heardInstance(a) ? await desk.reportFailure(a.name) : 'too many instances are known'
+function serveHttpControl(world: World, addr: Address, service: ControlService): Promise<HttpListener> {
+  async function handleAnnouncement(announcement: Announcement): Promise<string | undefined> {
+    return service.heardInstance(announcement)
+      ? await service.reportFailure(announcement.name)
+      : 'too many instances are known'
   }
-  async function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
-    const first = takeProbe(ask, desk) ?? answerSeeds(ask, desk.coreSet())
-    if (first) return first
-    if (ask.path === '/announcement') return await takeAnnouncement(ask, announced)
-    return await desk.operator.take(ask)
+  async function handle(request: HttpRequest): Promise<HttpResponse | undefined> {
+    const probeOrSeedsResponse = takeProbe(request, service) ?? answerSeeds(request, service.coreSet())
+    if (probeOrSeedsResponse) return probeOrSeedsResponse
+    if (request.path === '/announcement') return await takeAnnouncement(request, handleAnnouncement)
+    return await service.operator.take(request)
   }
-  return serveHttp(world, addr, handle, { raw: desk.operator.raw, limit: OPERATOR_BODY_LIMIT_BYTES })
+  return serveHttp(world, addr, handle, { raw: service.operator.raw, limit: OPERATOR_BODY_LIMIT_BYTES })
 }
 
-export const ownAdapters: AgentAdapters = { instance: httpInstance, promotion: promote, control: httpControl }
+/** The adapters for this project's own HTTP protocols. */
+export const ownAdapters: AgentAdapters = { instance: httpInstance, promotion: promote, control: serveHttpControl }
--- a/packages/agent/src/agent-settings.ts
+++ b/packages/agent/src/agent-settings.ts
@@ -3,40 +3,45 @@
 import type { CorePlace, CoreSet, QuotaService, RegisterValue } from '@claynotch/register'
 import type { QuotaTolerance } from './quota-limits.js'
 
+/** The settings of one agent process. */
 export type AgentSettings = {
   node: string
   area: string
-  /** Where the proxy of this machine finds its agent; none: it has no proxy. */
+  /** The address at which the agent accepts the proxy of this machine; undefined: the machine has no proxy. */
   link?: Address
-  /** UDP, for summaries. */
+  /** The UDP address for summaries. */
   peer: Address
-  /** For operators, instances, the platform, and nodes that look for the cores; none: it serves none and holds no duties. */
+  /**
+   * The HTTP address for operators, instances, the platform and nodes that look up the core set; undefined: the agent
+   * serves none of them and holds no duties.
+   */
   http?: Address
-  /** HTTP addresses of three other processes. */
+  /** The HTTP addresses of three other processes, from which the core set is looked up. */
   seeds: Address[]
-  /** The core set where this process knows it by itself; it is asked before the seeds. */
+  /** The core set, where a core runs in this process; it is consulted before the seeds. */
   coreSet?: () => CoreSet
-  /** The core machine that runs in this process, which is told each later set, and passes questions about quotas on. */
+  /** The core that runs in this process; it is notified of each later set and forwards quota questions. */
   core?: {
     place: () => CorePlace
     adopt: (next: CoreSet) => Promise<void>
     serveQuotas: (service: QuotaService) => void
   }
-  /** Default: nothing above the limits. */
+  /** Default: no excess over the limits. */
   quota?: QuotaTolerance
-  /** Default: MAX_VOTERS. */
+  /** The largest number of voters in the core set. Default: MAX_VOTERS. */
   mostVoters?: number
-  /** Where promotion calls go. */
+  /** The address that receives promotion calls. */
   platform?: Address
   operators?: Credential[]
   build: string
-  /** ms; default: SUSPICION_TIMEOUT_MS. */
+  /** The time (ms) without a successful answer after which a leader is suspected. Default: SUSPICION_TIMEOUT_MS. */
   suspect?: number
 }
 
-/** What a changed settings file may change while the agent runs. */
+/** The settings that can change while the agent runs. */
 export type AgentReload = { seeds: Address[]; platform: Address | undefined; operators: Credential[] | undefined }
 
+/** A running agent. */
 export type Agent = {
   stop: () => Promise<void>
   metrics: Metrics
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -57,40 +57,47 @@
 import { startQuotaRelay } from './quota-relay.js'
 import { makeRegisterCache } from './register-cache.js'
 import { makeRenewalMessages } from './renewal-messages.js'
-import { makeSubscription, sourcesOf } from './subscription.js'
+import { makeSubscription, subscriptionSources } from './subscription.js'
 import { makeSummarySource } from './summary-source.js'
 import { makeTenantView } from './tenant-view.js'
 
-// The control side of one machine, put together: each part below has a file of its own and a state of its own.
-
+/**
+ * Starts the agent of one machine: the control plane beside its proxy.
+ *
+ * This function only wires components together. Each component has its own module and keeps its own state.
+ */
 export async function startAgent(
   world: World,
   settings: AgentSettings,
   adapters: AgentAdapters = ownAdapters,
 ): Promise<Agent> {
   const { node, area } = settings
+  /** Identifies this process incarnation of the agent. */
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
   const stop = makeFlag()
   const metrics = makeMetrics()
   const registerChanged = makeSignal()
-  const cacheBehind = makeSignal()
+  const registersBehind = makeSignal()
   const renewNow = makeSignal()
-  // isCurrent: all that a majority showed since this life, or its last long silence, began is known here; no duty is held before.
+  /**
+   * Whether this node has caught up with everything that a majority has shown since the process started or since its
+   * last gap of a whole lease. It holds no duties before that.
+   */
   let isCurrent = false
   let isLeaseGivenUp = false
   let { seeds, platform, operators } = settings
 
-  // --- the cores and what they hold ---
+  // --- core links and registers ---
 
-  function seedsNow(): Address[] {
+  function currentSeeds(): Address[] {
     return seeds
   }
   const links = makeCoreLinks(
     world,
-    { node, seeds: seedsNow, ...(settings.coreSet ? { knownCoreSet: settings.coreSet } : {}) },
+    { node, seeds: currentSeeds, ...(settings.coreSet ? { knownCoreSet: settings.coreSet } : {}) },
     stop,
     metrics,
-    { adopted: coreSetAdopted, removed: coreRemoved, up: coreUp, push: corePushed },
+    { adopted: coreSetAdopted, removed: coreRemoved, up: coreLinkUp, push: handlePush },
   )
   function coreSetAdopted(next: CoreSet, isFirst: boolean): void {
     void settings.core?.adopt(next)
@@ -99,35 +106,35 @@
   function coreRemoved(core: string): void {
     renewalMessages.forget(core)
   }
-  /** The first lease isn't waited for longer than it takes to reach the cores. */
-  function coreUp(core: string): void {
+  /** Renews at once while no lease is held, so that the first lease only waits for the links to the cores. */
+  function coreLinkUp(core: string): void {
     subscription.linkedAnew(core)
     if (lease.expiresAt() === 0) renewNow.notify()
   }
-  function corePushed(core: string, push: RegisterPush): void {
+  function handlePush(core: string, push: RegisterPush): void {
     acknowledgements.pushed(core, push.key, push.num)
-    void takePush(core, push)
+    void applyPush(core, push)
   }
-  async function takePush(core: string, push: RegisterPush): Promise<void> {
+  async function applyPush(core: string, push: RegisterPush): Promise<void> {
     await registers.takePush(core, push)
     acknowledgements.tell(core, push.key)
   }
 
   const acknowledgements = makeAcknowledgements(links)
-  const proposer = makeProposer(world, node, links.voters, links.quorum, links.adopt, heldValue)
+  const proposer = makeProposer(world, node, links.voters, links.quorum, links.adopt, cachedValue)
   const registers = makeRegisterCache(world, {
-    epoch: epochNow,
+    epoch: currentEpoch,
     link: linkTo,
     readCommitted,
     onNewer: registerUpdated,
-    onBehind: cacheBehind.notify,
+    onBehind: registersBehind.notify,
   })
   const { body, config, groups, recordOf } = makeKnownConfiguration(registers)
   const subscription = makeSubscription(world, node, area, registers.ballots)
-  function heldValue(key: string): HeldValue | undefined {
+  function cachedValue(key: string): HeldValue | undefined {
     return registers.held(key)
   }
-  function epochNow(): number {
+  function currentEpoch(): number {
     return links.coreSet().epoch
   }
   function linkTo(core: string): PersistentLink | undefined {
@@ -147,7 +154,7 @@
     proxy.changed()
     registerChanged.notify()
   }
-  // --- the lease, and what its renewals tell and bring ---
+  // --- lease renewal and the data that it exchanges ---
 
   const instances = makeInstanceTable(world, isDeparted)
   function isDeparted(group: string, name: string): boolean {
@@ -160,23 +167,23 @@
   const renewalMessages = makeRenewalMessages(world, {
     node,
     life,
-    describe,
+    describe: describeNode,
     acknowledged: acknowledgements.all,
     report: proxyReport,
     ownInstances: instances.own,
     remembers: knowsRegisters,
-    tellsMembers: membership.tellsMembers,
+    isMemberSource: membership.isMemberSource,
   })
   const lease = makeLeaseRenewal(world, { name: node, life }, links, renewalMessages, metrics, {
     beforeRound: membership.chooseSources,
     isPinned,
-    resumed: notCurrent,
+    resumed: markNotCurrent,
     answered: mergeAnswers,
   })
   function isPinned(core: string): boolean {
-    return membership.tellsMembers(core) || subscription.at() === core
+    return membership.isMemberSource(core) || subscription.at() === core
   }
-  function describe(): MemberDescription {
+  function describeNode(): MemberDescription {
     return {
       area,
       addr: settings.peer,
@@ -198,16 +205,19 @@
     membership.merge(cores)
     mergeInstances()
     registers.takeSummaries(summaries, links.quorum(), beganAt)
-    judgeCurrent()
-    void subscription.choose(sourcesOf(links, membership), epochNow())
+    markCurrentIfCaughtUp()
+    void subscription.choose(subscriptionSources(links, membership), currentEpoch())
   }
-  /** Who leads, and who leaves, is looked at at once. */
+  /** Merges the instance statuses that cores report; a changed role or leaving flag starts a failover check at once. */
   function mergeInstances(): void {
     const views = []
     for (const { view } of links.all().values()) views.push(view)
     if (instances.merge(views)) failover.ring()
   }
-  /** What was heard while a round ran is told by another at once: its acknowledgement waits for it. */
+  /**
+   * Runs renewal rounds until no report is pending. Announcements that arrive during a round are reported by another
+   * round at once, because their acknowledgement waits for it.
+   */
   async function renew(): Promise<void> {
     if (links.all().size === 0) await links.discover()
     while (links.all().size > 0 && !stop.fired()) {
@@ -218,28 +228,28 @@
       if (!isRenewed || !reports.isPending()) return
     }
   }
-  function setCurrent(to: boolean): void {
-    isCurrent = to
-    metrics.set('claynotch_agent_current', [], to ? 1 : 0)
+  function setCurrent(isNowCurrent: boolean): void {
+    isCurrent = isNowCurrent
+    metrics.set('claynotch_agent_current', [], isNowCurrent ? 1 : 0)
   }
-  function notCurrent(): void {
+  function markNotCurrent(): void {
     setCurrent(false)
   }
-  function judgeCurrent(): void {
+  function markCurrentIfCaughtUp(): void {
     if (isCurrent || registers.isBehind()) return
     setCurrent(true)
     failover.ring()
     routeMoves.ring()
   }
   async function catchUp(): Promise<void> {
-    // A notification between two intervals must not be lost: the loop looks at what is wanted.
+    // Checks the state rather than the signal, so that a notification between two intervals isn't lost.
     if (!registers.isBehind()) return
     await registers.catchUp()
-    judgeCurrent()
+    markCurrentIfCaughtUp()
     proxy.feed()
   }
 
-  // --- the proxy of this machine, and summaries ---
+  // --- local proxy, quotas and summaries ---
 
   const proxy = makeProxyLink(
     world,
@@ -250,11 +260,11 @@
       registers: registers.all,
       leaseExpiresAt: lease.expiresAt,
       instances: instances.list,
-      summaries: summariesNow,
+      summaries: heardSummaries,
       proxyCount: membership.proxyCount,
     },
     metrics,
-    { applied: acknowledgements.applied, instanceFailing, quotaAsked },
+    { applied: acknowledgements.applied, instanceFailing, quotaAsked: askQuota },
   )
   const summarySource = makeSummarySource(world, {
     node,
@@ -267,21 +277,23 @@
     instances,
     report: proxyReport,
     reportAge: proxy.reportAge,
-    summaries: summariesNow,
+    summaries: heardSummaries,
   })
   function proxyReport(): ProxyReport | undefined {
     return proxy.report()
   }
-  const directory = makeQuotaDirectory(world, registers, membership, links)
-  const relay =
-    settings.link !== undefined ? startQuotaRelay(world, { node, directory, isWithoutProxy }, stop, metrics) : undefined
-  async function quotaAsked(question: QuotaQuestion): Promise<QuotaAnswer> {
-    return relay ? await relay.ask(question) : { ok: true, grants: [] }
+  const quotaDirectory = makeQuotaDirectory(world, registers, membership, links)
+  const quotaRelay =
+    settings.link !== undefined
+      ? startQuotaRelay(world, { node, directory: quotaDirectory, isWithoutProxy: isProxyInactive }, stop, metrics)
+      : undefined
+  async function askQuota(question: QuotaQuestion): Promise<QuotaAnswer> {
+    return quotaRelay ? await quotaRelay.ask(question) : { ok: true, grants: [] }
   }
-  function isWithoutProxy(): boolean {
+  function isProxyInactive(): boolean {
     return !proxy.isLinked() && world.now() > proxy.fedUntil()
   }
-  function summariesNow(): Summary[] {
+  function heardSummaries(): Summary[] {
     return peers.hints()
   }
   function instanceFailing(): void {
@@ -297,11 +309,14 @@
 
   // --- duties ---
 
-  /** Up to when this node may hold duties: not before it knows what was committed while it was away, nor once it gave up its lease. */
-  function dutyUntil(): number {
+  /**
+   * Local time (ms) until which this node may hold duties. 0 until it knows what was committed while it was away, and
+   * after it has released its lease.
+   */
+  function dutyLeaseExpiresAt(): number {
     return isCurrent && !isLeaseGivenUp ? lease.expiresAt() : 0
   }
-  function platformNow(): Address | undefined {
+  function currentPlatform(): Address | undefined {
     return platform
   }
   const dutyView = {
@@ -309,9 +324,9 @@
     suspect: settings.suspect ?? SUSPICION_TIMEOUT_MS,
     instance: adapters.instance,
     promotion: adapters.promotion,
-    platform: platformNow,
+    platform: currentPlatform,
     proposer,
-    leaseExpiresAt: dutyUntil,
+    leaseExpiresAt: dutyLeaseExpiresAt,
     live: membership.dutyNodes,
     groups,
     register: registers.value,
@@ -322,24 +337,24 @@
     body,
     metrics,
   }
-  // Only a node that serves operators is ever among dutyNodes(); on any other, a task for each group would only look.
+  // Only nodes that serve operators are in dutyNodes(); on any other node, the task for each group would poll in vain.
   const failover = mayHoldDuties ? startFailover(world, dutyView, stop) : { ring: noop }
   const routeMoves = mayHoldDuties ? startRouteMoves(world, dutyView, stop) : { ring: noop }
-  function coreNow(core: string): { held: PersistentLink; heard: number } | undefined {
-    const held = linkTo(core)
-    return held && { held, heard: links.heardAt(core) ?? 0 }
+  function coreLinkOf(core: string): { held: PersistentLink; heard: number } | undefined {
+    const link = linkTo(core)
+    return link && { held: link, heard: links.heardAt(core) ?? 0 }
   }
-  function coreSetOf(): { set: CoreSet; since: number } {
+  function currentCoreSet(): { set: CoreSet; since: number } {
     return { set: links.coreSet(), since: links.adoptedAt() }
   }
   const coreSetView = {
     node,
     proposer,
-    leaseExpiresAt: dutyUntil,
+    leaseExpiresAt: dutyLeaseExpiresAt,
     live: membership.dutyNodes,
     learn: registers.learn,
-    coreSet: coreSetOf,
-    core: coreNow,
+    coreSet: currentCoreSet,
+    core: coreLinkOf,
     spares: membership.spareCores,
     mostVoters: settings.mostVoters ?? MAX_VOTERS,
   }
@@ -355,22 +370,22 @@
       membership,
       coreSet: links.coreSet,
       config,
-      dutyUntil,
+      dutyUntil: dutyLeaseExpiresAt,
       tolerance: settings.quota ?? { overshoot: 0, slack: 0 },
     }
     serveQuotas(startQuotaHolders(world, quotaView, stop, registerChanged, metrics))
   }
   const peers = await startPeers(world, settings.peer, stop, membership.peers, summarySource, metrics, summaryHeard)
 
-  // --- instances, operators and the platform ---
+  // --- control service, operators and background loops ---
 
-  function credentials(): Credential[] | undefined {
+  function currentCredentials(): Credential[] | undefined {
     return operators
   }
-  function readCores() {
-    return readCoreStatus(world, { coreSet: links.coreSet, core: coreNow, spares: membership.spareCores })
+  function readCoreSetStatus() {
+    return readCoreStatus(world, { coreSet: links.coreSet, core: coreLinkOf, spares: membership.spareCores })
   }
-  function hinders(edits: Edit[]): Promise<Finding[]> {
+  function findHindrances(edits: Edit[]): Promise<Finding[]> {
     const view = {
       build: settings.build,
       instance: adapters.instance,
@@ -384,14 +399,21 @@
   if (operators === undefined && settings.http !== undefined)
     world.log.warn('operators-open', { why: 'no operators in the settings: anyone may change the configuration' })
   const views = makeOperatorViews(world.now, { node, proposer, registers, membership, instances, proxy, groups })
-  const operator = makeOperatorEdge(
+  const operatorEdge = makeOperatorEdge(
     world,
     proposer,
-    { ...views, tenants: makeTenantView(config, directory), cores: readCores, hinders, body, news: registerChanged },
+    {
+      ...views,
+      tenants: makeTenantView(config, quotaDirectory),
+      cores: readCoreSetStatus,
+      hinders: findHindrances,
+      body,
+      news: registerChanged,
+    },
     metrics,
-    credentials,
+    currentCredentials,
   )
-  const control = makeControlService(world, {
+  const controlService = makeControlService(world, {
     stop,
     lease,
     instances,
@@ -403,10 +425,10 @@
     failover,
     body,
     coreSet: links.coreSet,
-    operator,
+    operator: operatorEdge,
     metrics,
   })
-  const http = settings.http !== undefined ? await adapters.control(world, settings.http, control) : undefined
+  const http = settings.http !== undefined ? await adapters.control(world, settings.http, controlService) : undefined
   const hello = makeHello('agent', node)
   const listener =
     settings.link !== undefined
@@ -414,7 +436,7 @@
       : undefined
 
   void loop(world, 'renew', LEASE_RENEWAL_INTERVAL_MS, stop, renew, renewNow)
-  void loop(world, 'catch-up', LEASE_RENEWAL_INTERVAL_MS / 4, stop, catchUp, cacheBehind)
+  void loop(world, 'catch-up', LEASE_RENEWAL_INTERVAL_MS / 4, stop, catchUp, registersBehind)
   void loop(world, 'feed', LEASE_RENEWAL_INTERVAL_MS, stop, feedIfDue, registerChanged)
   if (settings.link !== undefined) {
     const view = { node, life, proposer, registers, membership, config, hasLease: lease.isValid }
@@ -422,15 +444,15 @@
   }
   world.log.info('agent-started', { node, area, http: settings.http ?? 'none' })
 
-  /** A proxy of this machine that is told to stop as well has calls to end under this machine's lease. */
+  /** Waits for the local proxy where it is shutting down too: its remaining calls need this machine's lease. */
   async function awaitProxy(): Promise<void> {
-    const until = world.now() + SHUTDOWN_TIMEOUT_MS
+    const deadline = world.now() + SHUTDOWN_TIMEOUT_MS
     if (proxy.isLinked()) await pause(world, PROXY_REPORT_INTERVAL_MS)
-    while (proxy.report()?.leaving === true && world.now() < until) await pause(world, PROXY_REPORT_INTERVAL_MS / 6)
+    while (proxy.report()?.leaving === true && world.now() < deadline) await pause(world, PROXY_REPORT_INTERVAL_MS / 6)
   }
-  async function end(): Promise<void> {
+  async function stopAgent(): Promise<void> {
     await awaitProxy()
-    // The lease is given up only when no proxy can be working under it; else it runs out by itself.
+    // Releases the lease only if no proxy can still be working under it; otherwise the lease expires by itself.
     isLeaseGivenUp = !proxy.isLinked() && world.now() > proxy.fedUntil()
     if (isLeaseGivenUp) for (const { link } of links.all().values()) link.tell({ t: 'leave', node, life })
     await pause(world, 20)
@@ -438,8 +460,8 @@
     proxy.close()
     await Promise.all([http?.close(), listener?.close(), peers.close()])
   }
-  function apply(next: AgentReload): void {
+  function applyReload(next: AgentReload): void {
     ;({ seeds, platform, operators } = next)
   }
-  return { stop: end, metrics, leaseExpiresAt: lease.expiresAt, register: registers.value, apply }
+  return { stop: stopAgent, metrics, leaseExpiresAt: lease.expiresAt, register: registers.value, apply: applyReload }
 }
--- a/packages/agent/src/core-links.ts
+++ b/packages/agent/src/core-links.ts
@@ -23,35 +23,35 @@
   type Voter,
 } from '@claynotch/register'
 
-/** The link to one core that votes, and what that core told of itself. */
+/** The link to one voting core, and the state that this core has reported. */
 export type CoreLink = {
   link: PersistentLink
   address: Address
-  /** When this node learnt that the core votes. */
+  /** Local time (ms) at which this node opened the link, after it learnt that the core votes. */
   since: number
   view: CoreView
 }
 
 export type CoreLinksSettings = {
   node: string
-  /** The core set where this process knows it by itself; it is asked before the seeds. */
+  /** The core set, where a core runs in this process; it is consulted before the seeds. */
   knownCoreSet?: () => CoreSet
   seeds: () => Address[]
 }
 
 export type CoreLinksEvents = {
-  /** A later set was adopted, the first one included. */
+  /** A later set was adopted; also called for the first one. */
   adopted: (next: CoreSet, isFirst: boolean) => void
   removed: (core: string) => void
-  /** The link was dialled, and the core said hello. */
+  /** The link was established, handshake included. */
   up: (core: string) => void
   push: (core: string, push: RegisterPush) => void
 }
 
 /**
- * Finds the cores through seeds, then follows the core set.
+ * Discovers the cores through the seeds, then follows changes of the core set.
  *
- * Invariants: there is a link to each voter of the adopted set and to nobody else; the set's epoch only grows.
+ * Invariants: there is a link to each voter of the adopted set and to no other core; the set's epoch only grows.
  */
 export type CoreLinks = {
   coreSet: () => CoreSet
@@ -60,22 +60,25 @@
   voters: () => Voter[]
   all: () => ReadonlyMap<string, CoreLink>
   get: (core: string) => CoreLink | undefined
-  /** When the core last answered, at the earliest when it became known here as a voter. */
+  /** Local time (ms) of the core's last answer, or of the opening of its link if that is later. */
   heardAt: (core: string) => number | undefined
+  /** Adopts the set if its epoch is later than that of the current one. */
   adopt: (next: CoreSet) => void
-  /** Asks for the first set. */
+  /** Looks up the first set. */
   discover: () => Promise<void>
-  /** Asks for a later set: nobody of the one that is known may be there any more. */
+  /** Asks the seeds for a later set, since all cores of the current one may have been replaced. */
   rediscover: () => Promise<void>
 }
 
-type HeldCoreLink = CoreLink & { end: () => void }
+/** A core link with the function that closes it. */
+type OwnedCoreLink = CoreLink & { end: () => void }
 
-function speaksDeltas(link: PersistentLink): () => boolean {
-  function speaks(): boolean {
+/** A check of whether the core at the other end supports delta messages. */
+function deltaSupportOf(link: PersistentLink): () => boolean {
+  function supportsDeltas(): boolean {
     return (link.peer()?.epoch ?? 0) >= DELTA_LINK_VERSION
   }
-  return speaks
+  return supportsDeltas
 }
 
 export function makeCoreLinks(
@@ -86,7 +89,7 @@
   events: CoreLinksEvents,
 ): CoreLinks {
   const hello = makeHello('agent', settings.node)
-  const links = new Map<string, HeldCoreLink>()
+  const links = new Map<string, OwnedCoreLink>()
   let coreSet: CoreSet = NO_SET
   let adoptedAt = 0
   let isRediscovering = false
@@ -104,22 +107,22 @@
     }
     return handle
   }
-  function open(core: string, address: Address): HeldCoreLink {
-    const ended = makeFlag()
-    const unwatch = stop.watch(ended.fire)
-    function end(): void {
-      unwatch()
-      ended.fire()
+  function openLink(core: string, address: Address): OwnedCoreLink {
+    const closed = makeFlag()
+    const stopWatching = stop.watch(closed.fire)
+    function close(): void {
+      stopWatching()
+      closed.fire()
     }
     function up(): void {
       events.up(core)
     }
-    const link = makePersistentLink(world, address, hello, makePushHandler(core), ended, up)
-    return { link, address, since: world.now(), view: makeCoreView(world), end }
+    const link = makePersistentLink(world, address, hello, makePushHandler(core), closed, up)
+    return { link, address, since: world.now(), view: makeCoreView(world), end: close }
   }
-  function closeOthers(wanted: Map<string, Address>): void {
+  function closeUnwantedLinks(wantedAddresses: Map<string, Address>): void {
     for (const [core, { address, end }] of links) {
-      if (wanted.get(core) === address) continue
+      if (wantedAddresses.get(core) === address) continue
       end()
       links.delete(core)
       events.removed(core)
@@ -130,10 +133,10 @@
     if (stop.fired() || next.cores.length === 0 || (!isFirst && next.epoch <= coreSet.epoch)) return
     coreSet = next
     adoptedAt = world.now()
-    const wanted = new Map<string, Address>()
-    for (const place of votersOf(next)) wanted.set(place.id, place.addr)
-    closeOthers(wanted)
-    for (const [core, address] of wanted) if (!links.has(core)) links.set(core, open(core, address))
+    const wantedAddresses = new Map<string, Address>()
+    for (const voter of votersOf(next)) wantedAddresses.set(voter.id, voter.addr)
+    closeUnwantedLinks(wantedAddresses)
+    for (const [core, address] of wantedAddresses) if (!links.has(core)) links.set(core, openLink(core, address))
     if (!isFirst)
       world.log.info('core-set-followed', {
         node: settings.node,
@@ -167,9 +170,10 @@
     return quorumOf(coreSet)
   }
   function voters(): Voter[] {
-    const out: Voter[] = []
-    for (const [id, { link }] of links) out.push({ id, ask: link.ask, tell: link.tell, deltas: speaksDeltas(link) })
-    return out
+    const linkedVoters: Voter[] = []
+    for (const [id, { link }] of links)
+      linkedVoters.push({ id, ask: link.ask, tell: link.tell, deltas: deltaSupportOf(link) })
+    return linkedVoters
   }
   function all(): ReadonlyMap<string, CoreLink> {
     return links
@@ -178,8 +182,8 @@
     return links.get(core)
   }
   function heardAt(core: string): number | undefined {
-    const held = links.get(core)
-    return held && Math.max(held.view.heard(), held.since)
+    const coreLink = links.get(core)
+    return coreLink && Math.max(coreLink.view.heard(), coreLink.since)
   }
   return {
     coreSet: coreSetNow,
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -31,142 +31,170 @@
 import { askCores, makeMarginWatch } from './core-status.js'
 import { planVoters } from './voter-plan.js'
 
-// The duty for the core set: docs/design/coreset.md. The set follows the core machines that are there, in two changes of the
-// register CORESET_KEY with a sweep between them. Each step goes by what the register says, so another holder goes on from there.
-
-/** core: a voter's link and when it was last heard, at the earliest when it became known here as a voter. */
+/** The state and functions that the duty for the core set needs from the agent. */
 export type CoreSetView = {
   node: string
   proposer: Proposer
   leaseExpiresAt: () => number
   live: () => string[]
   learn: (key: string, value: RegisterValue, ballot: [number, string]) => void
+  /** The current set and the local time (ms) at which it was adopted. */
   coreSet: () => { set: CoreSet; since: number }
+  /** A voter's link and the local time (ms) of its last answer, or of the opening of its link if that is later. */
   core: (id: string) => { held: PersistentLink; heard: number } | undefined
+  /** Core machines that don't vote and may become voters. */
   spares: () => CorePlace[]
   mostVoters: number
 }
 
+/** A core's answer with the keys of the registers that it stores. */
 type KeysAnswer = { ok?: boolean; keys: string[] } | undefined
 
 function hasKeys(answer: KeysAnswer): answer is { ok: true; keys: string[] } {
   return answer?.ok === true
 }
 
+/**
+ * Runs the duty for the core set while this node holds it: docs/design/coreset.md.
+ *
+ * The set follows the core machines that are present. It changes in two writes of the register CORESET_KEY: first to a
+ * joint set, then to a single one; between the two, every register is confirmed at a quorum of the joint set. Each step
+ * depends only on what the register says, so that another holder of the duty can continue from there.
+ */
 export function startCoreSetDuty(world: World, view: CoreSetView, stop: Flag): void {
-  // tried: machines that did not begin to vote, with the time they were given up; lost with this process, and then tried again.
-  const tried = new Map<string, number>()
-  // seen: machines that are no voters, by their token, with the time they were first seen.
-  let seen = new Map<string, number>()
+  /**
+   * Machines that did not begin to vote, with the time at which adding them was abandoned. Not persisted: after a
+   * restart they are tried again.
+   */
+  const abandonedAt = new Map<string, number>()
+  /** Non-voting machines by id and token, with the time at which each was first seen. */
+  let firstSeenAt = new Map<string, number>()
 
-  // What these cores say of themselves under this very set.
+  /** The reported states of these cores, without those that are in a set of another epoch. */
   async function askStates(set: CoreSet, places: CorePlace[]): Promise<Map<string, CoreState>> {
     const states = await askCores(places, view.core)
     for (const [id, state] of states) if (state.set.epoch !== set.epoch) states.delete(id)
     return states
   }
-  // Under the set it comes from, and nothing where that is no longer the last one.
-  async function propose(from: CoreSet, next: CoreSet): Promise<Committed> {
-    function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
-      const last = now ? readAs(CoreSet, now.body) : undefined
-      const epoch = last?.ok ? last.val.epoch : 0
-      return epoch === from.epoch ? { body: next, tag: `${view.node}~${next.epoch}~${world.now()}` } : undefined
+  /** Replaces the set by the next one; changes nothing if the expected set is no longer the last one. */
+  async function propose(expected: CoreSet, next: CoreSet): Promise<Committed> {
+    function replaceIfCurrent(current: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
+      const currentSet = current ? readAs(CoreSet, current.body) : undefined
+      const epoch = currentSet?.ok ? currentSet.val.epoch : 0
+      return epoch === expected.epoch ? { body: next, tag: `${view.node}~${next.epoch}~${world.now()}` } : undefined
     }
-    const got = await view.proposer.change(CORESET_KEY, edit)
-    if (got.done && got.value) view.learn(CORESET_KEY, got.value, got.ballot)
-    return got
+    const committed = await view.proposer.change(CORESET_KEY, replaceIfCurrent)
+    if (committed.done && committed.value) view.learn(CORESET_KEY, committed.value, committed.ballot)
+    return committed
   }
 
-  // --- which set is to follow ---
+  // --- start of a change: from a single set to a joint one ---
 
-  // Machines that may become voters, those that came together at one time.
-  function freshMachines(): CorePlace[] {
+  /**
+   * Machines that may become voters. Empty while any non-voting machine was first seen within JOIN_BATCH_WINDOW_MS, so
+   * that machines that arrive together join together.
+   */
+  function machinesToJoin(): CorePlace[] {
     const now = world.now()
-    const before = seen
-    seen = new Map()
-    const out: CorePlace[] = []
+    const previous = firstSeenAt
+    firstSeenAt = new Map()
+    const joinable: CorePlace[] = []
     for (const place of view.spares()) {
       const token = `${place.id} ${place.token}`
-      seen.set(token, before.get(token) ?? now)
-      const givenUp = tried.get(place.id)
-      if (givenUp === undefined || now - givenUp > JOIN_RETRY_DELAY_MS) out.push(place)
+      firstSeenAt.set(token, previous.get(token) ?? now)
+      const abandoned = abandonedAt.get(place.id)
+      if (abandoned === undefined || now - abandoned > JOIN_RETRY_DELAY_MS) joinable.push(place)
     }
-    function isRecent(at: number): boolean {
-      return now - at < JOIN_BATCH_WINDOW_MS
+    function isRecent(seenAt: number): boolean {
+      return now - seenAt < JOIN_BATCH_WINDOW_MS
     }
-    if ([...seen.values()].some(isRecent)) return []
-    function byTried(a: CorePlace, b: CorePlace): number {
-      return (tried.get(a.id) ?? -1) - (tried.get(b.id) ?? -1) || (a.id < b.id ? -1 : 1)
+    if ([...firstSeenAt.values()].some(isRecent)) return []
+    function leastRecentlyAbandoned(a: CorePlace, b: CorePlace): number {
+      return (abandonedAt.get(a.id) ?? -1) - (abandonedAt.get(b.id) ?? -1) || (a.id < b.id ? -1 : 1)
     }
-    return out.sort(byTried)
+    return joinable.sort(leastRecentlyAbandoned)
   }
-  function silence(id: string): number {
+  function silenceMs(id: string): number {
     const now = world.now()
     return now - (view.core(id)?.heard ?? now)
   }
-  function couldChange(set: CoreSet, fresh: number): boolean {
-    let longest = 0
-    for (const voter of set.cores) longest = Math.max(longest, silence(voter.id))
-    if (fresh === 0) return set.cores.length % 2 === 0 && longest > VOTER_GONE_MS
-    return longest > VOTER_SILENCE_MS || set.cores.length < view.mostVoters
+  /** Whether a change of the set is possible at all, by what is known without asking the cores. */
+  function couldChange(set: CoreSet, joinableCount: number): boolean {
+    let longestSilenceMs = 0
+    for (const voter of set.cores) longestSilenceMs = Math.max(longestSilenceMs, silenceMs(voter.id))
+    if (joinableCount === 0) return set.cores.length % 2 === 0 && longestSilenceMs > VOTER_GONE_MS
+    return longestSilenceMs > VOTER_SILENCE_MS || set.cores.length < view.mostVoters
   }
-  async function change(set: CoreSet): Promise<void> {
-    const fresh = freshMachines()
-    // Nothing is asked of anyone while nothing can be changed.
-    if (!couldChange(set, fresh.length)) return
+  async function startChange(set: CoreSet): Promise<void> {
+    const joinable = machinesToJoin()
+    // Sends no requests while no change is possible.
+    if (!couldChange(set, joinable.length)) return
     const states = await askStates(set, set.cores)
-    const well = new Set<string>()
-    for (const [id, state] of states) if (state.serving) well.add(id)
+    const servingVoters = new Set<string>()
+    for (const [id, state] of states) if (state.serving) servingVoters.add(id)
     function isHeardByOthers(id: string): boolean {
       for (const state of states.values()) if (state.hears.includes(id)) return true
       return false
     }
-    const next = planVoters({ set, fresh, silence, well, isHeardByOthers, mostVoters: view.mostVoters })
+    const next = planVoters({
+      set,
+      fresh: joinable,
+      silence: silenceMs,
+      well: servingVoters,
+      isHeardByOthers,
+      mostVoters: view.mostVoters,
+    })
     if (!next) return
-    const got = await propose(set, { epoch: set.epoch + 1, cores: set.cores, next })
+    const committed = await propose(set, { epoch: set.epoch + 1, cores: set.cores, next })
     world.log.info('core-set-change', {
       node: view.node,
       epoch: set.epoch + 1,
-      leave: namesWithout(set.cores, next),
-      join: namesWithout(next, set.cores),
-      done: got.done,
+      leave: idsMissingFrom(set.cores, next),
+      join: idsMissingFrom(next, set.cores),
+      done: committed.done,
     })
   }
 
-  // --- from a joint set to a single one ---
+  // --- end of a change: from a joint set to a single one ---
 
-  // Every register, as it was chosen under older sets, at a quorum of the joint one: each that may decide later has one of it.
-  async function sweep(set: CoreSet): Promise<boolean> {
+  /**
+   * Makes sure that every register, as it was chosen under older sets, is at a quorum of the joint set, so that every
+   * quorum that may decide later includes a core that has it. Resolves to whether this was confirmed for all registers.
+   */
+  async function confirmRegisters(set: CoreSet): Promise<boolean> {
     const quorum = quorumOf(set)
     const asks: { id: string; got: Promise<KeysAnswer> }[] = []
     for (const voter of votersOf(set)) {
-      const held = view.core(voter.id)?.held
-      if (!held) continue
+      const link = view.core(voter.id)?.held
+      if (!link) continue
       asks.push({
         id: voter.id,
-        got: held.ask({ t: 'keys', epoch: set.epoch }, ROUND_TIMEOUT_MS) as Promise<KeysAnswer>,
+        got: link.ask({ t: 'keys', epoch: set.epoch }, ROUND_TIMEOUT_MS) as Promise<KeysAnswer>,
       })
     }
-    const good = new Set<string>()
+    const answering = new Set<string>()
     const keys = new Set<string>()
     for (const { id, val } of await gatherQuorum(world, asks, quorum, hasKeys, ROUND_TIMEOUT_MS)) {
       if (!hasKeys(val)) continue
-      good.add(id)
+      answering.add(id)
       for (const key of val.keys) keys.add(key)
     }
-    if (!quorum.met(good)) return false
-    async function settle(key: string): Promise<boolean> {
+    if (!quorum.met(answering)) return false
+    async function confirm(key: string): Promise<boolean> {
       return (await view.proposer.look(key)).done
     }
-    const list = [...keys]
-    for (let from = 0; from < list.length; from += REFILL_BATCH_SIZE) {
-      const done = await Promise.all(list.slice(from, from + REFILL_BATCH_SIZE).map(settle))
-      if (done.includes(false)) return false
+    const keyList = [...keys]
+    for (let batchStart = 0; batchStart < keyList.length; batchStart += REFILL_BATCH_SIZE) {
+      const batchResults = await Promise.all(keyList.slice(batchStart, batchStart + REFILL_BATCH_SIZE).map(confirm))
+      if (batchResults.includes(false)) return false
     }
     return true
   }
-  // The joint set ends in the next one once its newcomers vote, or in the one before it where a newcomer doesn't come.
-  async function finish(set: CoreSet, next: CorePlace[], since: number): Promise<void> {
+  /**
+   * Replaces the joint set by its next set once all newcomers vote, or by the previous set if a newcomer doesn't begin
+   * to vote in time.
+   */
+  async function finishChange(set: CoreSet, next: CorePlace[], adoptedAt: number): Promise<void> {
     function isNewcomer(place: CorePlace): boolean {
       return !hasCore(set.cores, place.id)
     }
@@ -176,48 +204,48 @@
       return states.get(place.id)?.serving !== true
     }
     const missing = newcomers.filter(isMissing)
-    const waited = world.now() - since
-    function isGone(place: CorePlace): boolean {
-      return waited > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
+    const waitedMs = world.now() - adoptedAt
+    function hasTimedOut(place: CorePlace): boolean {
+      return waitedMs > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
     }
-    const gone = missing.filter(isGone)
-    if (missing.length > 0 && gone.length === 0) return
-    if (!(await sweep(set))) return
-    // Swept under this very set, or not at all.
+    const timedOut = missing.filter(hasTimedOut)
+    if (missing.length > 0 && timedOut.length === 0) return
+    if (!(await confirmRegisters(set))) return
+    // The registers must have been confirmed under this very set; otherwise the next run of the duty starts over.
     if (view.coreSet().set.epoch !== set.epoch) return
-    for (const place of gone) tried.set(place.id, world.now())
-    const got = await propose(set, { epoch: set.epoch + 1, cores: gone.length > 0 ? set.cores : next })
+    for (const place of timedOut) abandonedAt.set(place.id, world.now())
+    const committed = await propose(set, { epoch: set.epoch + 1, cores: timedOut.length > 0 ? set.cores : next })
     world.log.info('core-set-changed-to', {
       node: view.node,
       epoch: set.epoch + 1,
-      calledOff: namesWithout(gone, []),
-      done: got.done,
+      calledOff: idsMissingFrom(timedOut, []),
+      done: committed.done,
     })
   }
-  // How many more losses the set bears, for the log.
+  /** Logs changes in how many more core losses the set tolerates. */
   const watchMargin = makeMarginWatch(world, view.node)
-  let nextWatch = 0
-  async function watch(set: CoreSet): Promise<void> {
-    if (world.now() < nextWatch) return
-    nextWatch = world.now() + QUORUM_MARGIN_INTERVAL_MS
+  let nextMarginCheckAt = 0
+  async function checkMargin(set: CoreSet): Promise<void> {
+    if (world.now() < nextMarginCheckAt) return
+    nextMarginCheckAt = world.now() + QUORUM_MARGIN_INTERVAL_MS
     watchMargin(set, await askCores(votersOf(set), view.core))
   }
-  async function look(): Promise<void> {
+  async function runDuty(): Promise<void> {
     if (world.now() >= view.leaseExpiresAt() || holderOf(CORESET_KEY, view.live()) !== view.node) return
     const { set, since } = view.coreSet()
     if (set.cores.length === 0) return
-    if (set.next) await finish(set, set.next, since)
+    if (set.next) await finishChange(set, set.next, since)
     else {
-      await change(set)
-      await watch(set)
+      await startChange(set)
+      await checkMargin(set)
     }
   }
-  void loop(world, 'core-set-duty', CORE_SET_INTERVAL_MS, stop, look)
+  void loop(world, 'core-set-duty', CORE_SET_INTERVAL_MS, stop, runDuty)
 }
 
-/** The ids of the first list that the second lacks. */
-function namesWithout(places: CorePlace[], others: CorePlace[]): string {
-  const out: string[] = []
-  for (const place of places) if (!hasCore(others, place.id)) out.push(place.id)
-  return out.join()
+/** The ids of the first list that are missing from the second, comma-separated. */
+function idsMissingFrom(places: CorePlace[], others: CorePlace[]): string {
+  const ids: string[] = []
+  for (const place of places) if (!hasCore(others, place.id)) ids.push(place.id)
+  return ids.join()
 }
--- a/packages/agent/src/core-status.ts
+++ b/packages/agent/src/core-status.ts
@@ -10,36 +10,38 @@
   type CoreState,
 } from '@claynotch/register'
 
-// The core set as it is now: who of it votes, and how many more losses it bears. For operators, and for the log.
-
-// core: a voter's link and when it was last heard. spares: core machines that don't vote.
+/**
+ * The state and functions of the agent from which the status of the core set is read, for operators and for the log.
+ */
 export type CoreStatusView = {
   coreSet: () => CoreSet
+  /** A voter's link and the local time (ms) at which the voter was last heard. */
   core: (id: string) => { held: PersistentLink; heard: number } | undefined
+  /** Core machines that don't vote. */
   spares: () => CorePlace[]
 }
 
-/** What each of these cores says of itself; whoever didn't answer isn't there. */
+/** Asks these cores for their states; the result lacks the cores that didn't answer. */
 export async function askCores(
   places: CorePlace[],
   core: (id: string) => { held: PersistentLink } | undefined,
 ): Promise<Map<string, CoreState>> {
-  const out = new Map<string, CoreState>()
+  const states = new Map<string, CoreState>()
   async function ask(id: string): Promise<void> {
     const state = (await core(id)?.held.ask({ t: 'state' }, LEASE_RENEWAL_TIMEOUT_MS)) as CoreState | undefined
-    if (state) out.set(id, state)
+    if (state) states.set(id, state)
   }
   const asks: Promise<void>[] = []
   for (const place of places) asks.push(ask(place.id))
   await Promise.all(asks)
-  return out
+  return states
 }
 
-// Those that vote under this very set.
-export function votingOf(set: CoreSet, states: Map<string, CoreState>): Set<string> {
-  const out = new Set<string>()
-  for (const [id, s] of states) if (stateOf(set, s) === 'voting') out.add(id)
-  return out
+/** The cores that vote under this very set. */
+export function votingCores(set: CoreSet, states: Map<string, CoreState>): Set<string> {
+  const voting = new Set<string>()
+  for (const [id, state] of states) if (stateOf(set, state) === 'voting') voting.add(id)
+  return voting
 }
 function stateOf(set: CoreSet, state: CoreState | undefined): CoreLine['state'] {
   if (!state) return 'silent'
@@ -47,17 +49,21 @@
   return state.serving ? 'voting' : 'refilling'
 }
 
+/** The part that a core has in a change of the set. */
 function partOf(set: CoreSet, id: string): CoreLine['part'] {
   if (set.next === undefined) return 'votes'
   if (!hasCore(set.cores, id)) return 'joins'
   return hasCore(set.next, id) ? 'stays' : 'leaves'
 }
-// Asks every voter; undefined while no set is known here.
+/**
+ * Asks every voter for its state: which cores vote, and how many more losses the set tolerates; undefined: no set is
+ * known.
+ */
 export async function readCoreStatus(world: World, view: CoreStatusView): Promise<CoreStatus | undefined> {
   const set = view.coreSet()
   if (set.cores.length === 0) return undefined
   const states = await askCores(votersOf(set), view.core)
-  const voting = votingOf(set, states)
+  const voting = votingCores(set, states)
   const cores: CoreLine[] = []
   for (const { id, addr } of votersOf(set)) {
     const state = states.get(id)
@@ -72,7 +78,7 @@
     })
   }
   const spares: string[] = []
-  for (const s of view.spares()) spares.push(s.id)
+  for (const spare of view.spares()) spares.push(spare.id)
   return {
     epoch: set.epoch,
     changing: set.next !== undefined,
@@ -83,19 +89,21 @@
   }
 }
 
-// Says in the log, once per change of state, that the next loss leaves no quorum, and that it is borne again. The duty for
-// the core set calls it with what its voters answered.
+/**
+ * Logs, once per change, that the next loss would leave no quorum, or that it would be tolerated again. The duty for
+ * the core set calls the returned function with the answers of the voters.
+ */
 export function makeMarginWatch(world: World, node: string): (set: CoreSet, states: Map<string, CoreState>) => void {
-  let short = false
-  function watch(set: CoreSet, states: Map<string, CoreState>): void {
-    const voting = votingOf(set, states)
-    const borne = lossesBorne(set, voting)
-    // Without a quorum it stays as it was said last: the next loss has come.
-    if (borne < 0 || short === (borne === 0)) return
-    short = borne === 0
-    const said = { node, epoch: set.epoch, voting: voting.size, of: votersOf(set).length }
-    if (short) world.log.warn('next-loss-leaves-no-quorum', said)
-    else world.log.info('next-loss-borne', { ...said, losses: borne })
+  let isAtLimit = false
+  function logMarginChange(set: CoreSet, states: Map<string, CoreState>): void {
+    const voting = votingCores(set, states)
+    const tolerableLosses = lossesBorne(set, voting)
+    // Without a quorum nothing is logged: the loss that the last warning announced has happened.
+    if (tolerableLosses < 0 || isAtLimit === (tolerableLosses === 0)) return
+    isAtLimit = tolerableLosses === 0
+    const fields = { node, epoch: set.epoch, voting: voting.size, of: votersOf(set).length }
+    if (isAtLimit) world.log.warn('next-loss-leaves-no-quorum', fields)
+    else world.log.info('next-loss-borne', { ...fields, losses: tolerableLosses })
   }
-  return watch
+  return logMarginChange
 }
--- a/packages/agent/src/known-configuration.ts
+++ b/packages/agent/src/known-configuration.ts
@@ -2,7 +2,7 @@
 import { groupKey, type GroupRecord } from '@claynotch/register'
 import type { RegisterCache } from './register-cache.js'
 
-/** The configuration and the groups' records as this node knows them now. */
+/** The configuration and the group records as the register cache of this node has them. */
 export type KnownConfiguration = {
   body: () => Body | undefined
   config: () => Config | undefined
@@ -19,9 +19,9 @@
     return body()?.config ?? undefined
   }
   function groups(): string[] {
-    const out: string[] = []
-    for (const { name } of config()?.groups ?? []) out.push(name)
-    return out
+    const names: string[] = []
+    for (const { name } of config()?.groups ?? []) names.push(name)
+    return names
   }
   function recordOf(group: string): GroupRecord | undefined {
     return registers.value(groupKey(group))?.body as GroupRecord | undefined
--- a/packages/agent/src/lease-renewal.ts
+++ b/packages/agent/src/lease-renewal.ts
@@ -19,43 +19,48 @@
 import type { RenewalMessages } from './renewal-messages.js'
 import { makeVoterRotation, type VoterCandidate } from './voter-rotation.js'
 
-type Answered = LeaseRenewalAnswer | undefined
+/** Undefined: the core didn't answer, or its answer was invalid or no longer relevant. */
+type RenewalAnswer = LeaseRenewalAnswer | undefined
 
 export type LeaseRenewalEvents = {
-  /** Before a round asks the cores. */
+  /** Called before a round sends requests to the cores. */
   beforeRound: () => void
-  /** Whether a core is to be asked in every round. */
+  /** Whether a core is asked in every round. */
   isPinned: (core: string) => boolean
-  /** No answer came for a whole lease before this round: what is known here may be old. */
+  /** The first renewal, or one more than a lease duration after the previous one: the state known here may be stale. */
   resumed: () => void
-  /** A quorum of the set that is still the present one answered since the round began (local time, ms). */
+  /**
+   * A quorum of the core set, which is still the current one, accepted a renewal round that began at beganAt
+   * (local time, ms).
+   */
   answered: (cores: Set<string>, beganAt: number) => void
 }
 
 /**
  * Renews this node's lease at a majority of the cores.
  *
- * Invariant: the lease runs from before the round that renewed it was begun, and all answers that it counts are of one set.
+ * Invariant: the lease duration counts from the start of the round that renewed it, and all answers that a round counts
+ * are of one core set.
  */
 export type LeaseRenewal = {
-  /** One round; whether a majority answered. */
+  /** Runs one renewal round; resolves to whether a majority accepted it. */
   round: () => Promise<boolean>
   /** Local time (ms) at which the lease ends; 0 while there is none. */
   expiresAt: () => number
   isValid: () => boolean
-  /** Whether a lease was held in this life of the process, valid or not. */
+  /** Whether this process has held a lease since it started, whether or not that lease is still valid. */
   wasHeld: () => boolean
 }
 
-function isOk(answer: Answered): boolean {
+function isOk(answer: RenewalAnswer): boolean {
   return answer?.ok === true
 }
-function goodOf(answers: VoterAnswer<Answered>[]): Set<string> {
-  const good = new Set<string>()
-  for (const { id, val } of answers) if (isOk(val)) good.add(id)
-  return good
+function acceptingVoters(answers: VoterAnswer<RenewalAnswer>[]): Set<string> {
+  const accepting = new Set<string>()
+  for (const { id, val } of answers) if (isOk(val)) accepting.add(id)
+  return accepting
 }
-function isReplaced(answer: VoterAnswer<Answered>): boolean {
+function reportsReplacement(answer: VoterAnswer<RenewalAnswer>): boolean {
   return answer.val?.replaced === true
 }
 
@@ -72,48 +77,48 @@
   let wasHeld = false
   const rotation = makeVoterRotation(world, node.name)
 
-  async function askOnce(core: string, { link, view }: CoreLink, epoch: number): Promise<Answered> {
+  async function sendRenewal(core: string, { link, view }: CoreLink, epoch: number): Promise<RenewalAnswer> {
     const renewal = messages.next(core, view, epoch)
     const answer = readAs(LeaseRenewalAnswer, await link.ask(renewal.message, LEASE_RENEWAL_TIMEOUT_MS))
     if (answer.err) return undefined
-    // A core that was removed meanwhile says nothing of use.
+    // Ignores a successful answer of a core whose link was removed or reopened meanwhile.
     if (links.get(core)?.view !== view || !answer.val.ok) return answer.val.ok ? undefined : answer.val
-    if (!view.take(answer.val, renewal.askedLife)) return { ok: false, unknown: true }
+    if (!view.take(answer.val, renewal.coreLife)) return { ok: false, unknown: true }
     renewal.delivered()
     return answer.val
   }
-  async function ask(core: string, held: CoreLink, under: CoreSet): Promise<Answered> {
-    const answer = await askOnce(core, held, under.epoch)
+  async function renewAt(core: string, coreLink: CoreLink, coreSet: CoreSet): Promise<RenewalAnswer> {
+    const answer = await sendRenewal(core, coreLink, coreSet.epoch)
     if (answer?.set) links.adopt(answer.set)
-    if (answer?.behind) held.link.tell({ t: 'set', set: under })
-    if (answer?.unknown !== true || links.get(core)?.view !== held.view) return answer
-    // The core was restarted, or has forgotten us: it is told everything and asked for everything.
-    held.view.reset()
+    if (answer?.behind) coreLink.link.tell({ t: 'set', set: coreSet })
+    if (answer?.unknown !== true || links.get(core)?.view !== coreLink.view) return answer
+    // The core was restarted or no longer knows this node: sends the full state and requests the full state.
+    coreLink.view.reset()
     messages.forget(core)
-    const again = await askOnce(core, held, under.epoch)
-    return isOk(again) ? again : undefined
+    const retryAnswer = await sendRenewal(core, coreLink, coreSet.epoch)
+    return isOk(retryAnswer) ? retryAnswer : undefined
   }
-  function failed(answers: number, under: CoreSet, replaced: boolean): void {
-    metrics.add('claynotch_renewals_total', [['end', replaced ? 'replaced' : 'failed']])
+  function recordFailure(answers: number, coreSet: CoreSet, isReplaced: boolean): void {
+    metrics.add('claynotch_renewals_total', [['end', isReplaced ? 'replaced' : 'failed']])
     if (expiresAt > 0 && world.now() > expiresAt) {
       world.log.warn('lease-expired', {
         node: node.name,
         answers,
-        voters: votersOf(under).length,
-        epoch: under.epoch,
+        voters: votersOf(coreSet).length,
+        epoch: coreSet.epoch,
       })
       expiresAt = 0
     }
     if (expiresAt === 0) void links.rediscover()
   }
-  function renewed(beganAt: number): void {
+  function recordRenewal(beganAt: number): void {
     metrics.add('claynotch_renewals_total', [['end', 'good']])
     expiresAt = Math.max(expiresAt, beganAt + LEASE_DURATION_MS)
     if (beganAt - renewedAt > LEASE_DURATION_MS) events.resumed()
     renewedAt = beganAt
     wasHeld = true
   }
-  /** Cores that are asked at first; all of them where no lease is held, as one may be long in coming. */
+  /** Cores to ask first. All of them while no lease is valid, since any of them may be slow to answer. */
   function chooseVoters(quorum: Quorum): Set<string> {
     if (!isValid()) return new Set(links.all().keys())
     const candidates: VoterCandidate[] = []
@@ -126,42 +131,42 @@
       })
     return rotation.choose(candidates, quorum)
   }
-  async function askVoters(under: CoreSet): Promise<VoterAnswer<Answered>[]> {
-    const quorum = quorumOf(under)
-    const first = chooseVoters(quorum)
-    const asks: { id: string; got: Promise<Answered> }[] = []
-    const others: [string, CoreLink][] = []
-    for (const [core, held] of links.all()) {
-      if (first.has(core)) asks.push({ id: core, got: ask(core, held, under) })
-      else others.push([core, held])
+  async function askVoters(coreSet: CoreSet): Promise<VoterAnswer<RenewalAnswer>[]> {
+    const quorum = quorumOf(coreSet)
+    const firstVoters = chooseVoters(quorum)
+    const asks: { id: string; got: Promise<RenewalAnswer> }[] = []
+    const remaining: [string, CoreLink][] = []
+    for (const [core, coreLink] of links.all()) {
+      if (firstVoters.has(core)) asks.push({ id: core, got: renewAt(core, coreLink, coreSet) })
+      else remaining.push([core, coreLink])
     }
-    if (others.length === 0) return await gatherQuorum(world, asks, quorum, isOk, LEASE_RENEWAL_TIMEOUT_MS)
+    if (remaining.length === 0) return await gatherQuorum(world, asks, quorum, isOk, LEASE_RENEWAL_TIMEOUT_MS)
     const answers = await gatherQuorum(world, asks, quorum, isOk, LEASE_RENEWAL_HEDGE_MS)
-    if (quorum.met(goodOf(answers))) return answers
+    if (quorum.met(acceptingVoters(answers))) return answers
     metrics.add('claynotch_renewals_hedged_total')
-    for (const [core, held] of others) asks.push({ id: core, got: ask(core, held, under) })
+    for (const [core, coreLink] of remaining) asks.push({ id: core, got: renewAt(core, coreLink, coreSet) })
     return await gatherQuorum(world, asks, quorum, isOk, LEASE_RENEWAL_TIMEOUT_MS - LEASE_RENEWAL_HEDGE_MS)
   }
   async function round(): Promise<boolean> {
     const beganAt = world.now()
-    // All of it is under this set, whichever is known at its end.
-    const under = links.coreSet()
-    const quorum = quorumOf(under)
+    // The whole round uses this set, even if a later one is adopted before it ends.
+    const coreSet = links.coreSet()
+    const quorum = quorumOf(coreSet)
     events.beforeRound()
-    const answers = await askVoters(under)
-    const good = goodOf(answers)
-    const replaced = answers.some(isReplaced)
-    if (replaced) world.log.error('node-replaced', { ...nodeFields(), why: 'another agent runs under this name' })
-    if (!quorum.met(good)) {
-      failed(good.size, under, replaced)
+    const answers = await askVoters(coreSet)
+    const accepting = acceptingVoters(answers)
+    const isReplaced = answers.some(reportsReplacement)
+    if (isReplaced) world.log.error('node-replaced', { ...nodeLogFields(), why: 'another agent runs under this name' })
+    if (!quorum.met(accepting)) {
+      recordFailure(accepting.size, coreSet, isReplaced)
       return false
     }
-    renewed(beganAt)
-    // A later set came while these answered: the lease stands, what they tell is merged with the next answers.
-    if (links.coreSet() === under) events.answered(good, beganAt)
+    recordRenewal(beganAt)
+    // If a later set was adopted during the round, the lease counts, but the answers are merged with the next ones.
+    if (links.coreSet() === coreSet) events.answered(accepting, beganAt)
     return true
   }
-  function nodeFields() {
+  function nodeLogFields() {
     return { node: node.name, life: node.life }
   }
   function expiresAtNow(): number {
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership.ts
@@ -9,41 +9,44 @@
 import type { Peer } from '@claynotch/peer'
 import { gatherQuorum, MembersAnswer, type CorePlace, type Member, type MemberEntry } from '@claynotch/register'
 import type { CoreLinks } from './core-links.js'
-import { makeMemberSources, type Candidate } from './member-sources.js'
+import { makeMemberSources, type MemberSourceCandidate } from './member-sources.js'
 
-/** isComplete: false while some core may have forgotten members. */
+/** The members as a majority of the cores knows them. isComplete: false while some core may have forgotten members. */
 export type MembersRead = { members: Member[]; isComplete: boolean }
 
-/** The nodes that hold a lease, as cores tell of them with the renewals; and, asked for, as a majority knows them now. */
+/** The nodes that hold a lease: as cores report them with lease renewals, or as a majority knows them when asked. */
 export type Membership = {
+  /** The members that the cores last reported. */
   list: () => MemberEntry[]
-  /** Nodes that may hold duties: those that serve operators, as they hear announcements first. */
+  /** Nodes that may hold duties: those that serve operators, because they are the first to hear announcements. */
   dutyNodes: () => string[]
-  /** Members that have a proxy, at least 1. */
+  /** The number of members that have a proxy, at least 1. */
   proxyCount: () => number
   peers: () => Peer[]
-  /** Core machines that are no voters, with the token under which they may become one. */
+  /** Core machines that don't vote, with the token under which they may become voters. */
   spareCores: () => CorePlace[]
-  tellsMembers: (core: string) => boolean
-  /** Chooses the cores that are to tell of members. */
+  /** Whether the core is one of those that include the members in their answers to this node's renewals. */
+  isMemberSource: (core: string) => boolean
+  /** Chooses the cores that report members. */
   chooseSources: () => void
-  /** Takes what these cores told. */
+  /** Replaces the list by what the chosen ones among these cores reported; keeps it if they reported no members. */
   merge: (cores: Set<string>) => void
-  /** A majority's word; undefined: no majority answered. */
+  /** Asks all cores for the members; undefined: no majority answered. */
   read: () => Promise<MembersRead | undefined>
 }
 
-function isAnswered(answer: MembersAnswer | undefined): boolean {
+function hasAnswered(answer: MembersAnswer | undefined): boolean {
   return answer !== undefined
 }
 
-/** Acknowledgements counted by any core count: they were told to all, and may have reached only some. */
+/** Counts acknowledgements that any core has: they were sent to all cores and may have reached only some. */
 function mergeMember(old: Member, next: Member): Member {
   const acks = new Map(old.acks)
   for (const [key, version] of next.acks) acks.set(key, Math.max(version, acks.get(key) ?? 0))
   return { ...next, acks: [...acks], highs: [...old.highs, ...next.highs] }
 }
 
+/** Merges the answers of a majority; the result is complete if every one of them is. */
 function mergeAnswers(answers: MembersAnswer[]): MembersRead {
   const byNode = new Map<string, Member>()
   let isComplete = true
@@ -57,7 +60,7 @@
   return { members: [...byNode.values()], isComplete }
 }
 
-/** holdsDuties: this node needs the members as every core tells of them. */
+/** holdsDuties: whether this node may hold duties; it then needs the members as every core reports them. */
 export function makeMembership(
   world: World,
   node: string,
@@ -69,49 +72,49 @@
   let members: MemberEntry[] = []
 
   function chooseSources(): void {
-    const candidates: Candidate[] = []
+    const candidates: MemberSourceCandidate[] = []
     for (const [id, { link }] of links.all())
       candidates.push({ id, isUp: link.up(), heard: links.heardAt(id) ?? -Infinity })
-    // What one told of members before, or didn't, doesn't fit what it tells now.
+    // A core that starts or stops reporting members can't build on its earlier answers: requests its full state.
     for (const id of sources.choose(candidates)) links.get(id)?.view.reset()
   }
   function merge(cores: Set<string>): void {
-    const byNode = new Map<string, { line: MemberEntry; at: number }>()
+    const latestByNode = new Map<string, { line: MemberEntry; at: number }>()
     for (const core of cores) {
       const view = sources.has(core) ? links.get(core)?.view : undefined
       for (const [node, entry] of view?.members() ?? [])
-        if (entry.at > (byNode.get(node)?.at ?? -Infinity)) byNode.set(node, entry)
+        if (entry.at > (latestByNode.get(node)?.at ?? -Infinity)) latestByNode.set(node, entry)
     }
-    // Those who tell of members may not be among the first to answer: what they told before stands until they do.
-    if (byNode.size === 0) return
+    // The cores that report members may not be among the first to answer: the earlier list is valid until they do.
+    if (latestByNode.size === 0) return
     members = []
-    for (const { line } of byNode.values()) members.push(line)
+    for (const { line } of latestByNode.values()) members.push(line)
     metrics.set('claynotch_agent_members', [], members.length)
   }
-  async function ask(link: PersistentLink, epoch: number): Promise<MembersAnswer | undefined> {
+  async function readMembersFrom(link: PersistentLink, epoch: number): Promise<MembersAnswer | undefined> {
     const answer = readAs(MembersAnswer, await link.ask({ t: 'members', epoch }, LEASE_RENEWAL_TIMEOUT_MS))
     return answer.ok && answer.val.ok ? answer.val : undefined
   }
   async function read(): Promise<MembersRead | undefined> {
     const quorum = links.quorum()
     const asks: { id: string; got: Promise<MembersAnswer | undefined> }[] = []
-    for (const [id, { link }] of links.all()) asks.push({ id, got: ask(link, quorum.epoch) })
-    const good = new Set<string>()
+    for (const [id, { link }] of links.all()) asks.push({ id, got: readMembersFrom(link, quorum.epoch) })
+    const answering = new Set<string>()
     const answers: MembersAnswer[] = []
-    for (const { id, val } of await gatherQuorum(world, asks, quorum, isAnswered, LEASE_RENEWAL_TIMEOUT_MS)) {
+    for (const { id, val } of await gatherQuorum(world, asks, quorum, hasAnswered, LEASE_RENEWAL_TIMEOUT_MS)) {
       if (!val) continue
-      good.add(id)
+      answering.add(id)
       answers.push(val)
     }
-    return quorum.met(good) ? mergeAnswers(answers) : undefined
+    return quorum.met(answering) ? mergeAnswers(answers) : undefined
   }
   function list(): MemberEntry[] {
     return members
   }
   function dutyNodes(): string[] {
-    const out: string[] = []
-    for (const member of members) if (member.operator !== '') out.push(member.node)
-    return out
+    const nodes: string[] = []
+    for (const member of members) if (member.operator !== '') nodes.push(member.node)
+    return nodes
   }
   function proxyCount(): number {
     let count = 0
@@ -119,14 +122,14 @@
     return Math.max(1, count)
   }
   function peers(): Peer[] {
-    const out: Peer[] = []
-    for (const member of members) out.push({ node: member.node, addr: member.addr, proxy: member.proxy })
-    return out
+    const memberPeers: Peer[] = []
+    for (const member of members) memberPeers.push({ node: member.node, addr: member.addr, proxy: member.proxy })
+    return memberPeers
   }
   function spareCores(): CorePlace[] {
-    const out: CorePlace[] = []
-    for (const { core } of members) if (core?.token !== undefined && !links.get(core.id)) out.push(core)
-    return out
+    const spares: CorePlace[] = []
+    for (const { core } of members) if (core?.token !== undefined && !links.get(core.id)) spares.push(core)
+    return spares
   }
   return {
     list,
@@ -134,7 +137,7 @@
     proxyCount,
     peers,
     spareCores,
-    tellsMembers: sources.has,
+    isMemberSource: sources.has,
     chooseSources,
     merge,
     read,
--- a/packages/agent/src/register-cache.ts
+++ b/packages/agent/src/register-cache.ts
@@ -13,142 +13,169 @@
 } from '@claynotch/register'
 
 /**
- * What this node knows of the registers: by its own rounds, by pushes, and by what a majority's renewals show.
+ * What this node knows of a register, from its own rounds, from pushes, and from a majority's answers to renewals.
  *
- * Invariants of each: value was chosen at ballot; turn never goes back; until only grows, and stays where it is while a
- * majority knows of something newer than value. A push alone proves nothing of time: until rests on renewals and rounds.
+ * Invariants: value was chosen at ballot; the value's turn never decreases; currentUntil only grows, and doesn't grow
+ * while a majority knows of a newer value. A push alone doesn't prove that a value is current: currentUntil is
+ * derived from renewals and rounds only.
  */
 export type KnownRegister = { value: RegisterValue; ballot: Ballot; currentUntil: number }
 
-/** The newest ballot that a majority's answers showed, with the time of that renewal and a core that holds it as chosen. */
-type Wanted = { ballot: Ballot; from: number; chosenAt: string | undefined }
+/**
+ * A newer ballot that a majority's answers showed, the start of that renewal, and a core that has the ballot as
+ * chosen.
+ */
+type MissingUpdate = { ballot: Ballot; from: number; chosenAt: string | undefined }
 
-/** What registers need of the agent. link: the link to one core, while it is of the set. settle: a whole round. */
-export type RegisterCacheView = {
+/** What the register cache needs from the agent. */
+export type RegisterCacheDependencies = {
   epoch: () => number
+  /** The link to one core; undefined if the core is not in the set. */
   link: (id: string) => PersistentLink | undefined
+  /** Runs a whole round that settles the register's committed value. */
   readCommitted: (key: string) => Promise<Committed>
-  /** A value is newer than what was known. */
+  /** A value newer than the known one was learnt. */
   onNewer: (key: string, value: RegisterValue) => void
-  /** Something is wanted now. */
+  /** An update is missing from the cache. */
   onBehind: () => void
 }
 
+/** The registers as this node knows them, and the updates that it knows to be missing. */
 export type RegisterCache = {
   all: () => Map<string, KnownRegister>
   value: (key: string) => RegisterValue | undefined
+  /** The known value with its ballot. */
   held: (key: string) => HeldValue | undefined
   ballots: () => [string, Ballot][]
-  /** from: when a round that showed this very value began. */
+  /**
+   * Stores a chosen value if it isn't older than the known one. from: the start of a round that showed this very
+   * value.
+   */
   learn: (key: string, value: RegisterValue, ballot: Ballot, from?: number) => void
-  /** What a majority that answered since from holds of each key, by core. */
+  /** Applies the register summaries, by core, of a majority that answered a renewal begun at from. */
   takeSummaries: (tables: Map<string, Map<string, RegisterSummary>>, enough: Quorum, from: number) => void
-  /** A push of one core. */
+  /** Applies a push of one core; fetches the value if the push builds on a value that isn't known here. */
   takePush: (id: string, push: RegisterPush) => Promise<void>
+  /** Whether a majority has shown updates that aren't known here yet. */
   isBehind: () => boolean
-  /** Works off what is wanted, register by register. */
+  /** Fetches the missing updates, one register after the other. */
   catchUp: () => Promise<void>
 }
 
-export function makeRegisterCache(world: World, view: RegisterCacheView): RegisterCache {
+export function makeRegisterCache(world: World, view: RegisterCacheDependencies): RegisterCache {
   const known = new Map<string, KnownRegister>()
-  // wanted: gone once known has it.
-  const wanted = new Map<string, Wanted>()
+  /** Missing updates by key; an entry is removed once the update is known. */
+  const missing = new Map<string, MissingUpdate>()
 
-  function learned(key: string, value: RegisterValue, ballot: Ballot, from?: number): void {
+  function learn(key: string, value: RegisterValue, ballot: Ballot, from?: number): void {
     const old = known.get(key)
     if (old && value.turn < old.value.turn) return
-    const newer = !old || value.turn > old.value.turn
-    const top = old && compareBallots(old.ballot, ballot) > 0 ? old.ballot : ballot
-    // A round that showed this very value proves it current as of its start.
-    let until = Math.max(old?.currentUntil ?? 0, from === undefined ? 0 : from + LEASE_DURATION_MS)
-    const w = wanted.get(key)
-    if (w && compareBallots(w.ballot, top) <= 0) {
-      wanted.delete(key)
-      until = Math.max(until, w.from + LEASE_DURATION_MS)
+    const isNewer = !old || value.turn > old.value.turn
+    const highestBallot = old && compareBallots(old.ballot, ballot) > 0 ? old.ballot : ballot
+    // A round that showed this very value proves that it was current at the start of the round.
+    let currentUntil = Math.max(old?.currentUntil ?? 0, from === undefined ? 0 : from + LEASE_DURATION_MS)
+    const update = missing.get(key)
+    if (update && compareBallots(update.ballot, highestBallot) <= 0) {
+      missing.delete(key)
+      currentUntil = Math.max(currentUntil, update.from + LEASE_DURATION_MS)
     }
-    known.set(key, { value: newer ? value : old.value, ballot: top, currentUntil: until })
-    if (newer) view.onNewer(key, value)
+    known.set(key, { value: isNewer ? value : old.value, ballot: highestBallot, currentUntil })
+    if (isNewer) view.onNewer(key, value)
   }
-  function cell(key: string): RegisterValue | undefined {
+  function valueAt(key: string): RegisterValue | undefined {
     return known.get(key)?.value
   }
   function held(key: string): HeldValue | undefined {
-    const k = known.get(key)
-    return k && { ballot: k.ballot, value: k.value }
+    const register = known.get(key)
+    return register && { ballot: register.ballot, value: register.value }
   }
   function ballots(): [string, Ballot][] {
-    const out: [string, Ballot][] = []
-    for (const [key, k] of known) out.push([key, k.ballot])
-    return out
+    const knownBallots: [string, Ballot][] = []
+    for (const [key, register] of known) knownBallots.push([key, register.ballot])
+    return knownBallots
   }
 
-  // For each key the newest ballot that any of the majority has seen, who has accepted just that, and one who knows it as
-  // chosen. A write that is not synced counts as seen, so that nothing older passes for the newest, and not as accepted.
-  type High = { ballot: Ballot; by: Set<string>; chosenAt: string | undefined }
-  function highest(tables: Map<string, Map<string, RegisterSummary>>, enough: Quorum): Map<string, High> {
-    const high = new Map<string, High>()
+  /**
+   * The newest ballot of a key that any core of the majority has seen, the cores that have accepted exactly this
+   * ballot, and one that knows it as chosen.
+   */
+  type HighestBallot = { ballot: Ballot; by: Set<string>; chosenAt: string | undefined }
+  /**
+   * The newest ballot of each key. A write that a core hasn't synced yet counts as seen, so that no older ballot
+   * passes for the newest, but not as accepted.
+   */
+  function highestBallots(
+    tables: Map<string, Map<string, RegisterSummary>>,
+    quorum: Quorum,
+  ): Map<string, HighestBallot> {
+    const highestByKey = new Map<string, HighestBallot>()
     for (const [id, lines] of tables) {
-      for (const k of lines.values()) {
-        const old = high.get(k.key)
-        const by = old ? compareBallots(k.ballot, old.ballot) : 1
-        if (by < 0) continue
-        const now: High = old && by === 0 ? old : { ballot: k.ballot, by: new Set(), chosenAt: undefined }
-        high.set(k.key, now)
-        if (k.chosen) now.chosenAt = id
-        if (k.pending === true) continue
-        now.by.add(id)
-        if (enough.met(now.by)) now.chosenAt ??= id
+      for (const summary of lines.values()) {
+        const highestSoFar = highestByKey.get(summary.key)
+        const comparison = highestSoFar ? compareBallots(summary.ballot, highestSoFar.ballot) : 1
+        if (comparison < 0) continue
+        const current: HighestBallot =
+          highestSoFar && comparison === 0
+            ? highestSoFar
+            : { ballot: summary.ballot, by: new Set(), chosenAt: undefined }
+        highestByKey.set(summary.key, current)
+        if (summary.chosen) current.chosenAt = id
+        if (summary.pending === true) continue
+        current.by.add(id)
+        if (quorum.met(current.by)) current.chosenAt ??= id
       }
     }
-    return high
+    return highestByKey
   }
-  function shown(tables: Map<string, Map<string, RegisterSummary>>, enough: Quorum, from: number): void {
-    for (const [key, h] of highest(tables, enough)) {
-      const k = known.get(key)
-      if (k && compareBallots(h.ballot, k.ballot) <= 0) {
-        k.currentUntil = Math.max(k.currentUntil, from + LEASE_DURATION_MS)
+  function applySummaries(tables: Map<string, Map<string, RegisterSummary>>, quorum: Quorum, from: number): void {
+    for (const [key, highest] of highestBallots(tables, quorum)) {
+      const register = known.get(key)
+      if (register && compareBallots(highest.ballot, register.ballot) <= 0) {
+        register.currentUntil = Math.max(register.currentUntil, from + LEASE_DURATION_MS)
         continue
       }
-      wanted.set(key, { ballot: h.ballot, from, chosenAt: h.chosenAt })
+      missing.set(key, { ballot: highest.ballot, from, chosenAt: highest.chosenAt })
       view.onBehind()
     }
-    // Registers that no core of a majority holds a value of were never settled; nothing to keep for them.
+    // A register of which no core of a majority holds a value was never settled; there is nothing to store for it.
   }
 
-  // The value chosen at that ballot, from one core; false: it doesn't have it, or not any more.
-  async function fetch(id: string, key: string, ballot: Ballot): Promise<boolean> {
-    const mine = held(key)
-    const have = mine ? { have: mine.ballot } : {}
-    const said = await view.link(id)?.ask({ t: 'get', epoch: view.epoch(), key, ...have }, ROUND_TIMEOUT_MS)
-    const got = readAs(GetAnswer, said)
-    if (got.err || compareBallots(got.val.ballot, ballot) !== 0) return false
-    const value = valueOf(got.val, mine)
-    if (value) learned(key, value, ballot)
+  /**
+   * Fetches the value chosen at the ballot from one core; resolves to false if the core doesn't have it, or no
+   * longer.
+   */
+  async function fetchValue(id: string, key: string, ballot: Ballot): Promise<boolean> {
+    const local = held(key)
+    const have = local ? { have: local.ballot } : {}
+    const response = await view.link(id)?.ask({ t: 'get', epoch: view.epoch(), key, ...have }, ROUND_TIMEOUT_MS)
+    const answer = readAs(GetAnswer, response)
+    if (answer.err || compareBallots(answer.val.ballot, ballot) !== 0) return false
+    const value = valueOf(answer.val, local)
+    if (value) learn(key, value, ballot)
     return value !== undefined
   }
-  async function pushed(id: string, push: RegisterPush): Promise<void> {
-    const mine = held(push.key)
-    // What was learnt otherwise before this came is the same, or later.
-    if (mine && compareBallots(mine.ballot, push.ballot) >= 0) return
-    const value = valueOf(push, mine)
-    if (value) learned(push.key, value, push.ballot)
-    // It builds on what isn't here.
-    else await fetch(id, push.key, push.ballot)
+  async function applyPush(id: string, push: RegisterPush): Promise<void> {
+    const local = held(push.key)
+    // What this node already knows is the same value or a later one.
+    if (local && compareBallots(local.ballot, push.ballot) >= 0) return
+    const value = valueOf(push, local)
+    if (value) learn(push.key, value, push.ballot)
+    // The push is a delta to a value that isn't known here.
+    else await fetchValue(id, push.key, push.ballot)
   }
-  function wants(): boolean {
-    return wanted.size > 0
+  function isBehind(): boolean {
+    return missing.size > 0
   }
   async function catchUp(): Promise<void> {
-    for (const [key, w] of [...wanted]) {
-      // A push may have brought it meanwhile.
-      if (wanted.get(key) !== w) continue
-      if (w.chosenAt !== undefined && (await fetch(w.chosenAt, key, w.ballot))) continue
-      // Accepted somewhere, chosen or not: a round of our own settles it either way.
+    for (const [key, update] of [...missing]) {
+      // A push may have delivered the update meanwhile.
+      if (missing.get(key) !== update) continue
+      if (update.chosenAt !== undefined && (await fetchValue(update.chosenAt, key, update.ballot))) continue
+      // The ballot was accepted somewhere, chosen or not: a round of this node settles it either way.
       const from = world.now()
-      const got = await view.readCommitted(key)
-      if (got.done && got.value) learned(key, got.value, got.ballot, from)
-      else if (got.done) wanted.delete(key)
+      const committed = await view.readCommitted(key)
+      if (committed.done && committed.value) learn(key, committed.value, committed.ballot, from)
+      else if (committed.done) missing.delete(key)
     }
   }
   function all(): Map<string, KnownRegister> {
@@ -156,13 +183,13 @@
   }
   return {
     all,
-    value: cell,
+    value: valueAt,
     held,
     ballots,
-    learn: learned,
-    takeSummaries: shown,
-    takePush: pushed,
-    isBehind: wants,
+    learn,
+    takeSummaries: applySummaries,
+    takePush: applyPush,
+    isBehind,
     catchUp,
   }
 }
--- a/packages/agent/src/renewal-messages.ts
+++ b/packages/agent/src/renewal-messages.ts
@@ -2,47 +2,54 @@
 import type { CoreView, InstanceStatus, MemberDescription, ProxyReport } from '@claynotch/register'
 import type { HeardStatus } from './instance-table.js'
 
-/** What one life of a core has of this node, as far as it answered for it. */
+/** What one process incarnation of a core has received from this node, as far as its answers confirm. */
 type Delivered = {
-  /** The life of the core. */
+  /** The id of the core's process incarnation. */
   core: string
-  /** The node's description, as text. */
+  /** The node's description as JSON. */
   description: string
-  /** The version of each register that was acknowledged there. */
+  /** The version of each register that was acknowledged to the core. */
   acknowledged: Map<string, number>
-  /** The highest commit of each group, as text. */
+  /** The highest commit of each group, as `epoch/position`. */
   highestCommits: Map<string, string>
-  /** Local time (ms) before which all announcements heard here were told. */
+  /** All announcements heard here before this local time (ms) were reported to the core. */
   instancesUntil: number
 }
 
-/** One renewal: what the core doesn't have of this node yet, and what to do once it answered. */
-export type Renewal = { message: unknown; askedLife: string; delivered: () => void }
+/**
+ * One lease renewal: the message, the core incarnation that it names, and the callback for when the core has
+ * answered. The message has only what the core doesn't have from this node yet.
+ */
+export type Renewal = { message: unknown; coreLife: string; delivered: () => void }
 
-/** What renewals tell. */
+/** The data that renewals carry. */
 export type RenewalSources = {
   node: string
+  /** Identifies this process incarnation of the node. */
   life: string
   describe: () => MemberDescription
   acknowledged: () => ReadonlyMap<string, number>
   report: () => ProxyReport | undefined
   ownInstances: () => Iterable<HeardStatus>
-  /** Whether this node knows a register, so that the core set was founded once. */
+  /** Whether this node knows any register, which proves that a core set was founded before. */
   remembers: () => boolean
-  tellsMembers: (core: string) => boolean
+  /** Whether the core is to include the members in its answers. */
+  isMemberSource: (core: string) => boolean
 }
 
-/** Builds the renewals to each core by difference. */
+/** Builds the renewals for each core, as deltas to what that core has confirmed. */
 export type RenewalMessages = {
+  /** Builds the next renewal for a core. */
   next: (core: string, view: CoreView, epoch: number) => Renewal
-  /** The core has nothing of us any more. */
+  /** The core no longer has anything from this node: the next renewal is complete. */
   forget: (core: string) => void
 }
 
-function nothingDelivered(core: string): Delivered {
+function emptyDelivery(core: string): Delivered {
   return { core, description: '', acknowledged: new Map(), highestCommits: new Map(), instancesUntil: 0 }
 }
 
+/** A commit position as text, for comparison. */
 function commitText(epoch: number, position: number): string {
   return `${epoch}/${position}`
 }
@@ -50,30 +57,30 @@
 export function makeRenewalMessages(world: World, sources: RenewalSources): RenewalMessages {
   const deliveredTo = new Map<string, Delivered>()
 
-  function newAcknowledgements(has: Delivered | undefined): [string, number][] {
-    const out: [string, number][] = []
+  function newAcknowledgements(previous: Delivered | undefined): [string, number][] {
+    const changed: [string, number][] = []
     for (const [key, version] of sources.acknowledged())
-      if ((has?.acknowledged.get(key) ?? 0) < version) out.push([key, version])
-    return out
+      if ((previous?.acknowledged.get(key) ?? 0) < version) changed.push([key, version])
+    return changed
   }
-  function newCommits(has: Delivered | undefined): [string, number, number][] {
-    const out: [string, number, number][] = []
+  function newCommits(previous: Delivered | undefined): [string, number, number][] {
+    const changed: [string, number, number][] = []
     for (const [group, epoch, position] of sources.report()?.highs ?? [])
-      if (has?.highestCommits.get(group) !== commitText(epoch, position)) out.push([group, epoch, position])
-    return out
+      if (previous?.highestCommits.get(group) !== commitText(epoch, position)) changed.push([group, epoch, position])
+    return changed
   }
-  function newInstances(has: Delivered | undefined, now: number): InstanceStatus[] {
-    const out: InstanceStatus[] = []
+  function newInstances(previous: Delivered | undefined, now: number): InstanceStatus[] {
+    const changed: InstanceStatus[] = []
     for (const { status, at } of sources.ownInstances())
-      if (!has || at >= has.instancesUntil) out.push({ ...status, age: now - at })
-    return out
+      if (!previous || at >= previous.instancesUntil) changed.push({ ...status, age: now - at })
+    return changed
   }
   function next(core: string, view: CoreView, epoch: number): Renewal {
     const now = world.now()
-    const old = deliveredTo.get(core)
-    const has = old && old.core === view.core() ? old : undefined
-    const acks = newAcknowledgements(has)
-    const highs = newCommits(has)
+    const stored = deliveredTo.get(core)
+    const previous = stored && stored.core === view.core() ? stored : undefined
+    const acks = newAcknowledgements(previous)
+    const highs = newCommits(previous)
     const self = sources.describe()
     const description = JSON.stringify(self)
     const message = {
@@ -84,23 +91,23 @@
       core: view.core(),
       count: view.count(),
       acks,
-      sights: newInstances(has, now),
+      sights: newInstances(previous, now),
       open: sources.report()?.open ?? 0,
       highs,
       remembers: sources.remembers(),
-      ...(sources.tellsMembers(core) ? {} : { brief: true }),
-      ...(has?.description === description ? {} : { self }),
+      ...(sources.isMemberSource(core) ? {} : { brief: true }),
+      ...(previous?.description === description ? {} : { self }),
     }
     function delivered(): void {
-      const to = has && has.core === view.core() ? has : nothingDelivered(view.core())
-      to.description = description
-      for (const [key, version] of acks) to.acknowledged.set(key, version)
+      const updated = previous && previous.core === view.core() ? previous : emptyDelivery(view.core())
+      updated.description = description
+      for (const [key, version] of acks) updated.acknowledged.set(key, version)
       for (const [group, commitEpoch, position] of highs)
-        to.highestCommits.set(group, commitText(commitEpoch, position))
-      to.instancesUntil = Math.max(to.instancesUntil, now)
-      deliveredTo.set(core, to)
+        updated.highestCommits.set(group, commitText(commitEpoch, position))
+      updated.instancesUntil = Math.max(updated.instancesUntil, now)
+      deliveredTo.set(core, updated)
     }
-    return { message, askedLife: message.core, delivered }
+    return { message, coreLife: message.core, delivered }
   }
   function forget(core: string): void {
     deliveredTo.delete(core)
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -14,14 +14,18 @@
 import { spread } from './spread.js'
 
 /**
- * The one core whose pushes this node takes: of its own area where one votes there, else any that answers.
+ * Subscribes at one core, whose pushes this node receives: a voter of its own area if there is one, else any that
+ * answers.
  *
- * Nothing rests on it but how soon and how cheaply news come: what it doesn't tell is found by the next renewal at a
- * majority. It is left when its link goes, when it is silent, when it goes on to know less than a majority, or when it is
- * of the set no more. Programs of before subscriptions push to everyone, and need none.
+ * Only the latency and the cost of updates depend on the subscription: whatever the core doesn't push is found by the
+ * next lease renewal at a majority. The node unsubscribes when the link is lost, when the core is silent, when it
+ * keeps lagging behind a majority, or when the core leaves the core set. Cores of versions that predate subscriptions
+ * push to every node and need none.
  */
 
-/** A core as this node sees it now. heard: when it last answered, with these lines of the registers. */
+/**
+ * A core as a source of pushes. heard: local time (ms) of its last answer; lines: the register summaries it reported.
+ */
 export type SubscriptionSource = {
   id: string
   held: PersistentLink
@@ -30,21 +34,22 @@
   lines: Map<string, RegisterSummary>
 }
 
-/** The present voters as places to take pushes from. */
-export function sourcesOf(links: CoreLinks, membership: Membership): SubscriptionSource[] {
+/** The current voters as possible sources of pushes. */
+export function subscriptionSources(links: CoreLinks, membership: Membership): SubscriptionSource[] {
   const areas = new Map<string, string>()
   for (const { core, area } of membership.list()) if (core) areas.set(core.id, area)
-  const out: SubscriptionSource[] = []
+  const sources: SubscriptionSource[] = []
   for (const [id, { link, view }] of links.all())
-    out.push({ id, held: link, heard: view.heard(), area: areas.get(id), lines: view.registers() })
-  return out
+    sources.push({ id, held: link, heard: view.heard(), area: areas.get(id), lines: view.registers() })
+  return sources
 }
 
 export type Subscription = {
-  /** Looks, after a renewal, whether another core should be subscribed at. */
+  /** Called after a renewal: checks the current subscription and switches to another core where needed. */
   choose: (sources: SubscriptionSource[], epoch: number) => Promise<void>
-  /** The link to this core was dialled anew: it knows of no subscription. */
+  /** The link to this core was re-established, so the core no longer has the subscription. */
   linkedAnew: (id: string) => void
+  /** The id of the core at which this node is subscribed. */
   at: () => string | undefined
 }
 
@@ -54,92 +59,95 @@
   area: string,
   ballots: () => [string, Ballot][],
 ): Subscription {
-  let current: string | undefined
-  // behind: looks in a row at which the current core lacked what this node had known for a whole beat.
-  let behind = 0
-  // before: what this node knew at an earlier look.
-  let before: { at: number; ballots: [string, Ballot][] } | undefined
-  // shunned: cores that were left or refused, with the time up to which they aren't asked again.
-  const shunned = new Map<string, number>()
-  let asking = false
+  let subscribedCore: string | undefined
+  /** Consecutive checks at which the core lacked a ballot that this node had known for at least SUBSCRIPTION_LAG_MS. */
+  let lagCount = 0
+  /** The ballots that this node knew at the previous check. */
+  let lastCheck: { at: number; ballots: [string, Ballot][] } | undefined
+  /** Cores that were left or didn't answer, with the time until which they aren't asked again. */
+  const avoidedUntil = new Map<string, number>()
+  let isSubscribing = false
 
-  function isFit(s: SubscriptionSource): boolean {
+  function isEligible(source: SubscriptionSource): boolean {
     const now = world.now()
     return (
-      s.held.up() &&
-      (s.held.peer()?.epoch ?? 0) >= DELTA_LINK_VERSION &&
-      now - s.heard <= SUBSCRIPTION_SILENCE_MS &&
-      now >= (shunned.get(s.id) ?? 0)
+      source.held.up() &&
+      (source.held.peer()?.epoch ?? 0) >= DELTA_LINK_VERSION &&
+      now - source.heard <= SUBSCRIPTION_SILENCE_MS &&
+      now >= (avoidedUntil.get(source.id) ?? 0)
     )
   }
-  // Fewer is better.
-  function compare(a: SubscriptionSource, b: SubscriptionSource): number {
-    const near = Number(b.area === area) - Number(a.area === area)
-    return near !== 0 ? near : spread(node, a.id) - spread(node, b.id)
+  /** Preferred sources first: those of the own area, then in an order that differs from node to node. */
+  function byPreference(a: SubscriptionSource, b: SubscriptionSource): number {
+    const areaOrder = Number(b.area === area) - Number(a.area === area)
+    return areaOrder !== 0 ? areaOrder : spread(node, a.id) - spread(node, b.id)
   }
-  function best(sources: SubscriptionSource[]): SubscriptionSource | undefined {
-    const fit = sources.filter(isFit)
-    fit.sort(compare)
-    return fit[0]
+  function preferredSource(sources: SubscriptionSource[]): SubscriptionSource | undefined {
+    const eligible = sources.filter(isEligible)
+    eligible.sort(byPreference)
+    return eligible[0]
   }
-  function shun(id: string): void {
-    shunned.set(id, world.now() + RESUBSCRIBE_DELAY_MS)
-    if (current === id) current = undefined
+  function avoid(id: string): void {
+    avoidedUntil.set(id, world.now() + RESUBSCRIBE_DELAY_MS)
+    if (subscribedCore === id) subscribedCore = undefined
   }
-  // Asked at one moment, cores differ by what is on its way; so what it told later is held against what was known earlier.
-  function lacks(s: SubscriptionSource, known: [string, Ballot][]): boolean {
+  /**
+   * Whether the source lacks any of these ballots. Cores that are asked at the same moment differ by what is in
+   * transit, so the caller compares a later answer of the source with what this node knew earlier.
+   */
+  function lacksAny(source: SubscriptionSource, known: [string, Ballot][]): boolean {
     for (const [key, ballot] of known) {
-      const line = s.lines.get(key)
+      const line = source.lines.get(key)
       if (!line || compareBallots(line.ballot, ballot) < 0) return true
     }
     return false
   }
-  function look(now: SubscriptionSource): void {
-    const at = world.now()
-    if (before && at - before.at < SUBSCRIPTION_LAG_MS) return
-    if (before && now.heard > before.at) behind = lacks(now, before.ballots) ? behind + 1 : 0
-    before = { at, ballots: ballots() }
+  function measureLag(source: SubscriptionSource): void {
+    const now = world.now()
+    if (lastCheck && now - lastCheck.at < SUBSCRIPTION_LAG_MS) return
+    if (lastCheck && source.heard > lastCheck.at) lagCount = lacksAny(source, lastCheck.ballots) ? lagCount + 1 : 0
+    lastCheck = { at: now, ballots: ballots() }
   }
-  function judgeCurrent(sources: SubscriptionSource[]): void {
-    const now = sources.find(isCurrent)
-    function isCurrent(s: SubscriptionSource): boolean {
-      return s.id === current
+  function leaveUnfitSource(sources: SubscriptionSource[]): void {
+    const source = sources.find(isSubscribed)
+    function isSubscribed(candidate: SubscriptionSource): boolean {
+      return candidate.id === subscribedCore
     }
-    if (!now?.held.up()) {
-      current = undefined
+    if (!source?.held.up()) {
+      subscribedCore = undefined
       return
     }
-    look(now)
-    if (behind < MAX_SUBSCRIPTION_LAGS && world.now() - now.heard <= SUBSCRIPTION_SILENCE_MS) return
-    leave(now)
-    shun(now.id)
+    measureLag(source)
+    if (lagCount < MAX_SUBSCRIPTION_LAGS && world.now() - source.heard <= SUBSCRIPTION_SILENCE_MS) return
+    unsubscribe(source)
+    avoid(source.id)
   }
-  function leave(s: SubscriptionSource): void {
-    s.held.tell({ t: 'subscribe', on: false, have: [] })
+  function unsubscribe(source: SubscriptionSource): void {
+    source.held.tell({ t: 'subscribe', on: false, have: [] })
   }
   async function choose(sources: SubscriptionSource[], epoch: number): Promise<void> {
-    judgeCurrent(sources)
-    const next = best(sources)
-    if (asking || !next || next.id === current) return
-    asking = true
-    const word = { t: 'subscribe', epoch, on: true, have: ballots() }
-    const got = (await next.held.ask(word, LEASE_RENEWAL_TIMEOUT_MS)) as { ok?: boolean } | undefined
-    asking = false
-    if (got?.ok !== true) {
-      // One that refuses stands in another set, and will soon stand in this one; one that is silent is left alone.
-      if (!got) shun(next.id)
+    leaveUnfitSource(sources)
+    const next = preferredSource(sources)
+    if (isSubscribing || !next || next.id === subscribedCore) return
+    isSubscribing = true
+    const request = { t: 'subscribe', epoch, on: true, have: ballots() }
+    const answer = (await next.held.ask(request, LEASE_RENEWAL_TIMEOUT_MS)) as { ok?: boolean } | undefined
+    isSubscribing = false
+    if (answer?.ok !== true) {
+      // A core that rejects the request has another core set and will soon follow; one that doesn't answer is avoided.
+      if (!answer) avoid(next.id)
       return
     }
-    for (const s of sources) if (s.id === current && s.id !== next.id) leave(s)
-    current = next.id
-    behind = 0
-    before = undefined
+    for (const source of sources) if (source.id === subscribedCore && source.id !== next.id) unsubscribe(source)
+    subscribedCore = next.id
+    lagCount = 0
+    lastCheck = undefined
   }
   function linkedAnew(id: string): void {
-    if (current === id) current = undefined
+    if (subscribedCore === id) subscribedCore = undefined
   }
-  function at(): string | undefined {
-    return current
+  function subscribedTo(): string | undefined {
+    return subscribedCore
   }
-  return { choose, linkedAnew, at }
+  return { choose, linkedAnew, at: subscribedTo }
 }
--- a/packages/agent/src/voter-plan.ts
+++ b/packages/agent/src/voter-plan.ts
@@ -1,102 +1,118 @@
 import { CORE_GONE_MS, VOTER_DOUBT_MS, VOTER_GONE_MS, VOTER_SILENCE_MS } from '@claynotch/base'
 import { quorumOf, type CorePlace, type CoreSet } from '@claynotch/register'
 
-// Which set of voters is to follow the present one: a pure function of what the holder of the duty sees.
-// docs/design/coreset.md says when a set changes, and why by these steps.
-
-/** What the holder of the duty sees. Durations are in ms. */
+/**
+ * What the holder of the duty for the core set observes; the next set of voters is a pure function of it. Durations
+ * are in ms. docs/design/coreset.md says when a set changes, and why in these steps.
+ */
 export type VoterView = {
+  /** The current set, which isn't a joint one. */
   set: CoreSet
-  /** Core machines that are no voters and may become one, the best first. */
+  /** Core machines that don't vote and may become voters, in order of preference. */
   fresh: CorePlace[]
-  /** For how long a voter was not heard. */
+  /** The time since a voter's last answer. */
   silence: (id: string) => number
-  /** Voters that answer under this set and vote. */
+  /** The voters that answer under this set and vote. */
   well: Set<string>
-  /** Whether a voter that answers still holds a link to this one. */
+  /** Whether any voter that answers still has a link to this one. */
   isHeardByOthers: (id: string) => boolean
+  /** The largest number of voters that a set may have. */
   mostVoters: number
 }
 
-/** A set is never shrunk below this many voters, of which one may be lost. */
-const FEWEST_VOTERS = 3
+/** A set is never shrunk below this many voters, which tolerate the loss of one. */
+const MIN_VOTERS = 3
 
 function byId(a: CorePlace, b: CorePlace): number {
   return a.id < b.id ? -1 : 1
 }
 
-/** Voters that were silent for longer than this and that nobody hears, the one that was silent for longest first. */
-function goneFor(view: VoterView, ms: number): CorePlace[] {
-  function isGone(voter: CorePlace): boolean {
+/** Voters that have been silent for longer than this and that no other voter hears, the longest silent first. */
+function votersLostFor(view: VoterView, ms: number): CorePlace[] {
+  function isLost(voter: CorePlace): boolean {
     return view.silence(voter.id) > ms && !view.well.has(voter.id) && !view.isHeardByOthers(voter.id)
   }
   function bySilence(a: CorePlace, b: CorePlace): number {
     return view.silence(b.id) - view.silence(a.id) || byId(a, b)
   }
-  return view.set.cores.filter(isGone).sort(bySilence)
+  return view.set.cores.filter(isLost).sort(bySilence)
 }
 
-/** The voters with the first ones of fresh in place of the first ones of gone, and others added. */
-function replaced(voters: CorePlace[], gone: CorePlace[], fresh: CorePlace[], added: CorePlace[]): CorePlace[] {
-  const out: CorePlace[] = []
+/** The voters, with the lost ones replaced by the joining machines in order, and with others added. */
+function withReplacements(
+  voters: CorePlace[],
+  lost: CorePlace[],
+  joining: CorePlace[],
+  added: CorePlace[],
+): CorePlace[] {
+  const next: CorePlace[] = []
   for (const voter of voters) {
-    const at = gone.indexOf(voter)
-    out.push(at < 0 ? voter : fresh[at])
+    const index = lost.indexOf(voter)
+    next.push(index < 0 ? voter : joining[index])
   }
-  return [...out, ...added]
+  return [...next, ...added]
 }
 
 /**
- * The voters that are to follow, or undefined where the set is to stay.
- * - A fresh machine takes the place of a voter that is gone.
- * - A fresh machine joins while there are fewer than mostVoters and no voter is in doubt: in doubt it may be the very one that
- *   the fresh machine is to replace.
- * - A set of an even number drops a voter that is gone, as its quorum is one smaller then.
- * Whatever is chosen, those that vote now are a quorum of the joint set by themselves: no newcomer is needed to end it.
+ * Plans the next set of voters; undefined: the set stays as it is.
+ * - A joining machine replaces a lost voter.
+ * - A joining machine is added while there are fewer than mostVoters and no voter is in doubt: a voter in doubt may
+ *   be the very one that the machine is to replace.
+ * - A set of an even number drops a lost voter, because its quorum is then smaller by one.
+ *
+ * In every plan the voters that vote now form a quorum of the joint set by themselves: no newcomer is needed to finish
+ * the change.
  */
 export function planVoters(view: VoterView): CorePlace[] | undefined {
-  const { set, fresh, well } = view
+  const { set, fresh: joining, well: serving } = view
   const voters = set.cores
   const isFull = voters.length >= view.mostVoters
-  const gone = goneFor(view, isFull ? CORE_GONE_MS : VOTER_SILENCE_MS)
+  const lost = votersLostFor(view, isFull ? CORE_GONE_MS : VOTER_SILENCE_MS)
   function isInDoubt(voter: CorePlace): boolean {
-    return view.silence(voter.id) > VOTER_DOUBT_MS && !gone.includes(voter)
+    return view.silence(voter.id) > VOTER_DOUBT_MS && !lost.includes(voter)
   }
-  const candidates = swapsAndJoins(view, gone, voters.some(isInDoubt))
-  if (fresh.length === 0) candidates.push(...smaller(view))
-  function isPossible(next: CorePlace[]): boolean {
+  const plans = replacementsAndJoins(view, lost, voters.some(isInDoubt))
+  if (joining.length === 0) plans.push(...shrinkingPlans(view))
+  function isFeasible(next: CorePlace[]): boolean {
     if (next.length === voters.length && next.every(isVoter)) return false
-    return quorumOf({ epoch: set.epoch, cores: voters, next }).met(well)
+    return quorumOf({ epoch: set.epoch, cores: voters, next }).met(serving)
   }
   function isVoter(place: CorePlace): boolean {
     return voters.includes(place)
   }
-  return candidates.find(isPossible)
+  return plans.find(isFeasible)
 }
 
-/** Every choice of how many are replaced and how many join, the one that changes most first. */
-function swapsAndJoins(view: VoterView, gone: CorePlace[], isDoubtful: boolean): CorePlace[][] {
-  const { fresh } = view
+/** All combinations of replacements and joins, the largest change first. */
+function replacementsAndJoins(view: VoterView, lost: CorePlace[], isDoubtful: boolean): CorePlace[][] {
+  const { fresh: joining } = view
   const voters = view.set.cores
-  const room = isDoubtful ? 0 : Math.max(0, view.mostVoters - voters.length)
-  const out: CorePlace[][] = []
-  for (let swaps = Math.min(gone.length, fresh.length); swaps >= 0; swaps--) {
-    // Nobody joins beside a voter that is gone and could be replaced.
-    const mostJoins = swaps === gone.length ? Math.min(room, fresh.length - swaps) : 0
-    for (let joins = mostJoins; joins >= 0; joins--)
-      out.push(replaced(voters, gone.slice(0, swaps), fresh, fresh.slice(swaps, swaps + joins)))
+  const freeSeats = isDoubtful ? 0 : Math.max(0, view.mostVoters - voters.length)
+  const plans: CorePlace[][] = []
+  for (let replacements = Math.min(lost.length, joining.length); replacements >= 0; replacements--) {
+    // No machine is added while a lost voter remains that it could replace.
+    const maxJoins = replacements === lost.length ? Math.min(freeSeats, joining.length - replacements) : 0
+    for (let joins = maxJoins; joins >= 0; joins--)
+      plans.push(
+        withReplacements(
+          voters,
+          lost.slice(0, replacements),
+          joining,
+          joining.slice(replacements, replacements + joins),
+        ),
+      )
   }
-  return out
+  return plans
 }
 
-/** The set without the voter that is gone for longest, where that makes the quorum smaller. */
-function smaller(view: VoterView): CorePlace[][] {
+/** The set without the longest silent lost voter, where that makes the quorum smaller; else no plan. */
+function shrinkingPlans(view: VoterView): CorePlace[][] {
   const voters = view.set.cores
-  if (voters.length % 2 !== 0 || voters.length <= FEWEST_VOTERS) return []
-  const gone = goneFor(view, VOTER_GONE_MS)
-  if (gone.length === 0) return []
-  function stays(voter: CorePlace): boolean {
-    return voter !== gone[0]
+  if (voters.length % 2 !== 0 || voters.length <= MIN_VOTERS) return []
+  const lost = votersLostFor(view, VOTER_GONE_MS)
+  if (lost.length === 0) return []
+  function isKept(voter: CorePlace): boolean {
+    return voter !== lost[0]
   }
-  return [voters.filter(stays)]
+  return [voters.filter(isKept)]
 }
--- a/packages/agent/src/voter-rotation.ts
+++ b/packages/agent/src/voter-rotation.ts
@@ -2,21 +2,24 @@
 import type { Quorum } from '@claynotch/register'
 import { spread } from './spread.js'
 
-/** A voter as a renewal may ask it. heard: local time (ms) of its last answer, at the earliest when it became known here. */
+/**
+ * A voter that a renewal may ask. heard: local time (ms) of its last answer, or of the opening of its link if later.
+ */
 export type VoterCandidate = {
   id: string
   isUp: boolean
   heard: number
-  /** Asked in every round: it tells of members, or pushes to this node. */
+  /** Asked in every round, because it reports members or pushes updates to this node. */
   isPinned: boolean
 }
 
 /**
- * Which voters a renewal asks first.
+ * Chooses the voters that a renewal asks first.
  *
- * A lease needs a quorum, not everyone. So the voters that nothing else ties to this node are asked in every other round, in
- * two halves; each hears of the node at least every second round, and its lease there never lapses meanwhile. Where those that
- * are due can't be a quorum by what was heard of them, more are asked; a round that still misses its quorum asks the rest.
+ * A lease needs only a quorum. So the voters that aren't pinned are split into two halves that are asked in alternate
+ * rounds; each voter hears from the node at least every second round, so that the node's lease there doesn't expire
+ * meanwhile. If the voters that are due and were heard recently don't form a quorum, more are asked; a round that still
+ * misses its quorum asks the rest.
  */
 export type VoterRotation = { choose: (candidates: VoterCandidate[], quorum: Quorum) => Set<string> }
 
@@ -33,20 +36,20 @@
     round++
     const chosen = new Set<string>()
     const recent = new Set<string>()
-    function take(candidate: VoterCandidate): void {
+    function select(candidate: VoterCandidate): void {
       chosen.add(candidate.id)
       if (isRecent(candidate)) recent.add(candidate.id)
     }
-    const resting: VoterCandidate[] = []
+    const notDue: VoterCandidate[] = []
     let position = 0
     for (const candidate of [...candidates].sort(bySpread)) {
       const isDue = candidate.isPinned || position++ % 2 === round % 2
-      if (isDue) take(candidate)
-      else resting.push(candidate)
+      if (isDue) select(candidate)
+      else notDue.push(candidate)
     }
-    for (const candidate of resting) {
+    for (const candidate of notDue) {
       if (quorum.met(recent)) break
-      take(candidate)
+      select(candidate)
     }
     return chosen
   }
