--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -84,7 +84,7 @@
    * last gap of a whole lease. It holds no duties before that.
    */
   let isCurrent = false
-  let isLeaseGivenUp = false
+  let isLeaseReleased = false
   let { seeds, platform, operators } = settings
 
   // --- core links and registers ---
@@ -314,7 +314,7 @@
    * after it has released its lease.
    */
   function dutyLeaseExpiresAt(): number {
-    return isCurrent && !isLeaseGivenUp ? lease.expiresAt() : 0
+    return isCurrent && !isLeaseReleased ? lease.expiresAt() : 0
   }
   function currentPlatform(): Address | undefined {
     return platform
@@ -453,8 +453,8 @@
   async function stopAgent(): Promise<void> {
     await awaitProxy()
     // Releases the lease only if no proxy can still be working under it; otherwise the lease expires by itself.
-    isLeaseGivenUp = !proxy.isLinked() && world.now() > proxy.fedUntil()
-    if (isLeaseGivenUp) for (const { link } of links.all().values()) link.tell({ t: 'leave', node, life })
+    isLeaseReleased = !proxy.isLinked() && world.now() > proxy.fedUntil()
+    if (isLeaseReleased) for (const { link } of links.all().values()) link.tell({ t: 'leave', node, life })
     await pause(world, 20)
     stop.fire()
     proxy.close()
--- a/packages/agent/src/core-links.ts
+++ b/packages/agent/src/core-links.ts
@@ -29,9 +29,11 @@
   address: Address
   /** Local time (ms) at which this node opened the link, after it learnt that the core votes. */
   since: number
+  /** The state that the core has reported with its answers to renewals. */
   view: CoreView
 }
 
+/** What this node needs to know to find the cores. */
 export type CoreLinksSettings = {
   node: string
   /** The core set, where a core runs in this process; it is consulted before the seeds. */
@@ -39,12 +41,15 @@
   seeds: () => Address[]
 }
 
+/** Callbacks for changes of the core set and for messages from the cores. */
 export type CoreLinksEvents = {
   /** A later set was adopted; also called for the first one. */
   adopted: (next: CoreSet, isFirst: boolean) => void
+  /** The link to a core was closed, because the core left the set or its address changed. */
   removed: (core: string) => void
   /** The link was established, handshake included. */
   up: (core: string) => void
+  /** A core pushed a register. */
   push: (core: string, push: RegisterPush) => void
 }
 
@@ -55,8 +60,10 @@
  */
 export type CoreLinks = {
   coreSet: () => CoreSet
+  /** Local time (ms) at which the current set was adopted; 0 while there is none. */
   adoptedAt: () => number
   quorum: () => Quorum
+  /** The linked voters, as the proposer asks them. */
   voters: () => Voter[]
   all: () => ReadonlyMap<string, CoreLink>
   get: (core: string) => CoreLink | undefined
--- a/packages/agent/src/lease-renewal.ts
+++ b/packages/agent/src/lease-renewal.ts
@@ -22,6 +22,7 @@
 /** Undefined: the core didn't answer, or its answer was invalid or no longer relevant. */
 type RenewalAnswer = LeaseRenewalAnswer | undefined
 
+/** Callbacks of the lease renewal. */
 export type LeaseRenewalEvents = {
   /** Called before a round sends requests to the cores. */
   beforeRound: () => void
--- a/packages/agent/src/register-cache.ts
+++ b/packages/agent/src/register-cache.ts
@@ -29,6 +29,7 @@
 
 /** What the register cache needs from the agent. */
 export type RegisterCacheDependencies = {
+  /** The epoch of the current core set. */
   epoch: () => number
   /** The link to one core; undefined if the core is not in the set. */
   link: (id: string) => PersistentLink | undefined
@@ -46,6 +47,7 @@
   value: (key: string) => RegisterValue | undefined
   /** The known value with its ballot. */
   held: (key: string) => HeldValue | undefined
+  /** The ballot of each known register, by key. */
   ballots: () => [string, Ballot][]
   /**
    * Stores a chosen value if it isn't older than the known one. from: the start of a round that showed this very
@@ -53,7 +55,7 @@
    */
   learn: (key: string, value: RegisterValue, ballot: Ballot, from?: number) => void
   /** Applies the register summaries, by core, of a majority that answered a renewal begun at from. */
-  takeSummaries: (tables: Map<string, Map<string, RegisterSummary>>, enough: Quorum, from: number) => void
+  takeSummaries: (tables: Map<string, Map<string, RegisterSummary>>, quorum: Quorum, from: number) => void
   /** Applies a push of one core; fetches the value if the push builds on a value that isn't known here. */
   takePush: (id: string, push: RegisterPush) => Promise<void>
   /** Whether a majority has shown updates that aren't known here yet. */
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -13,16 +13,6 @@
 import type { Membership } from './membership.js'
 import { spread } from './spread.js'
 
-/**
- * Subscribes at one core, whose pushes this node receives: a voter of its own area if there is one, else any that
- * answers.
- *
- * Only the latency and the cost of updates depend on the subscription: whatever the core doesn't push is found by the
- * next lease renewal at a majority. The node unsubscribes when the link is lost, when the core is silent, when it
- * keeps lagging behind a majority, or when the core leaves the core set. Cores of versions that predate subscriptions
- * push to every node and need none.
- */
-
 /**
  * A core as a source of pushes. heard: local time (ms) of its last answer; lines: the register summaries it reported.
  */
@@ -44,6 +34,15 @@
   return sources
 }
 
+/**
+ * Subscribes at one core, whose pushes this node receives: a voter of its own area if there is one, else any that
+ * answers.
+ *
+ * Only the latency and the cost of updates depend on the subscription: whatever the core doesn't push is found by the
+ * next lease renewal at a majority. The node unsubscribes when the link is lost, when the core is silent, when it
+ * keeps lagging behind a majority, or when the core leaves the core set. Cores of versions that predate subscriptions
+ * push to every node and need none.
+ */
 export type Subscription = {
   /** Called after a renewal: checks the current subscription and switches to another core where needed. */
   choose: (sources: SubscriptionSource[], epoch: number) => Promise<void>
