--- a/packages/agent/src/adapter.ts
+++ b/packages/agent/src/adapter.ts
@@ -9,7 +9,7 @@
   type World,
 } from '@claynotch/base'
 import { promote, takeProbe, type PromotionEdge } from '@claynotch/host'
-import { httpInstance, takeAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
+import { httpInstanceAdapter, takeAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
 import type { Body, Change, Verdict } from '@claynotch/operator'
 import type { CoreSet } from '@claynotch/register'
 
@@ -73,4 +73,8 @@
 }
 
 /** The adapters for this project's own HTTP protocols. */
-export const ownAdapters: AgentAdapters = { instance: httpInstance, promotion: promote, control: serveHttpControl }
+export const ownAdapters: AgentAdapters = {
+  instance: httpInstanceAdapter,
+  promotion: promote,
+  control: serveHttpControl,
+}
--- a/packages/agent/src/agent-settings.ts
+++ b/packages/agent/src/agent-settings.ts
@@ -1,6 +1,6 @@
 import type { Address, Metrics } from '@claynotch/base'
 import type { Credential } from '@claynotch/operator'
-import type { CorePlace, CoreSet, QuotaService, RegisterValue } from '@claynotch/register'
+import type { CoreMember, CoreSet, QuotaService, RegisterValue } from '@claynotch/register'
 import type { QuotaTolerance } from './quota-limits.js'
 
 /** The settings of one agent process. */
@@ -22,7 +22,7 @@
   coreSet?: () => CoreSet
   /** The core that runs in this process; it is notified of each later set and forwards quota questions. */
   core?: {
-    place: () => CorePlace
+    place: () => CoreMember
     adopt: (next: CoreSet) => Promise<void>
     serveQuotas: (service: QuotaService) => void
   }
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -14,7 +14,7 @@
   type PersistentLink,
   type World,
 } from '@claynotch/base'
-import { holderOf } from '@claynotch/failover'
+import { dutyHolderOf } from '@claynotch/failover'
 import {
   CoreSet,
   CORESET_KEY,
@@ -22,7 +22,7 @@
   hasCore,
   quorumOf,
   votersOf,
-  type CorePlace,
+  type CoreMember,
   type Proposer,
   type Committed,
   type CoreState,
@@ -43,7 +43,7 @@
   /** A voter's link and the local time (ms) of its last answer, or of the opening of its link if that is later. */
   core: (id: string) => { held: PersistentLink; heard: number } | undefined
   /** Core machines that don't vote and may become voters. */
-  spares: () => CorePlace[]
+  spares: () => CoreMember[]
   mostVoters: number
 }
 
@@ -71,7 +71,7 @@
   let firstSeenAt = new Map<string, number>()
 
   /** The reported states of these cores, without those that are in a set of another epoch. */
-  async function askStates(set: CoreSet, places: CorePlace[]): Promise<Map<string, CoreState>> {
+  async function askStates(set: CoreSet, places: CoreMember[]): Promise<Map<string, CoreState>> {
     const states = await askCores(places, view.core)
     for (const [id, state] of states) if (state.set.epoch !== set.epoch) states.delete(id)
     return states
@@ -94,11 +94,11 @@
    * Machines that may become voters. Empty while any non-voting machine was first seen within JOIN_BATCH_WINDOW_MS, so
    * that machines that arrive together join together.
    */
-  function machinesToJoin(): CorePlace[] {
+  function machinesToJoin(): CoreMember[] {
     const now = world.now()
     const previous = firstSeenAt
     firstSeenAt = new Map()
-    const joinable: CorePlace[] = []
+    const joinable: CoreMember[] = []
     for (const place of view.spares()) {
       const token = `${place.id} ${place.token}`
       firstSeenAt.set(token, previous.get(token) ?? now)
@@ -109,7 +109,7 @@
       return now - seenAt < JOIN_BATCH_WINDOW_MS
     }
     if ([...firstSeenAt.values()].some(isRecent)) return []
-    function leastRecentlyAbandoned(a: CorePlace, b: CorePlace): number {
+    function leastRecentlyAbandoned(a: CoreMember, b: CoreMember): number {
       return (abandonedAt.get(a.id) ?? -1) - (abandonedAt.get(b.id) ?? -1) || (a.id < b.id ? -1 : 1)
     }
     return joinable.sort(leastRecentlyAbandoned)
@@ -194,18 +194,18 @@
    * Replaces the joint set by its next set once all newcomers vote, or by the previous set if a newcomer doesn't begin
    * to vote in time.
    */
-  async function finishChange(set: CoreSet, next: CorePlace[], adoptedAt: number): Promise<void> {
-    function isNewcomer(place: CorePlace): boolean {
+  async function finishChange(set: CoreSet, next: CoreMember[], adoptedAt: number): Promise<void> {
+    function isNewcomer(place: CoreMember): boolean {
       return !hasCore(set.cores, place.id)
     }
     const newcomers = next.filter(isNewcomer)
     const states = await askStates(set, newcomers)
-    function isMissing(place: CorePlace): boolean {
+    function isMissing(place: CoreMember): boolean {
       return states.get(place.id)?.serving !== true
     }
     const missing = newcomers.filter(isMissing)
     const waitedMs = world.now() - adoptedAt
-    function hasTimedOut(place: CorePlace): boolean {
+    function hasTimedOut(place: CoreMember): boolean {
       return waitedMs > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
     }
     const timedOut = missing.filter(hasTimedOut)
@@ -231,7 +231,7 @@
     watchMargin(set, await askCores(votersOf(set), view.core))
   }
   async function runDuty(): Promise<void> {
-    if (world.now() >= view.leaseExpiresAt() || holderOf(CORESET_KEY, view.live()) !== view.node) return
+    if (world.now() >= view.leaseExpiresAt() || dutyHolderOf(CORESET_KEY, view.live()) !== view.node) return
     const { set, since } = view.coreSet()
     if (set.cores.length === 0) return
     if (set.next) await finishChange(set, set.next, since)
@@ -244,7 +244,7 @@
 }
 
 /** The ids of the first list that are missing from the second, comma-separated. */
-function idsMissingFrom(places: CorePlace[], others: CorePlace[]): string {
+function idsMissingFrom(places: CoreMember[], others: CoreMember[]): string {
   const ids: string[] = []
   for (const place of places) if (!hasCore(others, place.id)) ids.push(place.id)
   return ids.join()
--- a/packages/agent/src/core-status.ts
+++ b/packages/agent/src/core-status.ts
@@ -5,7 +5,7 @@
   lossesBorne,
   quorumOf,
   votersOf,
-  type CorePlace,
+  type CoreMember,
   type CoreSet,
   type CoreState,
 } from '@claynotch/register'
@@ -18,12 +18,12 @@
   /** A voter's link and the local time (ms) at which the voter was last heard. */
   core: (id: string) => { held: PersistentLink; heard: number } | undefined
   /** Core machines that don't vote. */
-  spares: () => CorePlace[]
+  spares: () => CoreMember[]
 }
 
 /** Asks these cores for their states; the result lacks the cores that didn't answer. */
 export async function askCores(
-  places: CorePlace[],
+  places: CoreMember[],
   core: (id: string) => { held: PersistentLink } | undefined,
 ): Promise<Map<string, CoreState>> {
   const states = new Map<string, CoreState>()
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership.ts
@@ -7,7 +7,7 @@
   type World,
 } from '@claynotch/base'
 import type { Peer } from '@claynotch/peer'
-import { gatherQuorum, MembersAnswer, type CorePlace, type Member, type MemberEntry } from '@claynotch/register'
+import { gatherQuorum, MembersAnswer, type CoreMember, type Member, type MemberEntry } from '@claynotch/register'
 import type { CoreLinks } from './core-links.js'
 import { makeMemberSources, type MemberSourceCandidate } from './member-sources.js'
 
@@ -24,7 +24,7 @@
   proxyCount: () => number
   peers: () => Peer[]
   /** Core machines that don't vote, with the token under which they may become voters. */
-  spareCores: () => CorePlace[]
+  spareCores: () => CoreMember[]
   /** Whether the core is one of those that include the members in their answers to this node's renewals. */
   isMemberSource: (core: string) => boolean
   /** Chooses the cores that report members. */
@@ -126,8 +126,8 @@
     for (const member of members) memberPeers.push({ node: member.node, addr: member.addr, proxy: member.proxy })
     return memberPeers
   }
-  function spareCores(): CorePlace[] {
-    const spares: CorePlace[] = []
+  function spareCores(): CoreMember[] {
+    const spares: CoreMember[] = []
     for (const { core } of members) if (core?.token !== undefined && !links.get(core.id)) spares.push(core)
     return spares
   }
--- a/packages/agent/src/voter-plan.ts
+++ b/packages/agent/src/voter-plan.ts
@@ -1,5 +1,5 @@
 import { CORE_GONE_MS, VOTER_DOUBT_MS, VOTER_GONE_MS, VOTER_SILENCE_MS } from '@claynotch/base'
-import { quorumOf, type CorePlace, type CoreSet } from '@claynotch/register'
+import { quorumOf, type CoreMember, type CoreSet } from '@claynotch/register'
 
 /**
  * What the holder of the duty for the core set observes; the next set of voters is a pure function of it. Durations
@@ -9,7 +9,7 @@
   /** The current set, which isn't a joint one. */
   set: CoreSet
   /** Core machines that don't vote and may become voters, in order of preference. */
-  fresh: CorePlace[]
+  fresh: CoreMember[]
   /** The time since a voter's last answer. */
   silence: (id: string) => number
   /** The voters that answer under this set and vote. */
@@ -23,16 +23,16 @@
 /** A set is never shrunk below this many voters, which tolerate the loss of one. */
 const MIN_VOTERS = 3
 
-function byId(a: CorePlace, b: CorePlace): number {
+function byId(a: CoreMember, b: CoreMember): number {
   return a.id < b.id ? -1 : 1
 }
 
 /** Voters that have been silent for longer than this and that no other voter hears, the longest silent first. */
-function votersLostFor(view: VoterView, ms: number): CorePlace[] {
-  function isLost(voter: CorePlace): boolean {
+function votersLostFor(view: VoterView, ms: number): CoreMember[] {
+  function isLost(voter: CoreMember): boolean {
     return view.silence(voter.id) > ms && !view.well.has(voter.id) && !view.isHeardByOthers(voter.id)
   }
-  function bySilence(a: CorePlace, b: CorePlace): number {
+  function bySilence(a: CoreMember, b: CoreMember): number {
     return view.silence(b.id) - view.silence(a.id) || byId(a, b)
   }
   return view.set.cores.filter(isLost).sort(bySilence)
@@ -40,12 +40,12 @@
 
 /** The voters, with the lost ones replaced by the joining machines in order, and with others added. */
 function withReplacements(
-  voters: CorePlace[],
-  lost: CorePlace[],
-  joining: CorePlace[],
-  added: CorePlace[],
-): CorePlace[] {
-  const next: CorePlace[] = []
+  voters: CoreMember[],
+  lost: CoreMember[],
+  joining: CoreMember[],
+  added: CoreMember[],
+): CoreMember[] {
+  const next: CoreMember[] = []
   for (const voter of voters) {
     const index = lost.indexOf(voter)
     next.push(index < 0 ? voter : joining[index])
@@ -63,32 +63,32 @@
  * In every plan the voters that vote now form a quorum of the joint set by themselves: no newcomer is needed to finish
  * the change.
  */
-export function planVoters(view: VoterView): CorePlace[] | undefined {
+export function planVoters(view: VoterView): CoreMember[] | undefined {
   const { set, fresh: joining, well: serving } = view
   const voters = set.cores
   const isFull = voters.length >= view.mostVoters
   const lost = votersLostFor(view, isFull ? CORE_GONE_MS : VOTER_SILENCE_MS)
-  function isInDoubt(voter: CorePlace): boolean {
+  function isInDoubt(voter: CoreMember): boolean {
     return view.silence(voter.id) > VOTER_DOUBT_MS && !lost.includes(voter)
   }
   const plans = replacementsAndJoins(view, lost, voters.some(isInDoubt))
   if (joining.length === 0) plans.push(...shrinkingPlans(view))
-  function isFeasible(next: CorePlace[]): boolean {
+  function isFeasible(next: CoreMember[]): boolean {
     if (next.length === voters.length && next.every(isVoter)) return false
     return quorumOf({ epoch: set.epoch, cores: voters, next }).met(serving)
   }
-  function isVoter(place: CorePlace): boolean {
+  function isVoter(place: CoreMember): boolean {
     return voters.includes(place)
   }
   return plans.find(isFeasible)
 }
 
 /** All combinations of replacements and joins, the largest change first. */
-function replacementsAndJoins(view: VoterView, lost: CorePlace[], isDoubtful: boolean): CorePlace[][] {
+function replacementsAndJoins(view: VoterView, lost: CoreMember[], isDoubtful: boolean): CoreMember[][] {
   const { fresh: joining } = view
   const voters = view.set.cores
   const freeSeats = isDoubtful ? 0 : Math.max(0, view.mostVoters - voters.length)
-  const plans: CorePlace[][] = []
+  const plans: CoreMember[][] = []
   for (let replacements = Math.min(lost.length, joining.length); replacements >= 0; replacements--) {
     // No machine is added while a lost voter remains that it could replace.
     const maxJoins = replacements === lost.length ? Math.min(freeSeats, joining.length - replacements) : 0
@@ -106,12 +106,12 @@
 }
 
 /** The set without the longest silent lost voter, where that makes the quorum smaller; else no plan. */
-function shrinkingPlans(view: VoterView): CorePlace[][] {
+function shrinkingPlans(view: VoterView): CoreMember[][] {
   const voters = view.set.cores
   if (voters.length % 2 !== 0 || voters.length <= MIN_VOTERS) return []
   const lost = votersLostFor(view, VOTER_GONE_MS)
   if (lost.length === 0) return []
-  function isKept(voter: CorePlace): boolean {
+  function isKept(voter: CoreMember): boolean {
     return voter !== lost[0]
   }
   return [voters.filter(isKept)]
--- a/packages/claynotch/src/machine.ts
+++ b/packages/claynotch/src/machine.ts
@@ -7,7 +7,7 @@
   type AgentSettings,
   type QuotaTolerance,
 } from '@claynotch/agent'
-import { foundersOf, startCore, type Core, type CoreSet } from '@claynotch/register'
+import { foundersFromSeeds, startCore, type Core, type CoreSet } from '@claynotch/register'
 import { BUILD } from './build.js'
 
 // A core machine whose process is told neither its set nor its name in it. link: where it takes links; every machine of the
@@ -43,7 +43,7 @@
     return seeds
   }
   const { host, port } = parseAddr(set.link)
-  const founders = set.first ? foundersOf(seeds, port) : undefined
+  const founders = set.first ? foundersFromSeeds(seeds, port) : undefined
   const core = await startCore(world, {
     id: host,
     addr: set.link,
@@ -90,7 +90,7 @@
   edges: AgentAdapters = ownAdapters,
 ): Promise<Agent> {
   const { corePort, first, ...rest } = set
-  const founders = first ? foundersOf(set.seeds, corePort) : []
+  const founders = first ? foundersFromSeeds(set.seeds, corePort) : []
   function coreSet(): CoreSet {
     return { epoch: 0, cores: founders }
   }
--- a/packages/fleet/src/test/corestatus.test.ts
+++ b/packages/fleet/src/test/corestatus.test.ts
@@ -4,7 +4,7 @@
 import { makeMarginWatch } from '@claynotch/agent'
 import { requestOnce, pause, type World } from '@claynotch/base'
 import { checkCores, showCores, type CoreStatus } from '@claynotch/operator'
-import { lossesBorne, quorumOf, votersOf, type CorePlace, type CoreSet, type CoreState } from '@claynotch/register'
+import { lossesBorne, quorumOf, votersOf, type CoreMember, type CoreSet, type CoreState } from '@claynotch/register'
 import { makeSim, type Machine, type Proc } from '../sim.js'
 
 t.setTimeout(600000)
@@ -12,8 +12,8 @@
 // What operators are told of the core set, and how many more losses it bears.
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f', 'g']
-function placesOf(ids: string[]): CorePlace[] {
-  const out: CorePlace[] = []
+function placesOf(ids: string[]): CoreMember[] {
+  const out: CoreMember[] = []
   for (const id of ids) out.push({ id, addr: `${id}:1` })
   return out
 }
--- a/packages/fleet/src/test/deltas.test.ts
+++ b/packages/fleet/src/test/deltas.test.ts
@@ -21,14 +21,14 @@
   GetAnswer,
   makeDelta,
   makeProposer,
-  makeStore,
+  makeRegisterStore,
   RegisterPush,
   quorumOf,
   startCore,
   valueOf,
   type Ballot,
   type Core,
-  type CorePlace,
+  type CoreMember,
   type HeldValue,
   type Proposer,
   type Quorum,
@@ -156,7 +156,7 @@
   const machine = sim.machine('m', '10.0.0.1')
   let done = false
   async function run(world: World): Promise<void> {
-    const store = makeStore(world, '/d')
+    const store = makeRegisterStore(world, '/d')
     await store.open()
     await store.writeSet('founded', { epoch: 0, cores: [{ id: 'a', addr: '10.0.0.1:7000' }] }, undefined)
     await store.prepare('k', [1, 'p'])
@@ -169,7 +169,7 @@
     }
     const grown = (machine.files.get('/d')!.length - size) / 49
     c.ok(grown < bytesOf(wide(1, 0)) / 5, `${Math.round(grown)} bytes a change, the value has ${bytesOf(wide(1, 0))}`)
-    const again = makeStore(world, '/d')
+    const again = makeRegisterStore(world, '/d')
     c.same(await again.open(), [], 'the file is read without a finding')
     c.same(again.entries().get('k'), { promise: [50, 'p'], ballot: [50, 'p'], value: wide(50, 49) })
 
@@ -182,7 +182,7 @@
     c.same(setOf('/d')?.cores, ['a', 'format-2'])
     c.same(again.cores(), ['a'], 'the set itself is as it was')
     await makeDataFile(world, '/f').reset([{ k: 'set', phase: 'founded', cores: ['a'] }])
-    const older = makeStore(world, '/f')
+    const older = makeRegisterStore(world, '/f')
     c.same(await older.open(), [])
     c.equal(older.phase(), 'founded')
     c.same(setOf('/f')?.cores, ['a', 'format-2'])
@@ -209,7 +209,7 @@
     const cut: unknown[] = []
     for (const r of records) if (!(r.k === 'delta' && r.ballot?.[0] === 25)) cut.push(r)
     await makeDataFile(world, '/e').reset(cut)
-    const damaged = makeStore(world, '/e')
+    const damaged = makeRegisterStore(world, '/e')
     const findings = await damaged.open()
     c.match(findings[0]?.what, /lost its memory/, 'a delta without its base is loss')
     c.equal(damaged.entries().size, 0, 'nothing of it counts')
@@ -226,10 +226,10 @@
 // --- rounds at cores ---
 
 type Box = { id: string; machine: Machine; proc: Proc; core: Core | undefined }
-type Cores = { sim: Sim; boxes: Box[]; places: CorePlace[]; start: (k: number) => void; serving: () => boolean }
+type Cores = { sim: Sim; boxes: Box[]; places: CoreMember[]; start: (k: number) => void; serving: () => boolean }
 function makeCores(seed: number): Cores {
   const sim = makeSim(seed)
-  const places: CorePlace[] = []
+  const places: CoreMember[] = []
   const boxes: Box[] = []
   for (let k = 1; k <= 5; k++) places.push({ id: `c${k}`, addr: `10.0.1.${k}:7000` })
   for (const p of places)
@@ -262,7 +262,7 @@
 }
 type Asked = { id: string; msg: { t: string; base?: unknown; value?: unknown } }
 // A proposer that knows what its own rounds brought, as an agent does.
-function knowing(world: World, name: string, places: CorePlace[], asked: Asked[] = []): Proposer {
+function knowing(world: World, name: string, places: CoreMember[], asked: Asked[] = []): Proposer {
   const known = new Map<string, HeldValue>()
   const links: Voter[] = []
   for (const p of places) {
--- a/packages/fleet/src/test/registers.test.ts
+++ b/packages/fleet/src/test/registers.test.ts
@@ -4,7 +4,7 @@
 import {
   quorumOf,
   type Ballot,
-  type CorePlace,
+  type CoreMember,
   type RegisterSummary,
   type RegisterPush,
   type Committed,
@@ -103,7 +103,7 @@
   }
   c.ok(await sim.until(isOver, 1000))
 }
-function placeOf(id: string): CorePlace {
+function placeOf(id: string): CoreMember {
   return { id, addr: `${id}:1` }
 }
 function lineOf(isPending: boolean): RegisterSummary {
--- a/packages/fleet/src/test/voterplan.test.ts
+++ b/packages/fleet/src/test/voterplan.test.ts
@@ -1,12 +1,12 @@
 import t, { type Test } from 'tap'
 import { planVoters, type VoterView } from '@claynotch/agent/dist/voter-plan.js'
 import { MAX_VOTERS } from '@claynotch/base'
-import type { CorePlace } from '@claynotch/register'
+import type { CoreMember } from '@claynotch/register'
 
 // Which set of voters follows, by what the holder of the duty sees: docs/design/coreset.md.
 
-function places(ids: string): CorePlace[] {
-  const out: CorePlace[] = []
+function places(ids: string): CoreMember[] {
+  const out: CoreMember[] = []
   for (const id of ids) out.push({ id, addr: `${id}:1`, token: id })
   return out
 }
