--- a/packages/agent/src/adapter.ts
+++ b/packages/agent/src/adapter.ts
@@ -9,7 +9,7 @@
   type World,
 } from '@claynotch/base'
 import { promote, takeProbe, type PromotionEdge } from '@claynotch/host'
-import { httpInstanceAdapter, takeAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
+import { httpInstanceAdapter, handleAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
 import type { Body, Change, Verdict } from '@claynotch/operator'
 import type { CoreSet } from '@claynotch/register'
 
@@ -17,17 +17,17 @@
 export type ControlService = {
   metrics: Metrics
   /** Records an instance's announcement; false: rejected, because too many instances are known. */
-  heardInstance: (announcement: Announcement) => boolean
+  recordAnnouncement: (announcement: Announcement) => boolean
   /**
    * Records the sign-off of an instance that sends only its name; false: rejected, because too many instances are
    * known.
    */
-  instanceLeft: (name: string) => boolean
+  recordSignOff: (name: string) => boolean
   /**
    * Waits, up to CHANGE_ANSWER_TIMEOUT_MS, until a majority of the cores has the announcement. Resolves to the reason
    * why it can't be acknowledged, or to undefined if it can.
    */
-  reportFailure: (name: string) => Promise<string | undefined>
+  awaitAcknowledgement: (name: string) => Promise<string | undefined>
   /**
    * Decides one numbered change at the cores, or resolves to an unclear outcome, within CHANGE_ANSWER_TIMEOUT_MS.
    * stream: a digest of the whole change, so that one number stands for only one change.
@@ -58,22 +58,22 @@
 }
 
 function serveHttpControl(world: World, addr: Address, service: ControlService): Promise<HttpListener> {
-  async function handleAnnouncement(announcement: Announcement): Promise<string | undefined> {
-    return service.heardInstance(announcement)
-      ? await service.reportFailure(announcement.name)
+  async function acceptAnnouncement(announcement: Announcement): Promise<string | undefined> {
+    return service.recordAnnouncement(announcement)
+      ? await service.awaitAcknowledgement(announcement.name)
       : 'too many instances are known'
   }
   async function handle(request: HttpRequest): Promise<HttpResponse | undefined> {
     const probeOrSeedsResponse = takeProbe(request, service) ?? answerSeeds(request, service.coreSet())
     if (probeOrSeedsResponse) return probeOrSeedsResponse
-    if (request.path === '/announcement') return await takeAnnouncement(request, handleAnnouncement)
+    if (request.path === '/announcement') return await handleAnnouncement(request, acceptAnnouncement)
     return await service.operator.take(request)
   }
   return serveHttp(world, addr, handle, { raw: service.operator.raw, limit: OPERATOR_BODY_LIMIT_BYTES })
 }
 
 /** The adapters for this project's own HTTP protocols. */
-export const ownAdapters: AgentAdapters = {
+export const defaultAdapters: AgentAdapters = {
   instance: httpInstanceAdapter,
   promotion: promote,
   control: serveHttpControl,
--- a/packages/agent/src/agent-settings.ts
+++ b/packages/agent/src/agent-settings.ts
@@ -35,7 +35,7 @@
   operators?: Credential[]
   build: string
   /** The time (ms) without a successful answer after which a leader is suspected. Default: SUSPICION_TIMEOUT_MS. */
-  suspect?: number
+  suspicionTimeoutMs?: number
 }
 
 /** The settings that can change while the agent runs. */
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -36,7 +36,7 @@
   type RegisterValue,
 } from '@claynotch/register'
 import { makeAcknowledgements } from './acknowledgements.js'
-import { ownAdapters, type AgentAdapters } from './adapter.js'
+import { defaultAdapters, type AgentAdapters } from './adapter.js'
 import type { Agent, AgentReload, AgentSettings } from './agent-settings.js'
 import { startConnectionShare } from './connection-share.js'
 import { makeControlService } from './control-service.js'
@@ -69,7 +69,7 @@
 export async function startAgent(
   world: World,
   settings: AgentSettings,
-  adapters: AgentAdapters = ownAdapters,
+  adapters: AgentAdapters = defaultAdapters,
 ): Promise<Agent> {
   const { node, area } = settings
   /** Identifies this process incarnation of the agent. */
@@ -108,7 +108,7 @@
   }
   /** Renews at once while no lease is held, so that the first lease only waits for the links to the cores. */
   function coreLinkUp(core: string): void {
-    subscription.linkedAnew(core)
+    subscription.linkReestablished(core)
     if (lease.expiresAt() === 0) renewNow.notify()
   }
   function handlePush(core: string, push: RegisterPush): void {
@@ -116,7 +116,7 @@
     void applyPush(core, push)
   }
   async function applyPush(core: string, push: RegisterPush): Promise<void> {
-    await registers.takePush(core, push)
+    await registers.applyPush(core, push)
     acknowledgements.tell(core, push.key)
   }
 
@@ -149,8 +149,8 @@
       const next = readAs(CoreSet, value.body)
       if (next.ok) links.adopt(next.val)
     }
-    failover.ring()
-    routeMoves.ring()
+    failover.notify()
+    routeMoves.notify()
     proxy.changed()
     registerChanged.notify()
   }
@@ -204,7 +204,7 @@
     }
     membership.merge(cores)
     mergeInstances()
-    registers.takeSummaries(summaries, links.quorum(), beganAt)
+    registers.applySummaries(summaries, links.quorum(), beganAt)
     markCurrentIfCaughtUp()
     void subscription.choose(subscriptionSources(links, membership), currentEpoch())
   }
@@ -212,7 +212,7 @@
   function mergeInstances(): void {
     const views = []
     for (const { view } of links.all().values()) views.push(view)
-    if (instances.merge(views)) failover.ring()
+    if (instances.merge(views)) failover.notify()
   }
   /**
    * Runs renewal rounds until no report is pending. Announcements that arrive during a round are reported by another
@@ -238,8 +238,8 @@
   function markCurrentIfCaughtUp(): void {
     if (isCurrent || registers.isBehind()) return
     setCurrent(true)
-    failover.ring()
-    routeMoves.ring()
+    failover.notify()
+    routeMoves.notify()
   }
   async function catchUp(): Promise<void> {
     // Checks the state rather than the signal, so that a notification between two intervals isn't lost.
@@ -298,10 +298,10 @@
   }
   function instanceFailing(): void {
     peers.ring()
-    failover.ring()
+    failover.notify()
   }
   function summaryHeard(summary: Summary): void {
-    if (summarySource.isNewFailure(summary)) failover.ring()
+    if (summarySource.isNewFailure(summary)) failover.notify()
   }
   function feedIfDue(): void {
     proxy.feedIfDue(LEASE_RENEWAL_INTERVAL_MS / 2)
@@ -321,7 +321,7 @@
   }
   const dutyView = {
     node,
-    suspect: settings.suspect ?? SUSPICION_TIMEOUT_MS,
+    suspicionTimeoutMs: settings.suspicionTimeoutMs ?? SUSPICION_TIMEOUT_MS,
     instance: adapters.instance,
     promotion: adapters.promotion,
     platform: currentPlatform,
@@ -332,14 +332,14 @@
     register: registers.value,
     learn: registers.learn,
     instancesOf: instances.list,
-    reports: summarySource.observations,
+    observations: summarySource.observations,
     askMembers: membership.read,
     body,
     metrics,
   }
   // Only nodes that serve operators are in dutyNodes(); on any other node, the task for each group would poll in vain.
-  const failover = mayHoldDuties ? startFailover(world, dutyView, stop) : { ring: noop }
-  const routeMoves = mayHoldDuties ? startRouteMoves(world, dutyView, stop) : { ring: noop }
+  const failover = mayHoldDuties ? startFailover(world, dutyView, stop) : { notify: noop }
+  const routeMoves = mayHoldDuties ? startRouteMoves(world, dutyView, stop) : { notify: noop }
   function coreLinkOf(core: string): { held: PersistentLink; heard: number } | undefined {
     const link = linkTo(core)
     return link && { held: link, heard: links.heardAt(core) ?? 0 }
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -138,9 +138,9 @@
     }
     const next = planVoters({
       set,
-      fresh: joinable,
+      joining: joinable,
       silence: silenceMs,
-      well: servingVoters,
+      serving: servingVoters,
       isHeardByOthers,
       mostVoters: view.mostVoters,
     })
--- a/packages/agent/src/core-status.ts
+++ b/packages/agent/src/core-status.ts
@@ -2,7 +2,7 @@
 import type { CoreLine, CoreStatus } from '@claynotch/operator'
 import {
   hasCore,
-  lossesBorne,
+  tolerableLosses,
   quorumOf,
   votersOf,
   type CoreMember,
@@ -83,7 +83,7 @@
     epoch: set.epoch,
     changing: set.next !== undefined,
     quorum: quorumOf(set).met(voting),
-    lossesBorne: Math.max(0, lossesBorne(set, voting)),
+    lossesBorne: Math.max(0, tolerableLosses(set, voting)),
     cores,
     spares: spares.sort(),
   }
@@ -97,13 +97,13 @@
   let isAtLimit = false
   function logMarginChange(set: CoreSet, states: Map<string, CoreState>): void {
     const voting = votingCores(set, states)
-    const tolerableLosses = lossesBorne(set, voting)
+    const losses = tolerableLosses(set, voting)
     // Without a quorum nothing is logged: the loss that the last warning announced has happened.
-    if (tolerableLosses < 0 || isAtLimit === (tolerableLosses === 0)) return
-    isAtLimit = tolerableLosses === 0
+    if (losses < 0 || isAtLimit === (losses === 0)) return
+    isAtLimit = losses === 0
     const fields = { node, epoch: set.epoch, voting: voting.size, of: votersOf(set).length }
     if (isAtLimit) world.log.warn('next-loss-leaves-no-quorum', fields)
-    else world.log.info('next-loss-borne', { ...fields, losses: tolerableLosses })
+    else world.log.info('next-loss-borne', { ...fields, losses })
   }
   return logMarginChange
 }
--- a/packages/agent/src/register-cache.ts
+++ b/packages/agent/src/register-cache.ts
@@ -55,9 +55,9 @@
    */
   learn: (key: string, value: RegisterValue, ballot: Ballot, from?: number) => void
   /** Applies the register summaries, by core, of a majority that answered a renewal begun at from. */
-  takeSummaries: (tables: Map<string, Map<string, RegisterSummary>>, quorum: Quorum, from: number) => void
+  applySummaries: (tables: Map<string, Map<string, RegisterSummary>>, quorum: Quorum, from: number) => void
   /** Applies a push of one core; fetches the value if the push builds on a value that isn't known here. */
-  takePush: (id: string, push: RegisterPush) => Promise<void>
+  applyPush: (id: string, push: RegisterPush) => Promise<void>
   /** Whether a majority has shown updates that aren't known here yet. */
   isBehind: () => boolean
   /** Fetches the missing updates, one register after the other. */
@@ -189,8 +189,8 @@
     held,
     ballots,
     learn,
-    takeSummaries: applySummaries,
-    takePush: applyPush,
+    applySummaries: applySummaries,
+    applyPush: applyPush,
     isBehind,
     catchUp,
   }
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -47,7 +47,7 @@
   /** Called after a renewal: checks the current subscription and switches to another core where needed. */
   choose: (sources: SubscriptionSource[], epoch: number) => Promise<void>
   /** The link to this core was re-established, so the core no longer has the subscription. */
-  linkedAnew: (id: string) => void
+  linkReestablished: (id: string) => void
   /** The id of the core at which this node is subscribed. */
   at: () => string | undefined
 }
@@ -148,5 +148,5 @@
   function subscribedTo(): string | undefined {
     return subscribedCore
   }
-  return { choose, linkedAnew, at: subscribedTo }
+  return { choose, linkReestablished: linkedAnew, at: subscribedTo }
 }
--- a/packages/agent/src/voter-plan.ts
+++ b/packages/agent/src/voter-plan.ts
@@ -9,11 +9,11 @@
   /** The current set, which isn't a joint one. */
   set: CoreSet
   /** Core machines that don't vote and may become voters, in order of preference. */
-  fresh: CoreMember[]
+  joining: CoreMember[]
   /** The time since a voter's last answer. */
   silence: (id: string) => number
   /** The voters that answer under this set and vote. */
-  well: Set<string>
+  serving: Set<string>
   /** Whether any voter that answers still has a link to this one. */
   isHeardByOthers: (id: string) => boolean
   /** The largest number of voters that a set may have. */
@@ -30,7 +30,7 @@
 /** Voters that have been silent for longer than this and that no other voter hears, the longest silent first. */
 function votersLostFor(view: VoterView, ms: number): CoreMember[] {
   function isLost(voter: CoreMember): boolean {
-    return view.silence(voter.id) > ms && !view.well.has(voter.id) && !view.isHeardByOthers(voter.id)
+    return view.silence(voter.id) > ms && !view.serving.has(voter.id) && !view.isHeardByOthers(voter.id)
   }
   function bySilence(a: CoreMember, b: CoreMember): number {
     return view.silence(b.id) - view.silence(a.id) || byId(a, b)
@@ -64,7 +64,7 @@
  * the change.
  */
 export function planVoters(view: VoterView): CoreMember[] | undefined {
-  const { set, fresh: joining, well: serving } = view
+  const { set, joining: joining, serving: serving } = view
   const voters = set.cores
   const isFull = voters.length >= view.mostVoters
   const lost = votersLostFor(view, isFull ? CORE_GONE_MS : VOTER_SILENCE_MS)
@@ -85,7 +85,7 @@
 
 /** All combinations of replacements and joins, the largest change first. */
 function replacementsAndJoins(view: VoterView, lost: CoreMember[], isDoubtful: boolean): CoreMember[][] {
-  const { fresh: joining } = view
+  const { joining: joining } = view
   const voters = view.set.cores
   const freeSeats = isDoubtful ? 0 : Math.max(0, view.mostVoters - voters.length)
   const plans: CoreMember[][] = []
--- a/packages/failover/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -225,5 +225,5 @@
     if (isAnyRouteStopped) world.later(FAILOVER_INTERVAL_MS / 8, signal.notify)
   }
   void loop(world, 'move', FAILOVER_INTERVAL_MS, stop, runAndReschedule, signal)
-  return { ring: signal.notify }
+  return { notify: signal.notify }
 }
--- a/packages/fleet/src/test/quota-holder-fleet.ts
+++ b/packages/fleet/src/test/quota-holder-fleet.ts
@@ -1,4 +1,4 @@
-import { ownAdapters, startAgent, type Agent } from '@claynotch/agent'
+import { defaultAdapters, startAgent, type Agent } from '@claynotch/agent'
 import {
   makeFlag,
   makeHello,
@@ -132,7 +132,7 @@
           core: { place: core.place, adopt: core.adopt, serveQuotas },
           build: 'sim',
         },
-        ownAdapters,
+        defaultAdapters,
       )
     }
     box.agent = undefined
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -187,12 +187,12 @@
                 continue;`,
         '',
       ],
-      ['agent/dist/register-cache.js', 'if (mine && compareBallots(mine.ballot, push.ballot) >= 0)', 'if (false)'],
+      ['agent/dist/register-cache.js', 'if (local && compareBallots(local.ballot, push.ballot) >= 0)', 'if (false)'],
       ['agent/dist/register-cache.js', 'if (old && value.turn < old.value.turn)\n            return;', ''],
       [
         'agent/dist/register-cache.js',
-        'const newer = !old || value.turn > old.value.turn;',
-        'const newer = !old || value.turn !== old.value.turn;',
+        'const isNewer = !old || value.turn > old.value.turn;',
+        'const isNewer = !old || value.turn !== old.value.turn;',
       ],
       ['agent/dist/proxy-link.js', '(to.sent.get(key) ?? 0) < value.turn', '(to.sent.get(key) ?? 0) !== value.turn'],
     ],
@@ -202,7 +202,13 @@
     rule: 'an acknowledged configuration goes unheeded after 3 s',
     scenario: 'news-cut-off',
     seeds: [1, 6],
-    edits: [['agent/dist/register-cache.js', 'if (k && compareBallots(h.ballot, k.ballot) <= 0) {', 'if (k) {']],
+    edits: [
+      [
+        'agent/dist/register-cache.js',
+        'if (register && compareBallots(highest.ballot, register.ballot) <= 0) {',
+        'if (register) {',
+      ],
+    ],
   },
   {
     name: 'leaving-used',
@@ -455,7 +461,7 @@
     rule: 'two core sets of one epoch',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['agent/dist/core-set-duty.js', 'return epoch === from.epoch ?', 'return epoch !== next.epoch + 9 ?']],
+    edits: [['agent/dist/core-set-duty.js', 'return epoch === expected.epoch ?', 'return epoch !== next.epoch + 9 ?']],
   },
   {
     name: 'removed-votes',
@@ -469,7 +475,9 @@
     rule: 'a newcomer that does not come leaves the set joint for ever',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['agent/dist/core-set-duty.js', 'if (missing.length > 0 && gone.length === 0)', 'if (missing.length > 0)']],
+    edits: [
+      ['agent/dist/core-set-duty.js', 'if (missing.length > 0 && timedOut.length === 0)', 'if (missing.length > 0)'],
+    ],
   },
   {
     name: 'hasty-replacement',
@@ -483,7 +491,7 @@
     rule: 'a value that a majority is only writing is taken for chosen',
     test: 'registers.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/register-cache.js', 'if (k.pending === true)', 'if (false)']],
+    edits: [['agent/dist/register-cache.js', 'if (summary.pending === true)', 'if (false)']],
   },
   {
     name: 'pending-untold',
@@ -531,7 +539,11 @@
     test: 'voterplan.test.js',
     seeds: [1, 1],
     edits: [
-      ['agent/dist/voter-plan.js', 'quorumOf({ epoch: set.epoch, cores: voters, next }).met(well)', 'well.size > 0'],
+      [
+        'agent/dist/voter-plan.js',
+        'quorumOf({ epoch: set.epoch, cores: voters, next }).met(serving)',
+        'serving.size > 0',
+      ],
     ],
   },
   {
@@ -539,14 +551,14 @@
     rule: 'the machine that replaces another joins beside it',
     test: 'voterplan.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/voter-plan.js', 'const room = isDoubtful ? 0 :', 'const room =']],
+    edits: [['agent/dist/voter-plan.js', 'const freeSeats = isDoubtful ? 0 :', 'const freeSeats =']],
   },
   {
     name: 'even-stays',
     rule: 'a set of an even number keeps a voter that is gone in its quorum',
     test: 'voterplan.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/voter-plan.js', 'if (gone.length === 0)', 'if (gone.length >= 0)']],
+    edits: [['agent/dist/voter-plan.js', 'if (lost.length === 0)', 'if (lost.length >= 0)']],
   },
   {
     name: 'disk-stays-failed',
@@ -567,7 +579,14 @@
     rule: 'a value chosen under the old set is at no quorum of the new one',
     test: 'controlguards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/core-set-duty.js', 'if (!(await sweep(set))) return;', '']],
+    edits: [
+      [
+        'agent/dist/core-set-duty.js',
+        `if (!(await confirmRegisters(set)))
+            return;`,
+        '',
+      ],
+    ],
   },
   {
     name: 'newcomer-sure',
@@ -1066,8 +1085,8 @@
     edits: [
       [
         '../platform/dist/control.js',
-        'if (!desk.heardInstance(got.val))',
-        'if (!desk.heardInstance(got.val) && false)',
+        'if (!desk.recordAnnouncement(got.val))',
+        'if (!desk.recordAnnouncement(got.val) && false)',
       ],
     ],
   },
@@ -1264,7 +1283,11 @@
     test: 'platform/dist/test/renewals.test.js',
     seeds: [1, 1],
     edits: [
-      ['agent/dist/lease-renewal.js', 'for (const [core, held] of others)', 'for (const [core, held] of [])'],
+      [
+        'agent/dist/lease-renewal.js',
+        'for (const [core, coreLink] of remaining)',
+        'for (const [core, coreLink] of [])',
+      ],
       ['agent/dist/voter-rotation.js', 'if (quorum.met(recent)) break;', 'break;'],
     ],
   },
@@ -1318,8 +1341,12 @@
     test: 'platform/dist/test/configmodel.test.js',
     seeds: [1, 1],
     edits: [
-      ['agent/dist/register-cache.js', 'if (k && compareBallots(h.ballot, k.ballot) <= 0) {', 'if (k) {'],
-      ['agent/dist/register-cache.js', 'if (mine && compareBallots(mine.ballot, push.ballot) >= 0)', 'if (mine)'],
+      [
+        'agent/dist/register-cache.js',
+        'if (register && compareBallots(highest.ballot, register.ballot) <= 0) {',
+        'if (register) {',
+      ],
+      ['agent/dist/register-cache.js', 'if (local && compareBallots(local.ballot, push.ballot) >= 0)', 'if (local)'],
     ],
   },
   {
