--- a/packages/base/src/constants.ts
+++ b/packages/base/src/constants.ts
@@ -109,11 +109,11 @@
  */
 export const SUBSCRIPTION_SILENCE_MS = 1500
 /**
- * ms. A core that is not behind sends its subscriber what the subscriber already knows within this: changes reach the
- * cores within milliseconds of each other.
+ * ms. Interval at which a node checks whether the core that it subscribed to has sent by now what the node knew at the
+ * previous check: changes reach the cores within milliseconds of each other.
  */
 export const SUBSCRIPTION_LAG_MS = 500
-/** count. Consecutive checks, SUBSCRIPTION_LAG_MS apart, that find the core behind before the node leaves it. */
+/** count. Consecutive checks, SUBSCRIPTION_CHECK_INTERVAL_MS apart, that find the core behind before it is left. */
 export const MAX_SUBSCRIPTION_LAGS = 2
 /**
  * ms. A node does not subscribe again to a core that it left or that refused it for this long, to avoid oscillation.
@@ -178,8 +178,8 @@
  */
 export const VOTER_DOUBT_MS = 1200
 /**
- * ms. A voter that nobody heard for this long is replaced by a fresh machine where all core machines are voters: a
- * machine that is not a voter exists only because another was replaced, and a lease of the lost one has expired by then.
+ * ms. A voter that nobody heard for this long is replaced by a fresh machine where all core machines are voters:
+ * a machine that is not a voter exists only because another was replaced, and a lease of the lost one has expired then.
  */
 export const VOTER_SILENCE_MS = 2500
 /**
@@ -262,7 +262,7 @@
 /**
  * count. Proxy nodes that report to a duty holder, without being asked, that leaders answer them; the others report
  * failures only. At two operations in five seconds each, some ten of them have a successful answer within
- * GOOD_OBSERVATION_MS.
+ * LEADER_EVIDENCE_LIFETIME_MS.
  */
 export const WITNESS_COUNT = 24
 /**
--- a/packages/base/src/waiting.ts
+++ b/packages/base/src/waiting.ts
@@ -1,37 +1,37 @@
 import type { World, Cancel } from './world.js'
 
-/** Waiting on the world's clock: flags, signals, pauses, loops and a queue of one. */
+/** Waiting on the clock of a World: flags, signals, pauses, timeouts, loops and a serial queue. */
 
-/** A flag that can be awaited. Once fired it stays so. */
+/** A one-way flag that can be awaited: once fired, it stays fired. */
 export type Flag = {
   fire: () => void
   fired: () => boolean
   wait: () => Promise<void>
-  /** Runs once the flag fires, at once if it has. */
-  watch: (run: () => void) => Cancel
+  /** Calls back once when the flag fires, immediately if it already has. */
+  watch: (callback: () => void) => Cancel
 }
 
 export function makeFlag(): Flag {
-  let done = false
+  let isFired = false
   const watchers = new Set<() => void>()
 
   function fire(): void {
-    if (done) return
-    done = true
-    for (const run of watchers) run()
+    if (isFired) return
+    isFired = true
+    for (const callback of watchers) callback()
     watchers.clear()
   }
   function fired(): boolean {
-    return done
+    return isFired
   }
-  function watch(run: () => void): Cancel {
-    if (done) {
-      run()
+  function watch(callback: () => void): Cancel {
+    if (isFired) {
+      callback()
       return noop
     }
-    watchers.add(run)
+    watchers.add(callback)
     function cancel(): void {
-      watchers.delete(run)
+      watchers.delete(callback)
     }
     return cancel
   }
@@ -44,95 +44,96 @@
   return { fire, fired, wait, watch }
 }
 
+/** Does nothing: a callback or a cancel function without effect. */
 export function noop(): void {}
 
-/** Waits so many milliseconds, or until the flag fires, whichever is first. */
+/** Waits for the given time (ms) or until the flag fires, whichever comes first. */
 export function pause(world: World, ms: number, stop?: Flag): Promise<void> {
   function start(resolve: () => void): void {
-    let unwatch: Cancel = noop
-    function elapsed(): void {
-      unwatch()
+    let unwatchStop: Cancel = noop
+    function onElapsed(): void {
+      unwatchStop()
       resolve()
     }
-    const cancel = world.later(ms, elapsed)
-    function stopped(): void {
-      cancel()
+    const cancelTimer = world.later(ms, onElapsed)
+    function onStop(): void {
+      cancelTimer()
       resolve()
     }
-    if (stop) unwatch = stop.watch(stopped)
+    if (stop) unwatchStop = stop.watch(onStop)
   }
   return new Promise(start)
 }
 
-/** What within() gives where the promise was not settled in time. */
-export const TIMED_OUT = Symbol('late')
+/** Result of withTimeout() if the promise was not settled in time. */
+export const TIMED_OUT = Symbol('timed out')
 
-/** The promise's value, or LATE after so many milliseconds. A rejection passes through. */
-export function withTimeout<T>(world: World, ms: number, promise: Promise<T>): Promise<T | typeof TIMED_OUT> {
+/** Resolves to the promise's value, or to TIMED_OUT after the timeout. A rejection passes through. */
+export function withTimeout<T>(world: World, timeoutMs: number, promise: Promise<T>): Promise<T | typeof TIMED_OUT> {
   function start(resolve: (value: T | typeof TIMED_OUT) => void, reject: (reason: unknown) => void): void {
-    function late(): void {
+    function onTimeout(): void {
       resolve(TIMED_OUT)
     }
-    const cancel = world.later(ms, late)
-    function fulfilled(value: T): void {
-      cancel()
+    const cancelTimer = world.later(timeoutMs, onTimeout)
+    function onFulfilled(value: T): void {
+      cancelTimer()
       resolve(value)
     }
-    function rejected(reason: unknown): void {
-      cancel()
+    function onRejected(reason: unknown): void {
+      cancelTimer()
       reject(reason)
     }
-    promise.then(fulfilled, rejected)
+    promise.then(onFulfilled, onRejected)
   }
   return new Promise(start)
 }
 
-/** A signal wakes all who wait for it; unlike a flag it can be given again. */
+/** Wakes all its waiters; unlike a flag, it can be notified repeatedly. */
 export type Signal = {
   notify: () => void
-  /** Waits for the next signal, for so many milliseconds, or until the flag fires. */
-  wait: (world: World, ms: number, stop?: Flag) => Promise<void>
-  /** Runs at each signal until cancelled. */
-  watch: (run: () => void) => Cancel
+  /** Waits for the next notification, the timeout or the flag, whichever comes first. */
+  wait: (world: World, timeoutMs: number, stop?: Flag) => Promise<void>
+  /** Calls back at each notification until cancelled. */
+  watch: (callback: () => void) => Cancel
 }
 
 export function makeSignal(): Signal {
-  let next = makeFlag()
+  let nextSignal = makeFlag()
   const watchers = new Set<() => void>()
 
-  function ring(): void {
-    const current = next
-    next = makeFlag()
-    current.fire()
-    for (const run of watchers) run()
+  function notifyAll(): void {
+    const currentSignal = nextSignal
+    nextSignal = makeFlag()
+    currentSignal.fire()
+    for (const callback of watchers) callback()
   }
-  function watch(run: () => void): Cancel {
-    watchers.add(run)
+  function watch(callback: () => void): Cancel {
+    watchers.add(callback)
     function cancel(): void {
-      watchers.delete(run)
+      watchers.delete(callback)
     }
     return cancel
   }
-  async function wait(world: World, ms: number, stop?: Flag): Promise<void> {
+  async function wait(world: World, timeoutMs: number, stop?: Flag): Promise<void> {
     if (stop?.fired()) return
-    const woken = makeFlag()
-    const unwatchSignal = next.watch(woken.fire)
-    const unwatchStop = stop ? stop.watch(woken.fire) : noop
-    await pause(world, ms, woken)
+    const isWoken = makeFlag()
+    const unwatchSignal = nextSignal.watch(isWoken.fire)
+    const unwatchStop = stop ? stop.watch(isWoken.fire) : noop
+    await pause(world, timeoutMs, isWoken)
     unwatchSignal()
     unwatchStop()
   }
-  return { notify: ring, wait, watch }
+  return { notify: notifyAll, wait, watch }
 }
 
 /**
- * A loop in its own task: runs the step, then waits for the interval (ms) or the signal, until stopped.
- * A step that throws is a fault of ours: it is logged and the loop goes on.
+ * Background loop: runs the step, then waits for the interval or the signal, until stopped.
+ * A step that throws is a bug: the error is logged and the loop goes on.
  */
 export async function loop(
   world: World,
   name: string,
-  interval: number,
+  intervalMs: number,
   stop: Flag,
   step: () => Promise<void> | void,
   signal?: Signal,
@@ -140,22 +141,22 @@
   while (!stop.fired()) {
     try {
       await step()
-    } catch (e) {
-      world.log.error('loop-fault', { loop: name, why: (e as Error).stack ?? String(e) })
+    } catch (error) {
+      world.log.error('loop-fault', { loop: name, why: (error as Error).stack ?? String(error) })
     }
     if (stop.fired()) return
-    if (signal) await signal.wait(world, interval, stop)
-    else await pause(world, interval, stop)
+    if (signal) await signal.wait(world, intervalMs, stop)
+    else await pause(world, intervalMs, stop)
   }
 }
 
-/** A queue of one: tasks run one after another in the order asked, whether those before succeeded or not. */
-export function makeSerialQueue(): <T>(run: () => Promise<T>) => Promise<T> {
+/** Runs tasks one after another in the order of the calls, whether or not earlier ones succeeded. */
+export function makeSerialQueue(): <T>(task: () => Promise<T>) => Promise<T> {
   let tail: Promise<unknown> = Promise.resolve()
-  function enter<T>(run: () => Promise<T>): Promise<T> {
-    const mine = tail.then(run, run)
-    tail = mine.catch(noop)
-    return mine
+  function enqueue<T>(task: () => Promise<T>): Promise<T> {
+    const result = tail.then(task, task)
+    tail = result.catch(noop)
+    return result
   }
-  return enter
+  return enqueue
 }
--- a/packages/base/src/world.ts
+++ b/packages/base/src/world.ts
@@ -5,57 +5,67 @@
 import type { Duplex } from 'node:stream'
 import { makeLog, type Log } from './log.js'
 
+/** Withdraws a timer or a registered callback. */
 export type Cancel = () => void
+/** Host and port, such as 10.0.0.1:7000. */
 export type Address = string
 
 export type Listener = { close: () => Promise<void> }
 export type DatagramSocket = { cast: (addr: Address, bytes: Uint8Array) => void; close: () => void }
 
-// All reach to the outside. Real processes get realWorld; the simulator gives each of
-// its processes one of its own on virtual time.
-// Invariant: now() never goes back and is one clock for all processes of a machine.
+/**
+ * All access of a process to the outside: clock, timers, randomness, log, network and disk. Real processes use
+ * realWorld(); the simulator gives each of its processes a World on virtual time.
+ *
+ * Invariant: now() (ms) never goes back, and all processes of a machine share its clock.
+ */
 export type World = {
   now: () => number
-  later: (ms: number, run: () => void) => Cancel
+  later: (delayMs: number, callback: () => void) => Cancel
   random: () => number
   log: Log
-  listen: (addr: Address, take: (s: Duplex) => void) => Promise<Listener>
-  dial: (addr: Address, ms: number) => Promise<Duplex>
-  wire: (addr: Address, take: (bytes: Uint8Array) => void) => Promise<DatagramSocket>
-  // Disk: a write is done only once it, and the folder where it is new, are synced.
+  listen: (addr: Address, onConnection: (stream: Duplex) => void) => Promise<Listener>
+  /** Opens a TCP connection; rejects after the timeout. */
+  dial: (addr: Address, timeoutMs: number) => Promise<Duplex>
+  /** Binds a UDP socket. */
+  wire: (addr: Address, onDatagram: (bytes: Uint8Array) => void) => Promise<DatagramSocket>
   disk: Disk
 }
 
+/** File access. A write completes only after the file, and its directory if the file is new, are synced. */
 export type Disk = {
+  /** Returns undefined if there is no such file. */
   read: (path: string) => Promise<Uint8Array | undefined>
   append: (path: string, bytes: Uint8Array) => Promise<void>
+  /** Replaces the whole file atomically. */
   replace: (path: string, bytes: Uint8Array) => Promise<void>
+  /** Truncates the file to the given size. */
   cut: (path: string, size: number) => Promise<void>
 }
 
 export function parseAddr(addr: Address): { host: string; port: number } {
-  const cut = addr.lastIndexOf(':')
-  return { host: addr.slice(0, cut), port: Number(addr.slice(cut + 1)) }
+  const separator = addr.lastIndexOf(':')
+  return { host: addr.slice(0, separator), port: Number(addr.slice(separator + 1)) }
 }
 
-async function syncFolder(path: string): Promise<void> {
-  const dir = await open(dirname(path), 'r')
+async function syncParentDirectory(path: string): Promise<void> {
+  const directory = await open(dirname(path), 'r')
   try {
-    await dir.sync()
+    await directory.sync()
   } finally {
-    await dir.close()
+    await directory.close()
   }
 }
 
-// Makes the folder and syncs every parent that it had to make an entry in.
-async function makeFolder(path: string): Promise<void> {
-  const made = await mkdir(path, { recursive: true })
-  if (made === undefined) return
-  let at = path
+/** Creates the directory with its parents, and syncs each directory in which it created an entry. */
+async function createDirectory(path: string): Promise<void> {
+  const firstCreated = await mkdir(path, { recursive: true })
+  if (firstCreated === undefined) return
+  let current = path
   for (;;) {
-    await syncFolder(at)
-    if (at === made || dirname(at) === at) return
-    at = dirname(at)
+    await syncParentDirectory(current)
+    if (current === firstCreated || dirname(current) === current) return
+    current = dirname(current)
   }
 }
 
@@ -63,12 +73,12 @@
   async function read(path: string): Promise<Uint8Array | undefined> {
     try {
       return await readFile(path)
-    } catch (e) {
-      if ((e as NodeJS.ErrnoException).code === 'ENOENT') return undefined
-      throw e
+    } catch (error) {
+      if ((error as NodeJS.ErrnoException).code === 'ENOENT') return undefined
+      throw error
     }
   }
-  async function isFile(path: string): Promise<boolean> {
+  async function exists(path: string): Promise<boolean> {
     try {
       await stat(path)
       return true
@@ -77,8 +87,8 @@
     }
   }
   async function append(path: string, bytes: Uint8Array): Promise<void> {
-    const old = await isFile(path)
-    if (!old) await makeFolder(dirname(path))
+    const existedBefore = await exists(path)
+    if (!existedBefore) await createDirectory(dirname(path))
     const file = await open(path, 'a')
     try {
       await file.appendFile(bytes)
@@ -86,20 +96,20 @@
     } finally {
       await file.close()
     }
-    if (!old) await syncFolder(path)
+    if (!existedBefore) await syncParentDirectory(path)
   }
   async function replace(path: string, bytes: Uint8Array): Promise<void> {
-    await makeFolder(dirname(path))
-    const next = `${path}.next`
-    const file = await open(next, 'w')
+    await createDirectory(dirname(path))
+    const temporaryPath = `${path}.next`
+    const file = await open(temporaryPath, 'w')
     try {
       await file.writeFile(bytes)
       await file.sync()
     } finally {
       await file.close()
     }
-    await rename(next, path)
-    await syncFolder(path)
+    await rename(temporaryPath, path)
+    await syncParentDirectory(path)
   }
   async function cut(path: string, size: number): Promise<void> {
     await truncate(path, size)
@@ -113,90 +123,92 @@
   return { read, append, replace, cut }
 }
 
+/** Monotonic time in ms, with microsecond resolution. */
 export function realNow(): number {
   return Number(process.hrtime.bigint() / 1000n) / 1000
 }
 
+/** The World of a real process: system clock, network and disk. */
 export function realWorld(log?: Log): World {
-  const out = log ?? makeLog()
+  const logOrDefault = log ?? makeLog()
 
-  function later(ms: number, run: () => void): Cancel {
-    const timer = setTimeout(run, Math.max(0, ms))
+  function later(delayMs: number, callback: () => void): Cancel {
+    const timer = setTimeout(callback, Math.max(0, delayMs))
     function cancel(): void {
       clearTimeout(timer)
     }
     return cancel
   }
 
-  function listen(addr: Address, take: (s: Duplex) => void): Promise<Listener> {
+  function listen(addr: Address, onConnection: (stream: Duplex) => void): Promise<Listener> {
     const { host, port } = parseAddr(addr)
-    function start(done: (l: Listener) => void, fail: (e: Error) => void): void {
-      const server = createServer({ noDelay: true }, take)
-      // Ends the listening only. What was accepted is its owner's to end, and may outlive this.
+    function start(resolve: (listener: Listener) => void, reject: (error: Error) => void): void {
+      const server = createServer({ noDelay: true }, onConnection)
+      // Stops listening only. Accepted connections are closed by their owner and may outlive the listener.
       async function close(): Promise<void> {
         server.close()
       }
-      function up(): void {
-        server.removeListener('error', fail)
-        server.on('error', broke)
-        done({ close })
+      function onListening(): void {
+        server.removeListener('error', reject)
+        server.on('error', onError)
+        resolve({ close })
       }
-      function broke(e: Error): void {
-        out.warn('listener-error', { addr, why: e.message })
+      function onError(error: Error): void {
+        logOrDefault.warn('listener-error', { addr, why: error.message })
       }
-      server.once('error', fail)
-      server.listen({ host, port }, up)
+      server.once('error', reject)
+      server.listen({ host, port }, onListening)
     }
     return new Promise(start)
   }
 
-  function dial(addr: Address, ms: number): Promise<Duplex> {
+  function dial(addr: Address, timeoutMs: number): Promise<Duplex> {
     const { host, port } = parseAddr(addr)
-    function start(done: (s: Duplex) => void, fail: (e: Error) => void): void {
-      const sock: Socket = connect({ host, port, noDelay: true })
-      function late(): void {
-        sock.destroy()
-        fail(new Error('dial timeout'))
+    function start(resolve: (stream: Duplex) => void, reject: (error: Error) => void): void {
+      const socket: Socket = connect({ host, port, noDelay: true })
+      function onTimeout(): void {
+        socket.destroy()
+        reject(new Error('dial timeout'))
       }
-      const cancel = later(ms, late)
-      function bad(e: Error): void {
-        cancel()
-        fail(e)
+      const cancelTimer = later(timeoutMs, onTimeout)
+      function onError(error: Error): void {
+        cancelTimer()
+        reject(error)
       }
-      function up(): void {
-        cancel()
-        sock.removeListener('error', bad)
-        done(sock)
+      function onConnect(): void {
+        cancelTimer()
+        socket.removeListener('error', onError)
+        resolve(socket)
       }
-      sock.once('error', bad)
-      sock.once('connect', up)
+      socket.once('error', onError)
+      socket.once('connect', onConnect)
     }
     return new Promise(start)
   }
 
-  function wire(addr: Address, take: (bytes: Uint8Array) => void): Promise<DatagramSocket> {
+  function wire(addr: Address, onDatagram: (bytes: Uint8Array) => void): Promise<DatagramSocket> {
     const { host, port } = parseAddr(addr)
-    function start(done: (w: DatagramSocket) => void, fail: (e: Error) => void): void {
-      const sock = createSocket('udp4')
-      function cast(to: Address, bytes: Uint8Array): void {
-        const at = parseAddr(to)
-        sock.send(bytes, at.port, at.host, ignore)
+    function start(resolve: (datagramSocket: DatagramSocket) => void, reject: (error: Error) => void): void {
+      const socket = createSocket('udp4')
+      function cast(destination: Address, bytes: Uint8Array): void {
+        const target = parseAddr(destination)
+        socket.send(bytes, target.port, target.host, ignore)
       }
       function ignore(): void {}
       function close(): void {
-        sock.close()
+        socket.close()
       }
-      function up(): void {
-        sock.removeListener('error', fail)
-        sock.on('error', ignore)
-        done({ cast, close })
+      function onBound(): void {
+        socket.removeListener('error', reject)
+        socket.on('error', ignore)
+        resolve({ cast, close })
       }
-      sock.on('message', take)
-      sock.once('error', fail)
-      sock.bind(port, host, up)
+      socket.on('message', onDatagram)
+      socket.once('error', reject)
+      socket.bind(port, host, onBound)
     }
     return new Promise(start)
   }
 
-  return { now: realNow, later, random: Math.random, log: out, listen, dial, wire, disk: realDisk() }
+  return { now: realNow, later, random: Math.random, log: logOrDefault, listen, dial, wire, disk: realDisk() }
 }
