--- a/packages/base/src/http-client.ts
+++ b/packages/base/src/http-client.ts
@@ -5,21 +5,23 @@
 import { type Flag, makeFlag, noop } from './waiting.js'
 import type { Address, World } from './world.js'
 
-// HTTP/1.1 as a client, over the connections of the world: a line is one connection that asks one request after another.
+/** HTTP/1.1 client over connections of a World: one connection sends one request after another. */
 
-// How far a failed call got. none: nothing of it was handed to a connection; maybe: it may have reached.
+/** How far a failed request got. none: no part was given to a connection; maybe: it may have reached the server. */
 export type Reach = 'none' | 'maybe'
 
 export type HttpFailure = { reach: Reach; why: string }
 
+/** after: Retry-After in seconds. */
 export type HttpAnswer = { status: number; body: unknown; after?: number }
 
 export type HttpConnection = {
+  /** Sends a request; fails if another one is pending. */
   ask: (
     method: string,
     path: string,
     body: unknown,
-    ms: number,
+    timeoutMs: number,
     headers?: [string, string][],
   ) => Promise<Result<HttpAnswer, HttpFailure>>
   close: () => void
@@ -27,46 +29,50 @@
   closed: Flag
 }
 
-// One HTTP connection that stays the same for its life: once it broke, it is never dialled again,
-// so that what was set up on it can't be taken for what isn't there any more.
+/**
+ * Opens an HTTP connection that is never dialled again once it broke, so that nobody relies on session state that was
+ * lost with it.
+ */
 export async function openHttpConnection(
   world: World,
   addr: Address,
-  ms: number = DIAL_TIMEOUT_MS,
+  dialTimeoutMs: number = DIAL_TIMEOUT_MS,
 ): Promise<Result<HttpConnection, HttpFailure>> {
   let stream: Duplex
   try {
-    stream = await world.dial(addr, ms)
-  } catch (e) {
-    return Err({ reach: 'none', why: (e as Error).message })
+    stream = await world.dial(addr, dialTimeoutMs)
+  } catch (error) {
+    return Err({ reach: 'none', why: (error as Error).message })
   }
   const closed = makeFlag()
-  let given = false
-  // asked: a request whose answer hasn't ended. Whatever comes at another time answers nothing that was asked, and what
-  // comes after it would be taken for the answer to the next request.
-  let asked = false
-  function gone(): void {
+  let isStreamGiven = false
+  /**
+   * A request was sent and its answer is not complete. Data that arrives at any other time answers no request, and what
+   * follows it would be taken for the answer to the next one.
+   */
+  let isRequestOpen = false
+  function onStreamEnd(): void {
     closed.fire()
   }
-  function stray(): void {
-    if (!asked) close()
+  function closeIfUnexpected(): void {
+    if (!isRequestOpen) close()
   }
-  stream.on('data', stray)
-  stream.on('error', gone)
-  stream.on('close', gone)
-  stream.on('end', gone)
+  stream.on('data', closeIfUnexpected)
+  stream.on('error', onStreamEnd)
+  stream.on('close', onStreamEnd)
+  stream.on('end', onStreamEnd)
   const agent = new Agent({ keepAlive: true, maxSockets: 1, maxFreeSockets: 1 })
-  // node:http asks again when the stream closed while a request waited for it; the answer must go through
-  // the callback, as a throw here would end the process.
-  function give(_options: unknown, ok: (e: Error) => void): Duplex | undefined {
-    if (given) {
-      ok(new Error('connection broke'))
+  // node:http calls again if the stream closed while a request waited for it. The error must go through the callback,
+  // as throwing here would end the process.
+  function provideStream(_options: unknown, callback: (error: Error) => void): Duplex | undefined {
+    if (isStreamGiven) {
+      callback(new Error('connection broke'))
       return undefined
     }
-    given = true
+    isStreamGiven = true
     return stream
   }
-  ;(agent as unknown as { createConnection: typeof give }).createConnection = give
+  ;(agent as unknown as { createConnection: typeof provideStream }).createConnection = provideStream
 
   function close(): void {
     closed.fire()
@@ -79,51 +85,51 @@
     method: string,
     path: string,
     body: unknown,
-    limit: number,
+    timeoutMs: number,
     headers: [string, string][] = [],
   ): Promise<Result<HttpAnswer, HttpFailure>> {
-    function start(ok: (r: Result<HttpAnswer, HttpFailure>) => void): void {
-      if (closed.fired() || asked) {
-        ok(Err({ reach: 'none', why: closed.fired() ? 'connection closed' : 'another request is under way' }))
+    function start(resolve: (result: Result<HttpAnswer, HttpFailure>) => void): void {
+      if (closed.fired() || isRequestOpen) {
+        resolve(Err({ reach: 'none', why: closed.fired() ? 'connection closed' : 'another request is under way' }))
         return
       }
-      asked = true
-      let over = false
+      isRequestOpen = true
+      let isSettled = false
       let unwatch = noop
-      function end(r: Result<HttpAnswer, HttpFailure>): void {
-        if (over) return
-        over = true
-        asked = false
-        cancel()
+      function settle(result: Result<HttpAnswer, HttpFailure>): void {
+        if (isSettled) return
+        isSettled = true
+        isRequestOpen = false
+        cancelTimer()
         unwatch()
-        // Whatever did not end with a whole answer leaves the connection in an unclear state.
-        if (r.err) close()
-        ok(r)
+        // Without a complete answer the state of the connection is unclear.
+        if (result.err) close()
+        resolve(result)
       }
       function fail(why: string): void {
-        end(Err({ reach: 'maybe', why }))
+        settle(Err({ reach: 'maybe', why }))
       }
-      function late(): void {
+      function onTimeout(): void {
         fail('timeout')
         req.destroy()
       }
-      function broke(): void {
+      function onBroken(): void {
         fail('connection broke')
       }
-      const cancel = world.later(limit, late)
-      unwatch = closed.watch(broke)
+      const cancelTimer = world.later(timeoutMs, onTimeout)
+      unwatch = closed.watch(onBroken)
       const text = body === undefined ? '' : JSON.stringify(body)
-      function got(res: IncomingMessage): void {
+      function onResponse(res: IncomingMessage): void {
         const parts: Buffer[] = []
-        function data(b: Buffer): void {
-          parts.push(b)
+        function onData(chunk: Buffer): void {
+          parts.push(chunk)
         }
-        function done(): void {
-          const all = Buffer.concat(parts).toString('utf8')
-          let value: unknown = all
+        function onEnd(): void {
+          const bodyText = Buffer.concat(parts).toString('utf8')
+          let value: unknown = bodyText
           if ((res.headers['content-type'] ?? '').startsWith('application/json')) {
             try {
-              value = all === '' ? null : JSON.parse(all)
+              value = bodyText === '' ? null : JSON.parse(bodyText)
             } catch {
               fail('malformed answer')
               return
@@ -133,15 +139,15 @@
             fail('answer cut short')
             return
           }
-          const after = res.headers['retry-after']
-          end(Ok({ status: res.statusCode ?? 0, body: value, ...(after ? { after: Number(after) } : {}) }))
-          // The other side ends this connection; nothing more may be written to it.
+          const retryAfter = res.headers['retry-after']
+          settle(Ok({ status: res.statusCode ?? 0, body: value, ...(retryAfter ? { after: Number(retryAfter) } : {}) }))
+          // The server closes this connection; nothing more may be written to it.
           if ((res.headers.connection ?? '').toLowerCase() === 'close') close()
         }
-        res.on('data', data)
-        res.on('end', done)
-        res.on('error', broke)
-        res.on('close', broke)
+        res.on('data', onData)
+        res.on('end', onEnd)
+        res.on('error', onBroken)
+        res.on('close', onBroken)
       }
       let req: ClientRequest
       try {
@@ -153,18 +159,18 @@
           headers: { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) },
         })
         for (const [name, value] of headers) req.setHeader(name, value)
-      } catch (e) {
-        cancel()
+      } catch (error) {
+        cancelTimer()
         unwatch()
         close()
-        ok(Err({ reach: 'none', why: (e as Error).message }))
+        resolve(Err({ reach: 'none', why: (error as Error).message }))
         return
       }
-      function bad(e: Error): void {
-        fail(e.message)
+      function onError(error: Error): void {
+        fail(error.message)
       }
-      req.on('response', got)
-      req.on('error', bad)
+      req.on('response', onResponse)
+      req.on('error', onError)
       req.end(text)
     }
     return new Promise(start)
@@ -172,25 +178,28 @@
   return Ok({ ask, close, alive, closed })
 }
 
-// One call on a connection of its own. may: asked once the connection stands, with no wait between it and the write: a
-// dial takes up to a second, or as long as the process was frozen, and what allowed the call may have ended meanwhile.
+/**
+ * Sends one request on a connection of its own. isStillAllowed is checked once the connection is open, with no wait
+ * between the check and the write: a dial takes up to a second, or as long as the process was frozen, and the right to
+ * send the request (such as a lease) may have ended meanwhile.
+ */
 export async function requestOnce(
   world: World,
   addr: Address,
   method: string,
   path: string,
   body: unknown,
-  ms: number,
+  timeoutMs: number,
   headers: [string, string][] = [],
-  may?: () => boolean,
+  isStillAllowed?: () => boolean,
 ): Promise<Result<HttpAnswer, HttpFailure>> {
-  const line = await openHttpConnection(world, addr, Math.min(ms, DIAL_TIMEOUT_MS))
-  if (line.err) return line
-  if (may && !may()) {
-    line.val.close()
+  const connection = await openHttpConnection(world, addr, Math.min(timeoutMs, DIAL_TIMEOUT_MS))
+  if (connection.err) return connection
+  if (isStillAllowed && !isStillAllowed()) {
+    connection.val.close()
     return Err({ reach: 'none', why: 'no longer allowed once the connection stood' })
   }
-  const got = await line.val.ask(method, path, body, ms, headers)
-  line.val.close()
-  return got
+  const answer = await connection.val.ask(method, path, body, timeoutMs, headers)
+  connection.val.close()
+  return answer
 }
--- a/packages/base/src/http-server.ts
+++ b/packages/base/src/http-server.ts
@@ -11,7 +11,7 @@
 import { type Flag, TIMED_OUT, makeFlag, noop, pause, withTimeout } from './waiting.js'
 import type { Address, World } from './world.js'
 
-// HTTP/1.1 as a server: requests with JSON bodies, bounded in size, number and time, and an end in which no answer is dropped.
+/** HTTP/1.1 server: JSON bodies, bounded in size, number and time, and a graceful close that drops no answer. */
 
 export type HttpRequest = {
   method: string
@@ -19,58 +19,67 @@
   query: URLSearchParams
   header: (name: string) => string | undefined
   body: unknown
-  // The connection it came on: one object for the life of the connection.
+  /** The connection it arrived on: the same object for the life of the connection. */
   line: object
-  // Fires when the caller went away before its answer was written.
+  /** Fires when the caller disconnects before its answer is written. */
   gone: Flag
   raw: { req: IncomingMessage; res: ServerResponse }
 }
 
+/** type: media type of a text body, JSON without it. after: Retry-After in seconds. */
 export type HttpResponse = { status: number; body: unknown; type?: string; after?: number }
 
-// undefined: the handler wrote the answer itself through raw.
-export type HttpHandler = (ask: HttpRequest) => Promise<HttpResponse | undefined> | HttpResponse | undefined
+/** Answers a request; undefined if the handler wrote the answer itself through raw. */
+export type HttpHandler = (httpRequest: HttpRequest) => Promise<HttpResponse | undefined> | HttpResponse | undefined
 
-// drain: goes on answering, and asks each caller with its answer to go elsewhere. lines: connections open now.
 export type HttpListener = {
+  /** Goes on answering, but ends each connection with its next answer. */
   drain: () => void
-  close: (ms?: number) => Promise<void>
+  /** Stops listening and closes all connections, by force at the timeout. */
+  close: (timeoutMs?: number) => Promise<void>
+  /** Number of requests being answered. */
   busy: () => number
+  /** Number of open connections. */
   lines: () => number
+  /** Resolves once no request is being answered. */
   idle: () => Promise<void>
 }
 
-// A body that is somewhat too long is read to its end all the same and thrown away: a connection closed with
-// unread bytes is reset, and its caller might never see the refusal.
-// hold: whether so many more bytes may be kept in memory now.
+/**
+ * Reads a body. One that is up to four times too long is still read to its end and discarded: a connection closed with
+ * unread bytes is reset, and its caller might never see the refusal.
+ * reserve: whether that many more bytes may be kept in memory now.
+ */
 async function readBody(
   req: IncomingMessage,
-  most: number,
-  hold: (size: number) => boolean,
+  maxBytes: number,
+  reserve: (size: number) => boolean,
 ): Promise<Buffer | 'long' | 'full'> {
   const parts: Buffer[] = []
   let size = 0
-  for await (const one of req) {
-    const part = one as Buffer
+  for await (const chunk of req) {
+    const part = chunk as Buffer
     size += part.length
-    if (size > 4 * most) return 'long'
-    if (size > most) continue
-    if (!hold(part.length)) return 'full'
+    if (size > 4 * maxBytes) return 'long'
+    if (size > maxBytes) continue
+    if (!reserve(part.length)) return 'full'
     parts.push(part)
   }
-  return size > most ? 'long' : Buffer.concat(parts)
+  return size > maxBytes ? 'long' : Buffer.concat(parts)
 }
 
-export function sendResponse(res: ServerResponse, reply: HttpResponse): void {
+/** Writes the response, unless the connection is gone or an answer was already written. */
+export function sendResponse(res: ServerResponse, response: HttpResponse): void {
   if (res.destroyed || res.writableEnded) return
-  const text = reply.type ? String(reply.body) : JSON.stringify(reply.body ?? null)
-  res.statusCode = reply.status
-  res.setHeader('content-type', reply.type ?? 'application/json')
+  const text = response.type ? String(response.body) : JSON.stringify(response.body ?? null)
+  res.statusCode = response.status
+  res.setHeader('content-type', response.type ?? 'application/json')
   res.setHeader('content-length', Buffer.byteLength(text))
-  if (reply.after !== undefined) res.setHeader('retry-after', String(reply.after))
+  if (response.after !== undefined) res.setHeader('retry-after', String(response.after))
   res.end(text)
 }
 
+/** The refusal of an invalid request. */
 export function badInput(status: number, why: string, findings: unknown[] = []): HttpResponse {
   return {
     status,
@@ -78,47 +87,59 @@
   }
 }
 
-// limit: bytes of a body, for all paths or by path. held: bytes of all bodies that are read or answered now. lines: connections at most. quiet: ms after which a connection that
-// asked nothing whole is closed, and BODY_WAIT later one whose answer isn't taken; without it, never.
 export type HttpServerOptions = {
+  /** Largest body in bytes, for all paths or by path. */
   limit?: number | ((path: string) => number)
+  /** Limit in bytes of all bodies that are read or answered at one time. */
   held?: number
+  /** Most open connections. */
   lines?: number
+  /**
+   * ms after which a connection without a complete request is closed, and BODY_TIMEOUT_MS later one whose answer is not
+   * read; never, if unset.
+   */
   quiet?: number
-  onLine?: (line: object, closed: Flag) => void
+  /** Called for each accepted connection; the flag fires when it closes. */
+  onLine?: (connection: object, closed: Flag) => void
+  /** Whether the handler reads the body of this path itself. */
   raw?: (path: string) => boolean
 }
 
+/** Serves HTTP at the address. */
 export async function serveHttp(
   world: World,
   addr: Address,
   handle: HttpHandler,
-  opt: HttpServerOptions = {},
+  options: HttpServerOptions = {},
 ): Promise<HttpListener> {
-  const lines = new Map<Duplex, { closed: Flag; busy: number; last: number }>()
-  let busy = 0
-  let ending = false
-  let quiet = makeFlag()
+  const connections = new Map<Duplex, { closed: Flag; openRequests: number; lastUsedAt: number }>()
+  let openRequests = 0
+  let isDraining = false
+  let becameIdle = makeFlag()
 
-  // held: bytes of bodies in memory; each request gives back what it took once it is answered.
-  let held = 0
+  /** Bytes of bodies in memory; each request releases what it reserved once it is answered. */
+  let heldBytes = 0
   async function answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    let mine = 0
-    let over = false
-    function hold(size: number): boolean {
-      if (over || held + size > (opt.held ?? Infinity)) return false
-      held += size
-      mine += size
+    let ownBytes = 0
+    let isAnswered = false
+    function reserve(size: number): boolean {
+      if (isAnswered || heldBytes + size > (options.held ?? Infinity)) return false
+      heldBytes += size
+      ownBytes += size
       return true
     }
     try {
-      await answerHeld(req, res, hold)
+      await answerRequest(req, res, reserve)
     } finally {
-      over = true
-      held -= mine
+      isAnswered = true
+      heldBytes -= ownBytes
     }
   }
-  async function answerHeld(req: IncomingMessage, res: ServerResponse, hold: (size: number) => boolean): Promise<void> {
+  async function answerRequest(
+    req: IncomingMessage,
+    res: ServerResponse,
+    reserve: (size: number) => boolean,
+  ): Promise<void> {
     let url: URL
     try {
       url = new URL(req.url ?? '/', 'http://x')
@@ -127,10 +148,11 @@
       sendResponse(res, badInput(400, 'malformed path'))
       return
     }
-    const most = typeof opt.limit === 'function' ? opt.limit(url.pathname) : (opt.limit ?? BODY_LIMIT_BYTES)
+    const maxBytes =
+      typeof options.limit === 'function' ? options.limit(url.pathname) : (options.limit ?? BODY_LIMIT_BYTES)
     let body: unknown
-    if (!(opt.raw && opt.raw(url.pathname))) {
-      const bytes = await withTimeout(world, BODY_TIMEOUT_MS, readBody(req, most, hold))
+    if (!(options.raw && options.raw(url.pathname))) {
+      const bytes = await withTimeout(world, BODY_TIMEOUT_MS, readBody(req, maxBytes, reserve))
       if (bytes === TIMED_OUT) {
         res.setHeader('connection', 'close')
         sendResponse(res, badInput(408, `body not whole within ${BODY_TIMEOUT_MS} ms`))
@@ -153,28 +175,28 @@
       }
       if (bytes === 'long') {
         res.setHeader('connection', 'close')
-        sendResponse(res, badInput(413, `body over ${most} bytes`))
+        sendResponse(res, badInput(413, `body over ${maxBytes} bytes`))
         return
       }
       if (bytes.length > 0) {
         try {
           body = JSON.parse(bytes.toString('utf8'))
-        } catch (e) {
-          sendResponse(res, badInput(400, `malformed JSON: ${(e as Error).message}`))
+        } catch (error) {
+          sendResponse(res, badInput(400, `malformed JSON: ${(error as Error).message}`))
           return
         }
       }
     }
     const gone = makeFlag()
-    function close(): void {
+    function onClose(): void {
       if (!res.writableFinished) gone.fire()
     }
-    res.on('close', close)
+    res.on('close', onClose)
     function header(name: string): string | undefined {
-      const got = req.headers[name]
-      return Array.isArray(got) ? got[0] : got
+      const value = req.headers[name]
+      return Array.isArray(value) ? value[0] : value
     }
-    const reply = await handle({
+    const response = await handle({
       method: req.method ?? 'GET',
       path: url.pathname,
       query: url.searchParams,
@@ -184,33 +206,34 @@
       gone,
       raw: { req, res },
     })
-    if (ending && !res.headersSent) res.setHeader('connection', 'close')
-    if (reply) sendResponse(res, reply)
+    if (isDraining && !res.headersSent) res.setHeader('connection', 'close')
+    if (response) sendResponse(res, response)
   }
-  async function take(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    busy++
-    const line = lines.get(req.socket)
-    if (line) {
-      line.busy++
-      line.last = world.now()
+  async function handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    openRequests++
+    const connection = connections.get(req.socket)
+    if (connection) {
+      connection.openRequests++
+      connection.lastUsedAt = world.now()
     }
     res.sendDate = false
-    function over(): void {
-      busy--
-      if (line) {
-        line.busy--
-        line.last = world.now()
+    function onFinished(): void {
+      openRequests--
+      if (connection) {
+        connection.openRequests--
+        connection.lastUsedAt = world.now()
       }
-      if (busy === 0) {
-        quiet.fire()
-        quiet = makeFlag()
+      if (openRequests === 0) {
+        becameIdle.fire()
+        becameIdle = makeFlag()
       }
     }
-    res.once('close', over)
+    res.once('close', onFinished)
     try {
       await answer(req, res)
-    } catch (e) {
-      if (!req.destroyed) world.log.error('request-fault', { path: req.url, why: (e as Error).stack ?? String(e) })
+    } catch (error) {
+      if (!req.destroyed)
+        world.log.error('request-fault', { path: req.url, why: (error as Error).stack ?? String(error) })
       if (!res.headersSent)
         sendResponse(res, {
           status: 500,
@@ -221,75 +244,80 @@
   }
   const server = createServer(
     { keepAlive: true, requestTimeout: 0, headersTimeout: 0, keepAliveTimeout: 0 },
-    take as never,
+    handleRequest as never,
   )
   server.timeout = 0
-  function clientError(_e: Error, sock: Duplex): void {
-    if (sock.writable) sock.end('HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n')
-    else sock.destroy()
+  function onClientError(_error: Error, socket: Duplex): void {
+    if (socket.writable) socket.end('HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n')
+    else socket.destroy()
   }
-  server.on('clientError', clientError)
+  server.on('clientError', onClientError)
 
-  function line(sock: Duplex): void {
-    if (lines.size >= (opt.lines ?? MAX_EDGE_CONNECTIONS)) {
-      sock.on('error', noop)
-      sock.destroy()
+  function acceptConnection(socket: Duplex): void {
+    if (connections.size >= (options.lines ?? MAX_EDGE_CONNECTIONS)) {
+      socket.on('error', noop)
+      socket.destroy()
       return
     }
     const closed = makeFlag()
-    lines.set(sock, { closed, busy: 0, last: world.now() })
-    function end(): void {
-      lines.delete(sock)
+    connections.set(socket, { closed, openRequests: 0, lastUsedAt: world.now() })
+    function onClosed(): void {
+      connections.delete(socket)
       closed.fire()
     }
-    sock.on('error', noop)
-    sock.on('close', end)
-    opt.onLine?.(sock, closed)
-    watchQuiet()
-    server.emit('connection', sock)
+    socket.on('error', noop)
+    socket.on('close', onClosed)
+    options.onLine?.(socket, closed)
+    scheduleIdleSweep()
+    server.emit('connection', socket)
   }
-  // One timer for all connections, set while there are any.
-  let watching = false
-  function watchQuiet(): void {
-    if (watching || opt.quiet === undefined) return
-    watching = true
-    world.later(opt.quiet / 4, endQuiet)
+  /** One timer serves all connections, and is set while there are any. */
+  let isTimerSet = false
+  function scheduleIdleSweep(): void {
+    if (isTimerSet || options.quiet === undefined) return
+    isTimerSet = true
+    world.later(options.quiet / 4, closeIdleConnections)
   }
-  function endQuiet(): void {
-    watching = false
+  function closeIdleConnections(): void {
+    isTimerSet = false
     const now = world.now()
-    for (const [sock, one] of lines)
-      if (now - one.last >= opt.quiet! + (one.busy > 0 ? BODY_TIMEOUT_MS : 0)) sock.destroy()
-    if (lines.size > 0) watchQuiet()
+    for (const [socket, connection] of connections)
+      if (now - connection.lastUsedAt >= options.quiet! + (connection.openRequests > 0 ? BODY_TIMEOUT_MS : 0))
+        socket.destroy()
+    if (connections.size > 0) scheduleIdleSweep()
   }
-  const listener = await world.listen(addr, line)
+  const listener = await world.listen(addr, acceptConnection)
 
   async function idle(): Promise<void> {
-    while (busy > 0) await quiet.wait()
+    while (openRequests > 0) await becameIdle.wait()
   }
   function drain(): void {
-    ending = true
+    isDraining = true
   }
-  function linesNow(): number {
-    return lines.size
+  function connectionCount(): number {
+    return connections.size
   }
-  // Takes no new connections, so that a caller's dial fails with nothing sent; then ends each connection once it
-  // is idle and has been for LINE_GRACE. A request on its way to one idle for longer is lost with it, so drain()
-  // comes well before. Whoever is not done by then (a reader who follows, say) is ended all the same.
-  async function close(ms = DRAIN_TAIL_MS): Promise<void> {
-    ending = true
-    const done = listener.close()
-    const until = world.now() + ms
-    while (lines.size > 0) {
+  /**
+   * Accepts no new connections, so that a caller's dial fails before it sends anything; then closes each connection
+   * once it has been idle for CONNECTION_GRACE_MS. A request on its way to one that was idle longer is lost with it,
+   * so drain() has to come well before. At the timeout the remaining connections (such as followers of a stream) are
+   * closed regardless.
+   */
+  async function close(timeoutMs = DRAIN_TAIL_MS): Promise<void> {
+    isDraining = true
+    const listenerClosed = listener.close()
+    const deadline = world.now() + timeoutMs
+    while (connections.size > 0) {
       const now = world.now()
-      for (const [sock, one] of lines)
-        if (now >= until || (one.busy === 0 && now - one.last >= CONNECTION_GRACE_MS)) sock.destroy()
-      if (lines.size > 0) await pause(world, CONNECTION_GRACE_MS / 5)
+      for (const [socket, connection] of connections)
+        if (now >= deadline || (connection.openRequests === 0 && now - connection.lastUsedAt >= CONNECTION_GRACE_MS))
+          socket.destroy()
+      if (connections.size > 0) await pause(world, CONNECTION_GRACE_MS / 5)
     }
-    await done
+    await listenerClosed
   }
-  function busyNow(): number {
-    return busy
+  function openRequestCount(): number {
+    return openRequests
   }
-  return { drain, close, busy: busyNow, lines: linesNow, idle }
+  return { drain, close, busy: openRequestCount, lines: connectionCount, idle }
 }
--- a/packages/base/src/streams.ts
+++ b/packages/base/src/streams.ts
@@ -4,83 +4,94 @@
 import { makeFlag, noop, pause } from './waiting.js'
 import type { Address, World } from './world.js'
 
-// A listener for connections that each are one long talk, with the same planned end as the HTTP edge's.
-// resting: nothing is asked and nothing is open, so that an end harms nobody; late: though it may have come to ask. end: says its last and closes.
-// hasBegun: the other side has said what it came for; one that doesn't within SESSION_START_TIMEOUT_MS is closed.
+/** Handler of one accepted connection, which is one long-lived session. */
 export type ConnectionHandler = {
+  /**
+   * Whether no request and no transaction is open, so that closing interrupts nothing. With late, this includes a
+   * connection whose client is expected to send a request next.
+   */
   resting: (late?: boolean) => boolean
+  /** Whether the client has begun its session; if not within SESSION_START_TIMEOUT_MS, the connection is closed. */
   hasBegun: () => boolean
+  /** Sends the last message and closes the connection. */
   end: () => void
+  /** Called when the connection has closed. */
   gone: () => void
 }
-// answered: to be called after each answer, so that a planned end can come right then. busy: by how many more questions.
-export type ConnectionSlot = { busy: (by: number) => void; answered: () => void }
+/**
+ * What the listener offers to a handler. busy: changes the number of open requests by the difference. answered: called
+ * after each answer, so that a draining listener can close the connection right then.
+ */
+export type ConnectionSlot = { busy: (difference: number) => void; answered: () => void }
 
+/** Listens for connections with long-lived sessions; drains and closes like the HTTP listener. */
 export async function serveStreams(
   world: World,
   addr: Address,
-  open: (stream: Duplex, seat: ConnectionSlot) => ConnectionHandler,
-  most: number = MAX_EDGE_CONNECTIONS,
+  openHandler: (stream: Duplex, slot: ConnectionSlot) => ConnectionHandler,
+  maxConnections: number = MAX_EDGE_CONNECTIONS,
 ): Promise<HttpListener> {
-  const talks = new Map<Duplex, ConnectionHandler>()
-  let busy = 0
-  let ending = false
-  let quiet = makeFlag()
+  const handlers = new Map<Duplex, ConnectionHandler>()
+  let openRequests = 0
+  let isDraining = false
+  let becameIdle = makeFlag()
 
-  function count(by: number): void {
-    busy += by
-    if (busy > 0) return
-    quiet.fire()
-    quiet = makeFlag()
+  function addOpenRequests(difference: number): void {
+    openRequests += difference
+    if (openRequests > 0) return
+    becameIdle.fire()
+    becameIdle = makeFlag()
   }
   function accept(stream: Duplex): void {
     stream.on('error', noop)
-    if (talks.size >= most) {
+    if (handlers.size >= maxConnections) {
       stream.destroy()
       return
     }
-    function answered(): void {
-      if (ending && talk.resting()) talk.end()
+    function endIfIdle(): void {
+      if (isDraining && handler.resting()) handler.end()
     }
-    const talk = open(stream, { busy: count, answered })
-    talks.set(stream, talk)
+    const handler = openHandler(stream, { busy: addOpenRequests, answered: endIfIdle })
+    handlers.set(stream, handler)
     function closeUnlessBegun(): void {
-      if (!talk.hasBegun()) stream.destroy()
+      if (!handler.hasBegun()) stream.destroy()
     }
-    const cancelStart = world.later(SESSION_START_TIMEOUT_MS, closeUnlessBegun)
-    function over(): void {
-      cancelStart()
-      talks.delete(stream)
-      talk.gone()
+    const cancelStartTimeout = world.later(SESSION_START_TIMEOUT_MS, closeUnlessBegun)
+    function onClosed(): void {
+      cancelStartTimeout()
+      handlers.delete(stream)
+      handler.gone()
     }
-    stream.on('close', over)
+    stream.on('close', onClosed)
   }
   const listener = await world.listen(addr, accept)
 
-  // Whoever rests is let go at once, the others right after the answer that brings them to rest. New ones are still
-  // taken: whoever hands them out learns a little later that this node leaves.
+  /**
+   * Closes idle connections at once, the others right after the answer that makes them idle. New ones are still
+   * accepted, as load balancers learn a little later that this node leaves.
+   */
   function drain(): void {
-    if (ending) return
-    ending = true
-    for (const talk of [...talks.values()]) if (talk.resting()) talk.end()
+    if (isDraining) return
+    isDraining = true
+    for (const handler of [...handlers.values()]) if (handler.resting()) handler.end()
   }
-  async function close(ms = DRAIN_TAIL_MS): Promise<void> {
+  async function close(timeoutMs = DRAIN_TAIL_MS): Promise<void> {
     drain()
-    const done = listener.close()
-    for (const talk of [...talks.values()]) if (talk.resting(true)) talk.end()
-    const until = world.now() + ms
-    while (talks.size > 0 && world.now() < until) await pause(world, CONNECTION_GRACE_MS / 5)
-    for (const stream of [...talks.keys()]) stream.destroy()
-    await done
+    const listenerClosed = listener.close()
+    for (const handler of [...handlers.values()]) if (handler.resting(true)) handler.end()
+    const deadline = world.now() + timeoutMs
+    while (handlers.size > 0 && world.now() < deadline) await pause(world, CONNECTION_GRACE_MS / 5)
+    for (const stream of [...handlers.keys()]) stream.destroy()
+    await listenerClosed
   }
   async function idle(): Promise<void> {
-    while (busy > 0) await quiet.wait()
+    while (openRequests > 0) await becameIdle.wait()
   }
-  function linesNow(): number {
-    return talks.size
+  function connectionCount(): number {
+    return handlers.size
   }
-  function busyNow(): number {
-    return busy
+  function openRequestCount(): number {
+    return openRequests
   }
-  return { drain, close, busy: busyNow, lines: linesNow, idle }
+  return { drain, close, busy: openRequestCount, lines: connectionCount, idle }
 }
