--- a/packages/base/src/cbor.ts
+++ b/packages/base/src/cbor.ts
@@ -1,6 +1,6 @@
 import { Encoder } from 'cbor-x'
 
-// Plain CBOR without cbor-x's own record extension, so that any CBOR reader can look at files and links.
+/** Plain CBOR without the record extension of cbor-x, so that any CBOR reader can decode files and frames. */
 const coder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false })
 
 export function encode(body: unknown): Uint8Array {
--- a/packages/base/src/log.ts
+++ b/packages/base/src/log.ts
@@ -1,14 +1,17 @@
 import { createConsola } from 'consola/core'
 
-export type Fields = { readonly [name: string]: unknown } // eslint-disable-line no-restricted-syntax -- the fields of one log line, never looked up
+// eslint-disable-next-line no-restricted-syntax -- fields of one log line, never looked up by name
+export type Fields = { readonly [name: string]: unknown }
+/** Structured log: an event name with fields. */
 export type Log = {
   info: (event: string, fields?: Fields) => void
   warn: (event: string, fields?: Fields) => void
   error: (event: string, fields?: Fields) => void
+  /** A log that adds these fields to every line. */
   with: (fields: Fields) => Log
 }
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   const text =
     typeof value === 'string'
       ? value
@@ -18,41 +21,43 @@
   return /^[\w.:/@+,-]+$/.test(text) ? text : JSON.stringify(text)
 }
 
+/** Formats one log line of key=value pairs; undefined fields are left out. */
 export function formatLine(level: string, event: string, fields: Fields): string {
   let line = `level=${level} event=${event}`
   // eslint-disable-next-line no-restricted-syntax -- fields of one line, in the order given
-  for (const [name, value] of Object.entries(fields)) if (value !== undefined) line += ` ${name}=${show(value)}`
+  for (const [name, value] of Object.entries(fields)) if (value !== undefined) line += ` ${name}=${formatValue(value)}`
   return line
 }
 
-type Sink = (level: string, line: string) => void
+type LogSink = (level: string, line: string) => void
 
-export function logTo(sink: Sink, base: Fields = {}): Log {
+/** A log that passes each formatted line to the sink. */
+export function logTo(sink: LogSink, baseFields: Fields = {}): Log {
   function info(event: string, fields: Fields = {}): void {
-    sink('info', formatLine('info', event, { ...base, ...fields }))
+    sink('info', formatLine('info', event, { ...baseFields, ...fields }))
   }
   function warn(event: string, fields: Fields = {}): void {
-    sink('warn', formatLine('warn', event, { ...base, ...fields }))
+    sink('warn', formatLine('warn', event, { ...baseFields, ...fields }))
   }
   function error(event: string, fields: Fields = {}): void {
-    sink('error', formatLine('error', event, { ...base, ...fields }))
+    sink('error', formatLine('error', event, { ...baseFields, ...fields }))
   }
-  function more(fields: Fields): Log {
-    return logTo(sink, { ...base, ...fields })
+  function withFields(fields: Fields): Log {
+    return logTo(sink, { ...baseFields, ...fields })
   }
-  return { info, warn, error, with: more }
+  return { info, warn, error, with: withFields }
 }
 
-// One key=value line per event on stderr, through consola with a reporter of ours.
-export function makeLog(base: Fields = {}): Log {
+/** Writes one key=value line per event to stderr, through consola with a custom reporter. */
+export function makeLog(baseFields: Fields = {}): Log {
   function log(entry: { args: unknown[] }): void {
     process.stderr.write(`time=${new Date().toISOString()} ${entry.args.join(' ')}\n`)
   }
-  const out = createConsola({ level: 4, reporters: [{ log }] })
+  const consola = createConsola({ level: 4, reporters: [{ log }] })
   function sink(level: string, line: string): void {
-    if (level === 'error') out.error(line)
-    else if (level === 'warn') out.warn(line)
-    else out.info(line)
+    if (level === 'error') consola.error(line)
+    else if (level === 'warn') consola.warn(line)
+    else consola.info(line)
   }
-  return logTo(sink, base)
+  return logTo(sink, baseFields)
 }
--- a/packages/base/src/metrics.ts
+++ b/packages/base/src/metrics.ts
@@ -1,33 +1,35 @@
 /**
- * Counters and gauges of one process, written out as Prometheus text.
- * Invariant: a counter never goes down within a process's life.
+ * Counters and gauges of one process, exposed as Prometheus text.
+ *
+ * Invariant: a counter never decreases during the life of a process.
  */
 
-/** Pairs of a label's name and its value, in the order in which they are written. */
+/** Pairs of label name and value, in output order. */
 export type Labels = [string, string][]
 
 export type Metrics = {
-  /** Counts up. */
-  add: (name: string, labels?: Labels, by?: number) => void
+  /** Increments a counter, by 1 unless given. */
+  add: (name: string, labels?: Labels, increment?: number) => void
   /** Sets a gauge. */
-  set: (name: string, labels: Labels, to: number) => void
+  set: (name: string, labels: Labels, value: number) => void
+  /** The value of one series, 0 if it does not exist. */
   get: (name: string, labels?: Labels) => number
-  /** The sum of all series of this name, whatever their labels. */
+  /** The sum of all series of this name over all labels. */
   sum: (name: string) => number
-  /** All series as Prometheus text, by name. */
+  /** All series as Prometheus text, sorted by name. */
   text: () => string
 }
 
 type Kind = 'counter' | 'gauge'
 
-/** A series as Prometheus writes it: its name, and its labels in braces. */
+/** A series in Prometheus notation: its name, followed by its labels in braces. */
 function seriesOf(name: string, labels: Labels): string {
   if (labels.length === 0) return name
-  let list = ''
+  let labelText = ''
   for (const [label, value] of labels) {
-    list += `${list === '' ? '' : ','}${label}="${value.replace(/["\\\n]/g, '_')}"`
+    labelText += `${labelText === '' ? '' : ','}${label}="${value.replace(/["\\\n]/g, '_')}"`
   }
-  return `${name}{${list}}`
+  return `${name}{${labelText}}`
 }
 
 function isSeriesOf(series: string, name: string): boolean {
@@ -38,14 +40,14 @@
   const values = new Map<string, number>()
   const kinds = new Map<string, Kind>()
 
-  function add(name: string, labels: Labels = [], by = 1): void {
+  function add(name: string, labels: Labels = [], increment = 1): void {
     const series = seriesOf(name, labels)
     kinds.set(name, 'counter')
-    values.set(series, (values.get(series) ?? 0) + by)
+    values.set(series, (values.get(series) ?? 0) + increment)
   }
-  function set(name: string, labels: Labels, to: number): void {
+  function set(name: string, labels: Labels, value: number): void {
     kinds.set(name, 'gauge')
-    values.set(seriesOf(name, labels), to)
+    values.set(seriesOf(name, labels), value)
   }
   function get(name: string, labels: Labels = []): number {
     return values.get(seriesOf(name, labels)) ?? 0
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -5,103 +5,115 @@
 import type { World } from './world.js'
 import { Ok, Err, type Result } from './result.js'
 
-// Settings of one process: a JSON file, with flags that go before it. Lists in flags are parted by commas.
+/** Command-line flags of one process, as name and value; they override its settings file. */
 export type Flags = [string, string][]
 
-// How a settings file is written: JSON of ours, unless a source says otherwise. open: fields that we don't know are ignored.
+/** File format of settings, JSON by default. open: unknown fields are ignored instead of reported. */
 export type Format = { name: string; parse: (text: string) => unknown; open: boolean }
 function parseJson(text: string): unknown {
   return JSON.parse(text)
 }
 const JSON_FORMAT: Format = { name: 'JSON', parse: parseJson, open: false }
 
-function parse(path: string, bytes: Uint8Array | undefined, format: Format): Result<object, Finding[]> {
+function parseSettings(path: string, bytes: Uint8Array | undefined, format: Format): Result<object, Finding[]> {
   if (!bytes) return Err([{ place: path, what: 'no such file' }])
   let value: unknown
   try {
     value = format.parse(Buffer.from(bytes).toString('utf8'))
-  } catch (e) {
-    return Err([{ place: path, what: `malformed ${format.name}: ${(e as Error).message}` }])
+  } catch (error) {
+    return Err([{ place: path, what: `malformed ${format.name}: ${(error as Error).message}` }])
   }
   if (value === null || typeof value !== 'object' || Array.isArray(value))
     return Err([{ place: path, what: 'expected an object' }])
   return Ok(value)
 }
 
+/** Where the settings of a process come from: a file and the flags that override it. */
 export type Source<T> = {
   path: string | undefined
   flags: Flags
+  /** Flags whose values are lists separated by commas. */
   lists: string[]
-  more?: (set: T) => Finding[]
+  /** Further checks of decoded settings. */
+  more?: (settings: T) => Finding[]
   format?: Format
 }
 
+/** Reads and checks the settings; on failure all findings come back, each with its file or flag. */
 export async function readSettings<T>(
   world: World,
   codec: t.Type<T, unknown, unknown>,
-  from: Source<T>,
+  source: Source<T>,
 ): Promise<Result<T, Finding[]>> {
-  const all = new Map<string, unknown>()
-  const format = from.format ?? JSON_FORMAT
-  if (from.path !== undefined) {
-    const got = parse(from.path, await world.disk.read(from.path), format)
-    if (got.err) return got
-    // eslint-disable-next-line no-restricted-syntax -- walking a JSON document as it came
-    for (const [name, value] of Object.entries(got.val)) all.set(name, value)
+  const document = new Map<string, unknown>()
+  const format = source.format ?? JSON_FORMAT
+  if (source.path !== undefined) {
+    const parsed = parseSettings(source.path, await world.disk.read(source.path), format)
+    if (parsed.err) return parsed
+    // eslint-disable-next-line no-restricted-syntax -- iterates over a JSON document as received
+    for (const [name, value] of Object.entries(parsed.val)) document.set(name, value)
   }
-  for (const [name, text] of from.flags) all.set(name, from.lists.includes(name) ? text.split(',') : text)
-  // eslint-disable-next-line no-restricted-syntax -- the codec reads a JSON document
-  const read = (format.open ? readAs : readStrict)(codec, Object.fromEntries(all))
-  const more = read.ok && from.more ? from.more(read.val) : []
-  const got: Result<T, Finding[]> = more.length > 0 ? Err(more) : read
-  if (got.ok) return got
-  const out: Finding[] = []
-  const flagged = new Set<string>()
-  for (const [name] of from.flags) flagged.add(name)
-  for (const f of got.val) {
-    const name = f.place.split('/')[1] ?? ''
-    const place = flagged.has(name) ? `--${name}` : from.path !== undefined ? `${from.path}${f.place}` : `--${name}`
-    out.push({ place, what: f.what })
+  for (const [name, text] of source.flags) document.set(name, source.lists.includes(name) ? text.split(',') : text)
+  // eslint-disable-next-line no-restricted-syntax -- the codec decodes a JSON document
+  const decoded = (format.open ? readAs : readStrict)(codec, Object.fromEntries(document))
+  const furtherFindings = decoded.ok && source.more ? source.more(decoded.val) : []
+  const result: Result<T, Finding[]> = furtherFindings.length > 0 ? Err(furtherFindings) : decoded
+  if (result.ok) return result
+  const findings: Finding[] = []
+  const flagNames = new Set<string>()
+  for (const [name] of source.flags) flagNames.add(name)
+  for (const finding of result.val) {
+    const name = finding.place.split('/')[1] ?? ''
+    const place = flagNames.has(name)
+      ? `--${name}`
+      : source.path !== undefined
+        ? `${source.path}${finding.place}`
+        : `--${name}`
+    findings.push({ place, what: finding.what })
   }
-  return Err(out)
+  return Err(findings)
 }
 
-// Reads a settings file again when it changed or when signalled (SIGHUP). A bad new file is told
-// whole, and the old settings stay in force.
+/**
+ * Watches a settings file for changes, every SETTINGS_INTERVAL_MS and when signalled (SIGHUP). All findings of an
+ * invalid new file are logged, and the old settings stay in force.
+ */
 export function watchSettings<T>(
   world: World,
   codec: t.Type<T, unknown, unknown>,
-  from: Source<T>,
+  source: Source<T>,
   stop: Flag,
   signal: Signal,
-  apply: (next: T) => void,
+  apply: (settings: T) => void,
 ): void {
-  const { path } = from
+  const { path } = source
   if (path === undefined) return
-  let last: string | undefined
-  async function look(): Promise<void> {
+  let lastText: string | undefined
+  async function reloadIfChanged(): Promise<void> {
     const bytes = await world.disk.read(path as string)
     const text = bytes ? Buffer.from(bytes).toString('utf8') : ''
-    if (last === undefined) {
-      last = text
+    if (lastText === undefined) {
+      lastText = text
       world.log.info('settings-watched', { path })
       return
     }
-    if (text === last) return
-    last = text
-    const got = await readSettings(world, codec, from)
-    if (got.err) {
-      for (const f of got.val) world.log.error('settings-refused', { place: f.place, what: f.what })
+    if (text === lastText) return
+    lastText = text
+    const result = await readSettings(world, codec, source)
+    if (result.err) {
+      for (const finding of result.val)
+        world.log.error('settings-refused', { place: finding.place, what: finding.what })
       return
     }
     world.log.info('settings-read', { path })
-    apply(got.val)
+    apply(result.val)
   }
-  void loop(world, 'settings', SETTINGS_INTERVAL_MS, stop, look, signal)
+  void loop(world, 'settings', SETTINGS_INTERVAL_MS, stop, reloadIfChanged, signal)
 }
 
+/** One line of text for each finding. */
 export function showFindings(findings: Finding[]): string {
-  let out = ''
-  for (const f of findings) out += `${f.place}: ${f.what}\n`
-  return out
+  let text = ''
+  for (const finding of findings) text += `${finding.place}: ${finding.what}\n`
+  return text
 }
