--- a/packages/agent/src/agent-settings.ts
+++ b/packages/agent/src/agent-settings.ts
@@ -1,6 +1,6 @@
 import type { Address, Metrics } from '@claynotch/base'
 import type { Credential } from '@claynotch/operator'
-import type { CorePlace, CoreSet, QuotaService, RegisterValue } from '@claynotch/register'
+import type { CoreMember, CoreSet, QuotaService, RegisterValue } from '@claynotch/register'
 import type { QuotaTolerance } from './quota-limits.js'
 
 export type AgentSettings = {
@@ -18,7 +18,7 @@
   coreSet?: () => CoreSet
   /** The core machine that runs in this process, which is told each later set, and passes questions about quotas on. */
   core?: {
-    place: () => CorePlace
+    place: () => CoreMember
     adopt: (next: CoreSet) => Promise<void>
     serveQuotas: (service: QuotaService) => void
   }
@@ -31,7 +31,7 @@
   operators?: Credential[]
   build: string
   /** ms; default: SUSPICION_TIMEOUT_MS. */
-  suspect?: number
+  suspicionTimeoutMs?: number
 }
 
 /** What a changed settings file may change while the agent runs. */
--- a/packages/agent/src/core-links.ts
+++ b/packages/agent/src/core-links.ts
@@ -11,9 +11,9 @@
   type World,
 } from '@claynotch/base'
 import {
-  askSeeds,
+  fetchCoreSetFromSeeds,
   makeCoreView,
-  NO_SET,
+  EMPTY_CORE_SET,
   quorumOf,
   RegisterPush,
   votersOf,
@@ -87,7 +87,7 @@
 ): CoreLinks {
   const hello = makeHello('agent', settings.node)
   const links = new Map<string, HeldCoreLink>()
-  let coreSet: CoreSet = NO_SET
+  let coreSet: CoreSet = EMPTY_CORE_SET
   let adoptedAt = 0
   let isRediscovering = false
 
@@ -144,8 +144,8 @@
     events.adopted(next, isFirst)
   }
   async function discover(): Promise<void> {
-    const known = settings.knownCoreSet?.() ?? NO_SET
-    const found = known.cores.length > 0 ? { seed: undefined, set: known } : await askSeeds(world, settings.seeds())
+    const known = settings.knownCoreSet?.() ?? EMPTY_CORE_SET
+    const found = known.cores.length > 0 ? { seed: undefined, set: known } : await fetchCoreSetFromSeeds(world, settings.seeds())
     if (!found || stop.fired()) return
     adopt(found.set)
     world.log.info('core-set-found', { seed: found.seed ?? 'itself', cores: coreSet.cores.length })
@@ -153,7 +153,7 @@
   async function rediscover(): Promise<void> {
     if (isRediscovering) return
     isRediscovering = true
-    const found = await askSeeds(world, settings.seeds(), coreSet.epoch)
+    const found = await fetchCoreSetFromSeeds(world, settings.seeds(), coreSet.epoch)
     isRediscovering = false
     if (found) adopt(found.set)
   }
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -14,7 +14,7 @@
   type PersistentLink,
   type World,
 } from '@claynotch/base'
-import { holderOf } from '@claynotch/failover'
+import { dutyHolderOf } from '@claynotch/failover'
 import {
   CoreSet,
   CORESET_KEY,
@@ -22,7 +22,7 @@
   hasCore,
   quorumOf,
   votersOf,
-  type CorePlace,
+  type CoreMember,
   type Proposer,
   type Committed,
   type CoreState,
@@ -43,7 +43,7 @@
   learn: (key: string, value: RegisterValue, ballot: [number, string]) => void
   coreSet: () => { set: CoreSet; since: number }
   core: (id: string) => { held: PersistentLink; heard: number } | undefined
-  spares: () => CorePlace[]
+  spares: () => CoreMember[]
   mostVoters: number
 }
 
@@ -60,7 +60,7 @@
   let seen = new Map<string, number>()
 
   // What these cores say of themselves under this very set.
-  async function askStates(set: CoreSet, places: CorePlace[]): Promise<Map<string, CoreState>> {
+  async function askStates(set: CoreSet, places: CoreMember[]): Promise<Map<string, CoreState>> {
     const states = await askCores(places, view.core)
     for (const [id, state] of states) if (state.set.epoch !== set.epoch) states.delete(id)
     return states
@@ -80,11 +80,11 @@
   // --- which set is to follow ---
 
   // Machines that may become voters, those that came together at one time.
-  function freshMachines(): CorePlace[] {
+  function freshMachines(): CoreMember[] {
     const now = world.now()
     const before = seen
     seen = new Map()
-    const out: CorePlace[] = []
+    const out: CoreMember[] = []
     for (const place of view.spares()) {
       const token = `${place.id} ${place.token}`
       seen.set(token, before.get(token) ?? now)
@@ -95,7 +95,7 @@
       return now - at < JOIN_BATCH_WINDOW_MS
     }
     if ([...seen.values()].some(isRecent)) return []
-    function byTried(a: CorePlace, b: CorePlace): number {
+    function byTried(a: CoreMember, b: CoreMember): number {
       return (tried.get(a.id) ?? -1) - (tried.get(b.id) ?? -1) || (a.id < b.id ? -1 : 1)
     }
     return out.sort(byTried)
@@ -121,7 +121,7 @@
       for (const state of states.values()) if (state.hears.includes(id)) return true
       return false
     }
-    const next = planVoters({ set, fresh, silence, well, isHeardByOthers, mostVoters: view.mostVoters })
+    const next = planVoters({ set, joining: fresh, silence, serving: well, isHeardByOthers, mostVoters: view.mostVoters })
     if (!next) return
     const got = await propose(set, { epoch: set.epoch + 1, cores: set.cores, next })
     world.log.info('core-set-change', {
@@ -166,18 +166,18 @@
     return true
   }
   // The joint set ends in the next one once its newcomers vote, or in the one before it where a newcomer doesn't come.
-  async function finish(set: CoreSet, next: CorePlace[], since: number): Promise<void> {
-    function isNewcomer(place: CorePlace): boolean {
+  async function finish(set: CoreSet, next: CoreMember[], since: number): Promise<void> {
+    function isNewcomer(place: CoreMember): boolean {
       return !hasCore(set.cores, place.id)
     }
     const newcomers = next.filter(isNewcomer)
     const states = await askStates(set, newcomers)
-    function isMissing(place: CorePlace): boolean {
+    function isMissing(place: CoreMember): boolean {
       return states.get(place.id)?.serving !== true
     }
     const missing = newcomers.filter(isMissing)
     const waited = world.now() - since
-    function isGone(place: CorePlace): boolean {
+    function isGone(place: CoreMember): boolean {
       return waited > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
     }
     const gone = missing.filter(isGone)
@@ -203,7 +203,7 @@
     watchMargin(set, await askCores(votersOf(set), view.core))
   }
   async function look(): Promise<void> {
-    if (world.now() >= view.leaseExpiresAt() || holderOf(CORESET_KEY, view.live()) !== view.node) return
+    if (world.now() >= view.leaseExpiresAt() || dutyHolderOf(CORESET_KEY, view.live()) !== view.node) return
     const { set, since } = view.coreSet()
     if (set.cores.length === 0) return
     if (set.next) await finish(set, set.next, since)
@@ -216,7 +216,7 @@
 }
 
 /** The ids of the first list that the second lacks. */
-function namesWithout(places: CorePlace[], others: CorePlace[]): string {
+function namesWithout(places: CoreMember[], others: CoreMember[]): string {
   const out: string[] = []
   for (const place of places) if (!hasCore(others, place.id)) out.push(place.id)
   return out.join()
--- a/packages/agent/src/core-status.ts
+++ b/packages/agent/src/core-status.ts
@@ -2,10 +2,10 @@
 import type { CoreLine, CoreStatus } from '@claynotch/operator'
 import {
   hasCore,
-  lossesBorne,
+  tolerableLosses,
   quorumOf,
   votersOf,
-  type CorePlace,
+  type CoreMember,
   type CoreSet,
   type CoreState,
 } from '@claynotch/register'
@@ -16,12 +16,12 @@
 export type CoreStatusView = {
   coreSet: () => CoreSet
   core: (id: string) => { held: PersistentLink; heard: number } | undefined
-  spares: () => CorePlace[]
+  spares: () => CoreMember[]
 }
 
 /** What each of these cores says of itself; whoever didn't answer isn't there. */
 export async function askCores(
-  places: CorePlace[],
+  places: CoreMember[],
   core: (id: string) => { held: PersistentLink } | undefined,
 ): Promise<Map<string, CoreState>> {
   const out = new Map<string, CoreState>()
@@ -77,7 +77,7 @@
     epoch: set.epoch,
     changing: set.next !== undefined,
     quorum: quorumOf(set).met(voting),
-    lossesBorne: Math.max(0, lossesBorne(set, voting)),
+    lossesBorne: Math.max(0, tolerableLosses(set, voting)),
     cores,
     spares: spares.sort(),
   }
@@ -89,7 +89,7 @@
   let short = false
   function watch(set: CoreSet, states: Map<string, CoreState>): void {
     const voting = votingOf(set, states)
-    const borne = lossesBorne(set, voting)
+    const borne = tolerableLosses(set, voting)
     // Without a quorum it stays as it was said last: the next loss has come.
     if (borne < 0 || short === (borne === 0)) return
     short = borne === 0
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership.ts
@@ -7,7 +7,7 @@
   type World,
 } from '@claynotch/base'
 import type { Peer } from '@claynotch/peer'
-import { gatherQuorum, MembersAnswer, type CorePlace, type Member, type MemberEntry } from '@claynotch/register'
+import { gatherQuorum, MembersAnswer, type CoreMember, type Member, type MemberEntry } from '@claynotch/register'
 import type { CoreLinks } from './core-links.js'
 import { makeMemberSources, type Candidate } from './member-sources.js'
 
@@ -23,7 +23,7 @@
   proxyCount: () => number
   peers: () => Peer[]
   /** Core machines that are no voters, with the token under which they may become one. */
-  spareCores: () => CorePlace[]
+  spareCores: () => CoreMember[]
   tellsMembers: (core: string) => boolean
   /** Chooses the cores that are to tell of members. */
   chooseSources: () => void
@@ -123,8 +123,8 @@
     for (const member of members) out.push({ node: member.node, addr: member.addr, proxy: member.proxy })
     return out
   }
-  function spareCores(): CorePlace[] {
-    const out: CorePlace[] = []
+  function spareCores(): CoreMember[] {
+    const out: CoreMember[] = []
     for (const { core } of members) if (core?.token !== undefined && !links.get(core.id)) out.push(core)
     return out
   }
--- a/packages/agent/src/quota-holder.ts
+++ b/packages/agent/src/quota-holder.ts
@@ -12,7 +12,7 @@
   type Signal,
   type World,
 } from '@claynotch/base'
-import { holderOf } from '@claynotch/failover'
+import { dutyHolderOf } from '@claynotch/failover'
 import { CONFIG_KEY, type Config } from '@claynotch/operator'
 import {
   makeLedger,
@@ -29,7 +29,7 @@
   quotaKey,
   quotaSlotOf,
   votersOf,
-  type CorePlace,
+  type CoreMember,
   type CoreSet,
   type Proposer,
   type QuotaRefusal,
@@ -49,7 +49,7 @@
   node: string
   life: string
   /** The core in this process. */
-  place: () => CorePlace
+  place: () => CoreMember
   proposer: Proposer
   registers: RegisterCache
   membership: Membership
@@ -161,7 +161,7 @@
     const voters = votersOf(view.coreSet())
     for (const member of membership.list())
       if (member.core && hasCore(voters, member.core.id)) candidates.push(member.node)
-    return votes() && holderOf(quotaKey(slot), candidates) === node
+    return votes() && dutyHolderOf(quotaKey(slot), candidates) === node
   }
   /** Whether the holder named there holds no lease any more, as a majority shows that has forgotten nobody. */
   function isGone(before: QuotaHolder, read: MembersRead | undefined): boolean {
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -44,7 +44,7 @@
   /** Looks, after a renewal, whether another core should be subscribed at. */
   choose: (sources: SubscriptionSource[], epoch: number) => Promise<void>
   /** The link to this core was dialled anew: it knows of no subscription. */
-  linkedAnew: (id: string) => void
+  linkReestablished: (id: string) => void
   at: () => string | undefined
 }
 
@@ -141,5 +141,5 @@
   function at(): string | undefined {
     return current
   }
-  return { choose, linkedAnew, at }
+  return { choose, linkReestablished: linkedAnew, at }
 }
--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -1,5 +1,5 @@
 import { MAX_KNOWN_INSTANCES, RETRIES_WORTH_TELLING, SUMMARY_VERSION, WITNESS_COUNT, type World } from '@claynotch/base'
-import { holderOf, type InstanceObservations } from '@claynotch/failover'
+import { dutyHolderOf, type InstanceObservations } from '@claynotch/failover'
 import type { Saying, Summary } from '@claynotch/peer'
 import { groupKey, type GroupRecord, type ProxyReport } from '@claynotch/register'
 import type { InstanceTable } from './instance-table.js'
@@ -48,7 +48,7 @@
     dutiesOf.clear()
     const nodes = view.dutyNodes()
     for (const group of view.groups()) {
-      const holder = holderOf(groupKey(group), nodes)
+      const holder = dutyHolderOf(groupKey(group), nodes)
       if (holder === undefined) continue
       const held = dutiesOf.get(holder) ?? new Set<string>()
       dutiesOf.set(holder, held.add(group))
--- a/packages/claynotch/src/machine.ts
+++ b/packages/claynotch/src/machine.ts
@@ -1,13 +1,13 @@
 import { parseAddr, type Address, type World } from '@claynotch/base'
 import {
-  ownAdapters,
+  defaultAdapters,
   startAgent,
   type Agent,
   type AgentAdapters,
   type AgentSettings,
   type QuotaTolerance,
 } from '@claynotch/agent'
-import { foundersOf, startCore, type Core, type CoreSet } from '@claynotch/register'
+import { foundersFromSeeds, startCore, type Core, type CoreSet } from '@claynotch/register'
 import { BUILD } from './build.js'
 
 // A core machine whose process is told neither its set nor its name in it. link: where it takes links; every machine of the
@@ -36,14 +36,14 @@
 export async function startCoreMachine(
   world: World,
   set: CoreMachineSettings,
-  edges: AgentAdapters = ownAdapters,
+  edges: AgentAdapters = defaultAdapters,
 ): Promise<CoreMachine> {
   let { seeds } = set
   function seedsNow(): Address[] {
     return seeds
   }
   const { host, port } = parseAddr(set.link)
-  const founders = set.first ? foundersOf(seeds, port) : undefined
+  const founders = set.first ? foundersFromSeeds(seeds, port) : undefined
   const core = await startCore(world, {
     id: host,
     addr: set.link,
@@ -87,10 +87,10 @@
 export async function startFrontAgent(
   world: World,
   set: FrontAgentSettings,
-  edges: AgentAdapters = ownAdapters,
+  edges: AgentAdapters = defaultAdapters,
 ): Promise<Agent> {
   const { corePort, first, ...rest } = set
-  const founders = first ? foundersOf(set.seeds, corePort) : []
+  const founders = first ? foundersFromSeeds(set.seeds, corePort) : []
   function coreSet(): CoreSet {
     return { epoch: 0, cores: founders }
   }
--- a/packages/failover/src/failover-view.ts
+++ b/packages/failover/src/failover-view.ts
@@ -9,7 +9,7 @@
 export type FailoverView = {
   node: string
   /** ms without a good answer after which a leader is suspected. */
-  suspect: number
+  suspicionTimeoutMs: number
   instance: InstanceAdapter
   promotion: PromotionEdge
   /** Where the promotion call goes. */
@@ -25,7 +25,7 @@
   /** What is known of the group's instances. */
   instancesOf: (group: string) => InstanceStatus[]
   /** What the nodes that have a proxy told last. */
-  reports: () => InstanceObservations[]
+  observations: () => InstanceObservations[]
   /** A majority's word on the members; undefined without a majority. */
   askMembers: () => Promise<{ members: Member[]; isComplete: boolean } | undefined>
   /** The configuration as this node knows it. */
--- a/packages/failover/src/failover.ts
+++ b/packages/failover/src/failover.ts
@@ -1,17 +1,17 @@
 import { FAILOVER_INTERVAL_MS, loop, makeFlag, makeSignal, type Flag, type Signal, type World } from '@claynotch/base'
 import type { FailoverView } from './failover-view.js'
 import { startGroupFailover } from './group-failover.js'
-import { onePerGroup } from './promotion-calls.js'
+import { limitToOneCallPerGroup } from './promotion-calls.js'
 
 /** A duty that may be told to look at once. */
-export type Duty = { ring: () => void }
+export type Duty = { notify: () => void }
 
 type GroupTask = { end: Flag; signal: Signal }
 
 /** Replaces leaders: one task for each configured group, started and ended as the configuration says. */
 export function startFailover(world: World, view: FailoverView, stop: Flag): Duty {
   const tasks = new Map<string, GroupTask>()
-  const promote = onePerGroup(view.promotion)
+  const promote = limitToOneCallPerGroup(view.promotion)
 
   function start(group: string): GroupTask {
     const end = makeFlag()
@@ -33,5 +33,5 @@
     for (const { signal } of tasks.values()) signal.notify()
   }
   void loop(world, 'failover', FAILOVER_INTERVAL_MS, stop, reconcile)
-  return { ring }
+  return { notify: ring }
 }
--- a/packages/failover/src/first-record.ts
+++ b/packages/failover/src/first-record.ts
@@ -49,7 +49,7 @@
 export async function writeFirstRecord(context: GroupContext, memory: GroupMemory): Promise<boolean> {
   const { world, view, instances } = context
   // Those that say that they lead are asked; all only when none does, after announcements had time to come in.
-  const hasWaited = world.now() - memory.since >= view.suspect
+  const hasWaited = world.now() - memory.since >= view.suspicionTimeoutMs
   const leaders = leadersOf(instances.list())
   if (leaders.length === 0 && !hasWaited) return false
   const probed = await instances.probe(hasWaited ? instances.list() : leaders)
--- a/packages/failover/src/group-failover.ts
+++ b/packages/failover/src/group-failover.ts
@@ -9,7 +9,7 @@
 } from '@claynotch/base'
 import type { PromotionEdge } from '@claynotch/host'
 import { groupKey, type GroupRecord } from '@claynotch/register'
-import { holderOf } from './duty-holder.js'
+import { dutyHolderOf } from './duty-holder.js'
 import type { FailoverView } from './failover-view.js'
 import { writeFirstRecord } from './first-record.js'
 import type { GroupContext } from './group-context.js'
@@ -50,7 +50,7 @@
     return record.holder !== view.node && !view.live().includes(record.holder)
   }
   function holdsDuty(): boolean {
-    return world.now() < view.leaseExpiresAt() && holderOf(key, view.live()) === view.node
+    return world.now() < view.leaseExpiresAt() && dutyHolderOf(key, view.live()) === view.node
   }
   /** Two nodes that see different members would else take it from each other as fast as rounds go. */
   async function takeOver(version: number, record: GroupRecord): Promise<void> {
--- a/packages/failover/src/leader-watch.ts
+++ b/packages/failover/src/leader-watch.ts
@@ -125,7 +125,7 @@
   // leaderOkAt is as of our own looks; where several nodes fail, they know better since when.
   const quietMs = strong && !refused ? evidence.since : world.now() - memory.leaderOkAt
   const isSure = strong || wentWithHolder(world.now(), memory, status, evidence.good)
-  const neededMs = isSure ? Math.min(CONFIRMED_SUSPICION_TIMEOUT_MS, view.suspect) : view.suspect
+  const neededMs = isSure ? Math.min(CONFIRMED_SUSPICION_TIMEOUT_MS, view.suspicionTimeoutMs) : view.suspicionTimeoutMs
   if (quietMs < neededMs) {
     if (strong) lookAgainIn(Math.min(neededMs - quietMs, PROMOTION_INTERVAL_MS * 2))
     return false
@@ -151,7 +151,7 @@
   const now = world.now()
   const status = instances.get(name)
   const followsNow = status !== undefined && status.role !== 'leader' && isSaidSince(context, status, memory)
-  let evidence = weighEvidence(view.reports(), name)
+  let evidence = weighEvidence(view.observations(), name)
   let refused = false
   const calm = isCalm(evidence, status, followsNow)
   if (calm) memory.leaderOkAt = now
@@ -159,7 +159,7 @@
     const end = await probeLeader(context, leader, record, memory)
     if (end.later) return await stopForCandidate(context, version, record, false, end.later)
     refused = end.refused
-    evidence = weighEvidence(view.reports(), name)
+    evidence = weighEvidence(view.observations(), name)
   }
   if (calm || memory.probed?.isWell === true) {
     if (memory.isSuspected) world.log.info('leader-back', { group, leader: name })
--- a/packages/failover/src/planned-replacement.ts
+++ b/packages/failover/src/planned-replacement.ts
@@ -100,7 +100,7 @@
     return one.name === name
   }
   if (!leader)
-    return spentMs > DRAIN_TIMEOUT_MS + view.suspect && (await stopForCandidate(context, version, record, false))
+    return spentMs > DRAIN_TIMEOUT_MS + view.suspicionTimeoutMs && (await stopForCandidate(context, version, record, false))
   const best = instances.furthest(successors(probed, leader, record), undefined)
   if (best && comparePositions(best.status.mark, leader.status.mark) >= 0)
     return await stopForCandidate(context, version, record, true, best)
--- a/packages/failover/src/promotion-calls.ts
+++ b/packages/failover/src/promotion-calls.ts
@@ -8,7 +8,7 @@
  * still be carried out. The group's record, not the edge that sends the call, says who is promoted: so this is decided
  * here, whatever the call looks like on the wire.
  */
-export function onePerGroup(call: PromotionEdge): PromotionEdge {
+export function limitToOneCallPerGroup(call: PromotionEdge): PromotionEdge {
   const underWay = new Set<string>()
   async function promote(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
     const { group } = what
--- a/packages/failover/src/replica-tracking.ts
+++ b/packages/failover/src/replica-tracking.ts
@@ -16,7 +16,7 @@
 /** Notes who is absent now; those who have been for long enough. */
 function longAbsent({ world, view, instances }: GroupContext, replicas: Replica[], absence: ReplicaAbsence): Replica[] {
   const announced = instances.list()
-  const reports = view.reports()
+  const reports = view.observations()
   const before = absence.since
   absence.since = new Map()
   const out: Replica[] = []
--- a/packages/failover/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -13,7 +13,7 @@
 import { comparePositions, type LogPosition, type Status } from '@claynotch/instance'
 import { callOff, CONFIG_KEY, stepMove, switchMove, type Body, type Move } from '@claynotch/operator'
 import { groupKey, type GroupRecord, type RegisterValue } from '@claynotch/register'
-import { holderOf } from './duty-holder.js'
+import { dutyHolderOf } from './duty-holder.js'
 import type { Duty } from './failover.js'
 import { addressOf, haveStopped, leadsAs, type FailoverView } from './failover-view.js'
 
@@ -181,7 +181,7 @@
       const ids = new Set<number>()
       for (const move of moves) {
         ids.add(move.id)
-        if (world.now() >= view.leaseExpiresAt() || holderOf(`move/${move.id}`, view.live()) !== view.node)
+        if (world.now() >= view.leaseExpiresAt() || dutyHolderOf(`move/${move.id}`, view.live()) !== view.node)
           memories.delete(move.id)
         else if (await work(move, view.register(CONFIG_KEY)?.turn ?? 0)) on = true
       }
@@ -196,5 +196,5 @@
     if (near) world.later(FAILOVER_INTERVAL_MS / 8, signal.notify)
   }
   void loop(world, 'move', FAILOVER_INTERVAL_MS, stop, tend, signal)
-  return { ring: signal.notify }
+  return { notify: signal.notify }
 }
--- a/packages/fleet/src/corefleet.ts
+++ b/packages/fleet/src/corefleet.ts
@@ -9,7 +9,7 @@
   type World,
 } from '@claynotch/base'
 import {
-  askSeeds,
+  fetchCoreSetFromSeeds,
   makeProposer,
   quorumOf,
   votersOf,
@@ -182,7 +182,7 @@
   async function look(): Promise<void> {
     for (;;) {
       await pause(world, 2000)
-      const got = await askSeeds(world, seeds())
+      const got = await fetchCoreSetFromSeeds(world, seeds())
       if (got) adopt(got.set)
     }
   }
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -1,4 +1,4 @@
-import { holderOf } from '@claynotch/failover'
+import { dutyHolderOf } from '@claynotch/failover'
 import type { Body, Config, Move } from '@claynotch/operator'
 import { leaderIndex, newestOf, pick, wait, type Scenario } from './harm.js'
 import { lawOf, smallShape, type Decided, type Shape, type SimFleet } from './simfleet.js'
@@ -250,7 +250,7 @@
     const id = bodyNow(f)?.moves?.[0]?.id ?? 0
     const live: string[] = []
     for (const x of f.fronts) live.push(x.node)
-    const name = holderOf(`move/${id}`, live)
+    const name = dutyHolderOf(`move/${id}`, live)
     return f.fronts.findIndex(isIt)
     function isIt(x: { node: string }): boolean {
       return x.node === name
--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -9,7 +9,7 @@
   type World,
 } from '@claynotch/base'
 import { type ProxyAdapters, startProxy } from '@claynotch/proxy'
-import { type CorePlace, startCore } from '@claynotch/register'
+import { type CoreMember, startCore } from '@claynotch/register'
 import { type InstanceRecord, startInstance } from './instance.js'
 import { type Breach, judge, type Judgement, type Law } from './judge.js'
 import { type Event, LOOK_SUFFIX, type Mix, runRequester } from './requester.js'
@@ -38,7 +38,7 @@
   const watched: Breach[] = []
   const laws: Law[] = []
   const stop = makeFlag()
-  const places: CorePlace[] = []
+  const places: CoreMember[] = []
   for (let k = 0; k < shape.cores; k++) places.push({ id: `core${k + 1}`, addr: `10.0.1.${k + 1}:7000` })
   const seeds: Address[] = []
   for (let k = 0; k < Math.min(3, shape.cores); k++) seeds.push(`10.0.1.${k + 1}:7001`)
@@ -84,7 +84,7 @@
           seeds,
           platform: `${platform.ip}:80`,
           ...(shape.operators ? { operators: shape.operators } : {}),
-          ...(shape.suspect !== undefined ? { suspect: shape.suspect } : {}),
+          ...(shape.suspect !== undefined ? { suspicionTimeoutMs: shape.suspect } : {}),
           build: 'sim',
         },
         opt.agentEdges,
@@ -262,7 +262,7 @@
   }
   function allReady(): boolean {
     for (const f of fronts) {
-      if (!f.proxy?.state.valid() || !f.proxy.state.share()) return false
+      if (!f.proxy?.state.hasValidLease() || !f.proxy.state.hasConnectionShare()) return false
       for (const g of shape.groups) if (f.proxy.state.group(g)?.record.phase !== 'steady') return false
     }
     return true
--- a/packages/fleet/src/test/controlguards.test.ts
+++ b/packages/fleet/src/test/controlguards.test.ts
@@ -10,7 +10,7 @@
   quorumOf,
   startCore,
   type Core,
-  type CorePlace,
+  type CoreMember,
   type CoreSet,
   type Proposer,
   type Quorum,
@@ -59,7 +59,7 @@
     const set = run.fleet.latest()
     return set.next === undefined && !set.cores.some(isOld)
   }
-  function isOld(place: CorePlace): boolean {
+  function isOld(place: CoreMember): boolean {
     return place.id === old.ip
   }
   if (!(await sim.until(isDone, 30000))) return false
@@ -108,9 +108,9 @@
 
 // --- the sweep ---
 
-type Bare = { sim: Sim; cores: Map<string, Core>; procs: Map<string, Proc>; places: CorePlace[] }
+type Bare = { sim: Sim; cores: Map<string, Core>; procs: Map<string, Proc>; places: CoreMember[] }
 
-function placeOf(num: number, token?: string): CorePlace {
+function placeOf(num: number, token?: string): CoreMember {
   return { id: `10.0.1.${num}`, addr: `10.0.1.${num}:7000`, ...(token === undefined ? {} : { token }) }
 }
 function noSeeds(): string[] {
--- a/packages/fleet/src/test/cores.test.ts
+++ b/packages/fleet/src/test/cores.test.ts
@@ -16,7 +16,7 @@
   MembersAnswer,
   quorumOf,
   votersOf,
-  type CorePlace,
+  type CoreMember,
   type CoreSet,
   type RegisterValue,
 } from '@claynotch/register'
@@ -488,8 +488,8 @@
 
 // Every quorum of a set has a core in common with every quorum of the set before it and of the one after it.
 async function overlap(c: Test): Promise<void> {
-  function places(list: string): CorePlace[] {
-    const out: CorePlace[] = []
+  function places(list: string): CoreMember[] {
+    const out: CoreMember[] = []
     for (const id of list) out.push({ id, addr: `${id}:1` })
     return out
   }
@@ -577,7 +577,7 @@
     function coreSet(): { set: CoreSet; since: number } {
       return { set, since: from }
     }
-    function spares(): CorePlace[] {
+    function spares(): CoreMember[] {
       return [{ id: 'd', addr: 'd:1' }]
     }
     startCoreSetDuty(
--- a/packages/fleet/src/test/coreset.test.ts
+++ b/packages/fleet/src/test/coreset.test.ts
@@ -13,7 +13,7 @@
 import {
   makeProposer,
   quorumOf,
-  type CorePlace,
+  type CoreMember,
   type Quorum,
   type RegisterValue,
   type Voter,
@@ -42,7 +42,7 @@
 function ignore(): undefined {
   return undefined
 }
-function placeOf(k: number): CorePlace {
+function placeOf(k: number): CoreMember {
   return { id: `10.0.1.${k + 1}`, addr: `10.0.1.${k + 1}:7000` }
 }
 function makeSet(seed: number): Set {
--- a/packages/fleet/src/test/corestatus.test.ts
+++ b/packages/fleet/src/test/corestatus.test.ts
@@ -4,7 +4,7 @@
 import { makeMarginWatch } from '@claynotch/agent'
 import { requestOnce, pause, type World } from '@claynotch/base'
 import { checkCores, showCores, type CoreStatus } from '@claynotch/operator'
-import { lossesBorne, quorumOf, votersOf, type CorePlace, type CoreSet, type CoreState } from '@claynotch/register'
+import { tolerableLosses, quorumOf, votersOf, type CoreMember, type CoreSet, type CoreState } from '@claynotch/register'
 import { makeSim, type Machine, type Proc } from '../sim.js'
 
 t.setTimeout(600000)
@@ -12,8 +12,8 @@
 // What operators are told of the core set, and how many more losses it bears.
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f', 'g']
-function placesOf(ids: string[]): CorePlace[] {
-  const out: CorePlace[] = []
+function placesOf(ids: string[]): CoreMember[] {
+  const out: CoreMember[] = []
   for (const id of ids) out.push({ id, addr: `${id}:1` })
   return out
 }
@@ -39,16 +39,16 @@
     const set = setOf(cores, next)
     const ids = new Set<string>()
     for (const v of votersOf(set)) if (voting.includes(v.id)) ids.add(v.id)
-    c.equal(lossesBorne(set, ids), bornePlainly(set, [...ids]))
+    c.equal(tolerableLosses(set, ids), bornePlainly(set, [...ids]))
   }
   fc.assert(fc.property(some, fc.option(some, { nil: undefined }), fc.subarray(NAMES), holds), {
     numRuns: 3000,
     seed: 19,
   })
-  c.equal(lossesBorne(setOf(['a', 'b', 'c']), new Set(['a', 'b', 'c'])), 1)
-  c.equal(lossesBorne(setOf(['a', 'b', 'c']), new Set(['a', 'b'])), 0)
-  c.equal(lossesBorne(setOf(['a', 'b', 'c']), new Set(['a'])), -1)
-  c.equal(lossesBorne(setOf(['a', 'b', 'c'], ['b', 'c', 'd']), new Set(['a', 'b', 'c'])), 0, 'the half that is joining')
+  c.equal(tolerableLosses(setOf(['a', 'b', 'c']), new Set(['a', 'b', 'c'])), 1)
+  c.equal(tolerableLosses(setOf(['a', 'b', 'c']), new Set(['a', 'b'])), 0)
+  c.equal(tolerableLosses(setOf(['a', 'b', 'c']), new Set(['a'])), -1)
+  c.equal(tolerableLosses(setOf(['a', 'b', 'c'], ['b', 'c', 'd']), new Set(['a', 'b', 'c'])), 0, 'the half that is joining')
 }
 
 function stateOf(id: string, set: CoreSet, serving: boolean): [string, CoreState] {
--- a/packages/fleet/src/test/cost.test.ts
+++ b/packages/fleet/src/test/cost.test.ts
@@ -7,7 +7,7 @@
   type World,
 } from '@claynotch/base'
 import { startAgent, type Agent } from '@claynotch/agent'
-import { startCore, type CorePlace } from '@claynotch/register'
+import { startCore, type CoreMember } from '@claynotch/register'
 import { makeSim } from '../sim.js'
 import { makeSimFleet, smallShape } from '../simfleet.js'
 
@@ -59,7 +59,7 @@
 /** An agent that can't hold duties has no task for each group: its timers don't grow with the groups. */
 async function timers(c: Test): Promise<void> {
   const sim = makeSim(13)
-  const places: CorePlace[] = []
+  const places: CoreMember[] = []
   for (let k = 1; k <= 3; k++) places.push({ id: `10.0.0.${k}`, addr: `10.0.0.${k}:7000` })
   for (const place of places) {
     async function core(world: World): Promise<void> {
--- a/packages/fleet/src/test/cutoff.test.ts
+++ b/packages/fleet/src/test/cutoff.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
-import { ownAdapters, startAgent, type Agent, type AgentAdapters } from '@claynotch/agent'
+import { defaultAdapters, startAgent, type Agent, type AgentAdapters } from '@claynotch/agent'
 import { makeInstanceReports, type InstanceReports } from '@claynotch/agent/dist/instance-reports.js'
 import {
   decode,
@@ -16,11 +16,11 @@
 import { emptyBody, makeDecision } from '@claynotch/operator'
 import { Summary } from '@claynotch/peer'
 import {
-  askSeeds,
+  fetchCoreSetFromSeeds,
   makeProposer,
   quorumOf,
   startCore,
-  type CorePlace,
+  type CoreMember,
   type Quorum,
   type Voter,
 } from '@claynotch/register'
@@ -47,9 +47,9 @@
   async function promotion(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
     called.push({ holder: what.holder, at: f.sim.now() })
     run(what)
-    return await ownAdapters.promotion(world, at, what)
+    return await defaultAdapters.promotion(world, at, what)
   }
-  const edges: AgentAdapters = { ...ownAdapters, promotion }
+  const edges: AgentAdapters = { ...defaultAdapters, promotion }
   const shape = { ...smallShape(), requesters: 4 }
   const groups = shape.config.groups.map(unsynced)
   const f = makeSimFleet(seed, { ...shape, fronts: 4, config: { ...shape.config, groups } }, { agentEdges: edges })
@@ -123,7 +123,7 @@
 
 // --- orders ---
 
-const PLACES: CorePlace[] = []
+const PLACES: CoreMember[] = []
 for (let k = 1; k <= 3; k++) PLACES.push({ id: `10.0.1.${k}`, addr: `10.0.1.${k}:7000` })
 
 // The cut begins between a round's two halves: promises came back, acceptances don't. What the order would have been told,
@@ -359,7 +359,7 @@
 
 // --- seeds ---
 
-const GONE: CorePlace[] = []
+const GONE: CoreMember[] = []
 for (let k = 1; k <= 3; k++) GONE.push({ id: `10.0.4.${k}`, addr: `10.0.4.${k}:7000` })
 const OLD: Address = '10.0.5.1:80'
 const NEW: Address = '10.0.5.2:80'
@@ -389,7 +389,7 @@
   async function ask(world: World): Promise<void> {
     await pause(world, 10)
     for (const above of [undefined, 0, 1]) {
-      const got = await askSeeds(world, [OLD, NEW], above)
+      const got = await fetchCoreSetFromSeeds(world, [OLD, NEW], above)
       told.push(got ? `${got.seed} ${got.set.epoch}` : 'none')
     }
   }
--- a/packages/fleet/src/test/deltas.test.ts
+++ b/packages/fleet/src/test/deltas.test.ts
@@ -21,14 +21,14 @@
   GetAnswer,
   makeDelta,
   makeProposer,
-  makeStore,
+  makeRegisterStore,
   RegisterPush,
   quorumOf,
   startCore,
   valueOf,
   type Ballot,
   type Core,
-  type CorePlace,
+  type CoreMember,
   type HeldValue,
   type Proposer,
   type Quorum,
@@ -156,7 +156,7 @@
   const machine = sim.machine('m', '10.0.0.1')
   let done = false
   async function run(world: World): Promise<void> {
-    const store = makeStore(world, '/d')
+    const store = makeRegisterStore(world, '/d')
     await store.open()
     await store.writeSet('founded', { epoch: 0, cores: [{ id: 'a', addr: '10.0.0.1:7000' }] }, undefined)
     await store.prepare('k', [1, 'p'])
@@ -169,7 +169,7 @@
     }
     const grown = (machine.files.get('/d')!.length - size) / 49
     c.ok(grown < bytesOf(wide(1, 0)) / 5, `${Math.round(grown)} bytes a change, the value has ${bytesOf(wide(1, 0))}`)
-    const again = makeStore(world, '/d')
+    const again = makeRegisterStore(world, '/d')
     c.same(await again.open(), [], 'the file is read without a finding')
     c.same(again.entries().get('k'), { promise: [50, 'p'], ballot: [50, 'p'], value: wide(50, 49) })
 
@@ -182,7 +182,7 @@
     c.same(setOf('/d')?.cores, ['a', 'format-2'])
     c.same(again.cores(), ['a'], 'the set itself is as it was')
     await makeDataFile(world, '/f').reset([{ k: 'set', phase: 'founded', cores: ['a'] }])
-    const older = makeStore(world, '/f')
+    const older = makeRegisterStore(world, '/f')
     c.same(await older.open(), [])
     c.equal(older.phase(), 'founded')
     c.same(setOf('/f')?.cores, ['a', 'format-2'])
@@ -209,7 +209,7 @@
     const cut: unknown[] = []
     for (const r of records) if (!(r.k === 'delta' && r.ballot?.[0] === 25)) cut.push(r)
     await makeDataFile(world, '/e').reset(cut)
-    const damaged = makeStore(world, '/e')
+    const damaged = makeRegisterStore(world, '/e')
     const findings = await damaged.open()
     c.match(findings[0]?.what, /lost its memory/, 'a delta without its base is loss')
     c.equal(damaged.entries().size, 0, 'nothing of it counts')
@@ -226,10 +226,10 @@
 // --- rounds at cores ---
 
 type Box = { id: string; machine: Machine; proc: Proc; core: Core | undefined }
-type Cores = { sim: Sim; boxes: Box[]; places: CorePlace[]; start: (k: number) => void; serving: () => boolean }
+type Cores = { sim: Sim; boxes: Box[]; places: CoreMember[]; start: (k: number) => void; serving: () => boolean }
 function makeCores(seed: number): Cores {
   const sim = makeSim(seed)
-  const places: CorePlace[] = []
+  const places: CoreMember[] = []
   const boxes: Box[] = []
   for (let k = 1; k <= 5; k++) places.push({ id: `c${k}`, addr: `10.0.1.${k}:7000` })
   for (const p of places)
@@ -262,7 +262,7 @@
 }
 type Asked = { id: string; msg: { t: string; base?: unknown; value?: unknown } }
 // A proposer that knows what its own rounds brought, as an agent does.
-function knowing(world: World, name: string, places: CorePlace[], asked: Asked[] = []): Proposer {
+function knowing(world: World, name: string, places: CoreMember[], asked: Asked[] = []): Proposer {
   const known = new Map<string, HeldValue>()
   const links: Voter[] = []
   for (const p of places) {
@@ -579,23 +579,23 @@
       }
     }
     r.learn('k', wide(3, 3), ballot(3))
-    await r.takePush('c', push(3, 4))
+    await r.applyPush('c', push(3, 4))
     c.same(r.held('k'), { ballot: ballot(4), value: wide(4, 4) }, 'on its base it is applied')
-    await r.takePush('c', push(2, 3))
+    await r.applyPush('c', push(2, 3))
     c.same(r.held('k')?.value, wide(4, 4), 'an old one changes nothing')
-    await r.takePush('c', { t: 'push', num: 1, key: 'k', ballot: ballot(2), value: wide(2, 2) })
+    await r.applyPush('c', { t: 'push', num: 1, key: 'k', ballot: ballot(2), value: wide(2, 2) })
     c.same(r.held('k')?.value, wide(4, 4), 'nor does an old value')
     c.equal(asked.length, 0)
     // Its base is not what is known here: the value is asked for, and only what was chosen at that ballot is taken.
     answer = { ok: true, ballot: ballot(9), value: wide(9, 9) }
-    await r.takePush('c', push(5, 6))
+    await r.applyPush('c', push(5, 6))
     c.same(asked, [{ t: 'get', epoch: 0, key: 'k', have: ballot(4) }])
     c.same(r.held('k')?.value, wide(4, 4), 'another ballot than the one pushed proves nothing')
     answer = { ok: true, ballot: ballot(6), base: ballot(5), deltas: [deltaOf(wide(5, 5), wide(6, 6))] }
-    await r.takePush('c', push(5, 6))
+    await r.applyPush('c', push(5, 6))
     c.same(r.held('k')?.value, wide(4, 4), 'nor do deltas on another base')
     answer = { ok: true, ballot: ballot(6), value: wide(6, 6) }
-    await r.takePush('c', push(5, 6))
+    await r.applyPush('c', push(5, 6))
     c.same(r.held('k'), { ballot: ballot(6), value: wide(6, 6) })
     c.equal(r.all().get('k')?.currentUntil, 0, 'a push proves nothing of time')
     // A renewal at a majority does, and shows what is missing.
@@ -605,9 +605,9 @@
       return new Map([['c', new Map([['k', { key: 'k', ballot: ballot(n), turn: n, chosen: true }]])]])
     }
     const enough = quorumOf({ epoch: 0, cores: [{ id: 'c', addr: '' }] })
-    r.takeSummaries(lines(6), enough, 1000)
+    r.applySummaries(lines(6), enough, 1000)
     c.equal(r.all().get('k')?.currentUntil, 3500)
-    r.takeSummaries(lines(7), enough, 2000)
+    r.applySummaries(lines(7), enough, 2000)
     c.ok(r.isBehind(), 'something newer is wanted')
     c.equal(r.all().get('k')?.currentUntil, 3500, 'and nothing older is worked by for longer')
     answer = { ok: true, ballot: ballot(7), base: ballot(6), deltas: [deltaOf(wide(6, 6), wide(7, 7))] }
@@ -683,7 +683,7 @@
     await beat()
     c.equal(sub.at(), 'near', 'it is back')
     c.same(other.told, ['on 1', 'off'])
-    sub.linkedAnew('near')
+    sub.linkReestablished('near')
     await beat()
     c.same(near.told, ['on 1', 'on 1', 'on 1'], 'a link dialled anew is subscribed on anew')
     for (let n = 0; n < 3; n++) await beat(near)
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -1,10 +1,10 @@
 import t, { type Test } from 'tap'
-import { ownAdapters as ownAgentEdges, type AgentAdapters } from '@claynotch/agent'
+import { defaultAdapters as ownAgentEdges, type AgentAdapters } from '@claynotch/agent'
 import { pause, type Address, type World } from '@claynotch/base'
 import { weighEvidence, type InstanceObservations } from '@claynotch/failover'
 import type { Promotion, PromotionEnd } from '@claynotch/host'
 import { ownAdapters as ownProxyEdges } from '@claynotch/proxy'
-import { httpInstance, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
+import { httpInstanceAdapter, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
 import { recordOf, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
 import { stepsOf } from '../steps.js'
@@ -64,11 +64,11 @@
   let asked = 0
   function status(world: World, who: InstanceAddress, ms: number): ReturnType<InstanceAdapter['status']> {
     asked++
-    return httpInstance.status(world, who, ms)
+    return httpInstanceAdapter.status(world, who, ms)
   }
-  const agentEdges: AgentAdapters = { ...ownAgentEdges, instance: { ...httpInstance, status } }
+  const agentEdges: AgentAdapters = { ...ownAgentEdges, instance: { ...httpInstanceAdapter, status } }
   // Proxies that take no samples either: only traffic and announcements tell of the leader.
-  const { sampler: _, ...plain } = httpInstance
+  const { sampler: _, ...plain } = httpInstanceAdapter
   const f = await begun(1, { agentEdges, proxyEdges: { ...ownProxyEdges, instance: plain } })
   const first = asked
   await wait(f, 15000)
@@ -149,7 +149,7 @@
 type Odd = { ends: PromotionEnd['end'][]; after: number; calls: Promotion[]; demoted: string[] }
 function termed(f: () => SimFleet, odd: Odd): AgentAdapters {
   async function status(world: World, who: InstanceAddress, ms: number): ReturnType<InstanceAdapter['status']> {
-    const got = await httpInstance.status(world, who, ms)
+    const got = await httpInstanceAdapter.status(world, who, ms)
     return got.map(withTerm)
   }
   function withTerm(s: Status): Status {
@@ -176,7 +176,7 @@
     if (end !== 'refused') void carry()
     return { end, why: end }
   }
-  return { ...ownAgentEdges, instance: { ...httpInstance, status, demote }, promotion }
+  return { ...ownAgentEdges, instance: { ...httpInstanceAdapter, status, demote }, promotion }
 }
 async function terms(c: Test): Promise<void> {
   const cases: [string, PromotionEnd['end'][], number][] = [
--- a/packages/fleet/src/test/edges.test.ts
+++ b/packages/fleet/src/test/edges.test.ts
@@ -331,7 +331,7 @@
   }
   await beside(f, run)
   c.strictSame(f.sim.lines, [], 'no process minds')
-  c.ok(f.fronts[0].proxy!.state.valid())
+  c.ok(f.fronts[0].proxy!.state.hasValidLease())
 }
 
 // Two agents under one name: the newer takes the node over, the older loses its term and says why.
@@ -354,7 +354,7 @@
   f.sim.spawn(other, 'twin', start)
   await f.sim.run(f.sim.now() + 6000)
   c.ok((twin?.leaseExpiresAt() ?? 0) > 0, 'the newer holds the term')
-  c.equal(f.fronts[0].proxy!.state.valid(), false, "the older one's proxy takes no work")
+  c.equal(f.fronts[0].proxy!.state.hasValidLease(), false, "the older one's proxy takes no work")
   c.ok(f.fronts[0].agent!.metrics.get('claynotch_renewals_total', [['end', 'replaced']]) > 0)
   c.ok(f.sim.lines.some(isReplaced), 'and the log says why')
 }
--- a/packages/fleet/src/test/handover-offer.test.ts
+++ b/packages/fleet/src/test/handover-offer.test.ts
@@ -40,7 +40,7 @@
     const one = message as Asked
     asked.push(one)
     if (!answers) return undefined
-    if (one.t === 'offer') return { ok: true, lacks: core.handover.lackingOf(one.cells) }
+    if (one.t === 'offer') return { ok: true, lacks: core.handover.missingKeysOf(one.cells) }
     return { ok: true, took: await core.handover.take(one.cells as never) }
   }
   function up(): boolean {
--- a/packages/fleet/src/test/key-refusals.test.ts
+++ b/packages/fleet/src/test/key-refusals.test.ts
@@ -8,7 +8,7 @@
   type World,
 } from '@claynotch/base'
 import { hashKey, type Config, type Tenant } from '@claynotch/operator'
-import { compile, makeKeyRefusals, type KeyRefusals, type LaneRules, type Rules, type State } from '@claynotch/proxy'
+import { compileRules, makeKeyRefusals, type KeyRefusals, type LaneRules, type Rules, type State } from '@claynotch/proxy'
 
 // What an operator is told of clients that a proxy refused for their keys: which of the causes it was, and nothing of the key.
 
@@ -42,11 +42,11 @@
     return rules
   }
   const world = { now: time, log: logTo(sink) } as Pick<World, 'now' | 'log'> as World
-  const state = { rules: rulesNow, valid } as Pick<State, 'rules' | 'valid'> as State
+  const state = { rules: rulesNow, hasValidLease: valid } as Pick<State, 'rules' | 'valid'> as State
   const keys = makeKeyRefusals(world, state, metrics)
   function advance(ms: number): void {
     now += ms
-    keys.look()
+    keys.refresh()
   }
   function setLease(to: boolean): void {
     isValid = to
@@ -60,12 +60,12 @@
       lanes: [{ name: 'book', database: 'book', group: 'kiln', reads: 'leader' }],
       tenants,
     }
-    rules = compile(config, epoch, [], now, rules)
-    keys.look()
+    rules = compileRules(config, epoch, [], now, rules)
+    keys.refresh()
   }
   function deny(key: string | undefined): string {
     const lane = rules!.lanes.get('book') as LaneRules
-    const { outcome, class: cls } = keys.deny(lane, key === undefined ? undefined : hashKey(key))
+    const { outcome, class: cls } = keys.refuse(lane, key === undefined ? undefined : hashKey(key))
     return `${outcome} ${cls}`
   }
   return { keys, metrics, lines, advance, setLease, apply, deny }
--- a/packages/fleet/src/test/members.test.ts
+++ b/packages/fleet/src/test/members.test.ts
@@ -1,7 +1,7 @@
 import t, { type Test } from 'tap'
 import { LEASE_DURATION_MS, type Address, type World } from '@claynotch/base'
 import { startAgent, type Agent } from '@claynotch/agent'
-import { startCore, type Core, type CorePlace } from '@claynotch/register'
+import { startCore, type Core, type CoreMember } from '@claynotch/register'
 import { makeSim, type Proc, type Sim } from '../sim.js'
 
 // Nodes without duties take the lines of members from two cores alone, and know all members nevertheless.
@@ -25,11 +25,11 @@
 
 function makeCluster(seed: number): Cluster {
   const sim = makeSim(seed)
-  const places: CorePlace[] = []
+  const places: CoreMember[] = []
   for (let k = 1; k <= CORES; k++) places.push({ id: `10.0.0.${k}`, addr: `10.0.0.${k}:7000` })
   const cores: Cluster['cores'] = []
   const machines = places.map(machineOf)
-  function machineOf(place: CorePlace) {
+  function machineOf(place: CoreMember) {
     return sim.machine(place.id, place.id)
   }
   function startCoreAt(k: number): void {
--- a/packages/fleet/src/test/orders.test.ts
+++ b/packages/fleet/src/test/orders.test.ts
@@ -4,13 +4,13 @@
 import { CONFIG_KEY, makeDecision, type Body, type Order, type Verdict } from '@claynotch/operator'
 import {
   makeProposer,
-  makeStore,
+  makeRegisterStore,
   quorumOf,
   type Ballot,
   type CoreSet,
   type Proposer,
   type Quorum,
-  type Store,
+  type RegisterStore,
   type RegisterValue,
   type Voter,
 } from '@claynotch/register'
@@ -62,7 +62,7 @@
 }
 type Chosen = ReturnType<typeof makeChosen>
 
-function makeVoter(world: World, id: string, store: Store, chosen: Chosen, next: () => Fate): Voter {
+function makeVoter(world: World, id: string, store: RegisterStore, chosen: Chosen, next: () => Fate): Voter {
   async function answer(word: Word): Promise<unknown> {
     if (word.t === 'prepare') return await store.prepare(word.key, word.ballot)
     if (word.t !== 'accept') return undefined
@@ -113,7 +113,7 @@
     const chosen = makeChosen()
     const voters: Voter[] = []
     for (const { id } of SET.cores) {
-      const store = makeStore(world, `/${id}`)
+      const store = makeRegisterStore(world, `/${id}`)
       await store.open()
       voters.push(makeVoter(world, id, store, chosen, nextFate))
     }
--- a/packages/fleet/src/test/promotions.test.ts
+++ b/packages/fleet/src/test/promotions.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import { makeFlag, pause, serveHttp, type HttpRequest, type Flag, type HttpResponse, type World } from '@claynotch/base'
-import { onePerGroup } from '@claynotch/failover'
+import { limitToOneCallPerGroup } from '@claynotch/failover'
 import { promote, type Promotion, type PromotionEnd } from '@claynotch/host'
 import { makeSim } from '../sim.js'
 
@@ -36,7 +36,7 @@
 
 async function single(c: Test): Promise<void> {
   async function run(world: World, asks: HttpRequest[]): Promise<void> {
-    const call = onePerGroup(promote)
+    const call = limitToOneCallPerGroup(promote)
     const first = call(world, '10.0.9.1:80', what)
     c.equal((await call(world, '10.0.9.1:80', what)).end, 'unclear', 'a second call of the group')
     const other = call(world, '10.0.9.1:80', { ...what, group: 'other' })
@@ -56,7 +56,7 @@
     throw new Error('a fault of the edge')
   }
   async function run(world: World): Promise<void> {
-    const call = onePerGroup(broken)
+    const call = limitToOneCallPerGroup(broken)
     await c.rejects(call(world, undefined, what))
     await c.rejects(call(world, undefined, what))
     c.equal(thrown, 2)
--- a/packages/fleet/src/test/quota-holder-fleet.ts
+++ b/packages/fleet/src/test/quota-holder-fleet.ts
@@ -1,4 +1,4 @@
-import { ownAdapters, startAgent, type Agent } from '@claynotch/agent'
+import { defaultAdapters, startAgent, type Agent } from '@claynotch/agent'
 import {
   makeFlag,
   makeHello,
@@ -16,7 +16,7 @@
 import type { Config, Tenant } from '@claynotch/operator'
 import { makeState } from '@claynotch/proxy/dist/state.js'
 import { makeAllowances, QuotaAnswer, type Allowances, type HolderQuestion, type QuotaQuestion } from '@claynotch/quota'
-import { AgentFeed, startCore, type CorePlace, type QuotaRefusal, type QuotaService } from '@claynotch/register'
+import { AgentFeed, startCore, type CoreMember, type QuotaRefusal, type QuotaService } from '@claynotch/register'
 import { makeSim, type Machine, type Proc, type Sim } from '../sim.js'
 import { task } from './beside.js'
 
@@ -90,7 +90,7 @@
   const faults: string[] = []
   const limits = new Map<string, number>()
   const desk = sim.machine('desk', '10.0.7.1')
-  const places: CorePlace[] = []
+  const places: CoreMember[] = []
   const seeds: Address[] = []
   let revision = 0
   for (let k = 0; k < size.cores; k++) {
@@ -132,7 +132,7 @@
           core: { place: core.place, adopt: core.adopt, serveQuotas },
           build: 'sim',
         },
-        ownAdapters,
+        defaultAdapters,
       )
     }
     box.agent = undefined
@@ -162,7 +162,7 @@
       const life = Math.floor(world.random() * 2 ** 40).toString(36)
       function take(message: unknown): undefined {
         const feed = readAs(AgentFeed, message)
-        if (feed.ok) state.take(feed.val)
+        if (feed.ok) state.applyFeed(feed.val)
         return undefined
       }
       const hello = makeHello('proxy', front.node)
@@ -179,7 +179,7 @@
       function isActive(): boolean {
         return true
       }
-      const { valid: isLeased, leasedSince } = state
+      const { hasValidLease: isLeased, leasedSince } = state
       const options = { life, isLeased, leasedSince, isActive, ask }
       const allowances = makeAllowances(world, options, makeMetrics(), stop)
       front.allowances = allowances
--- a/packages/fleet/src/test/quota-holder.test.ts
+++ b/packages/fleet/src/test/quota-holder.test.ts
@@ -1,7 +1,7 @@
 import t, { type Test } from 'tap'
 import { QUOTA_SLOTS, requestOnce, type World } from '@claynotch/base'
 import type { Tenant, TenantLine } from '@claynotch/operator'
-import { holderOf } from '@claynotch/failover'
+import { dutyHolderOf } from '@claynotch/failover'
 import { quotaKey, quotaSlotOf } from '@claynotch/register'
 import { task } from './beside.js'
 import { limitOf, makeQuotaFleet, type QuotaCore, type QuotaFleet } from './quota-holder-fleet.js'
@@ -185,7 +185,7 @@
       const others = fleet.cores.filter(isOther)
       fleet.sim.kill(core.proc)
       await fleet.wait(100)
-      const late = holderOf(quotaKey(SLOT), others.map(nameOf))
+      const late = dutyHolderOf(quotaKey(SLOT), others.map(nameOf))
       for (const other of others) if (other.node === late) fleet.sim.freeze(other.proc)
       await fleet.wait(ms)
       for (const other of others) fleet.sim.thaw(other.proc)
--- a/packages/fleet/src/test/register.test.ts
+++ b/packages/fleet/src/test/register.test.ts
@@ -13,14 +13,14 @@
 } from '@claynotch/base'
 import {
   makeProposer,
-  makeStore,
-  NO_SET,
+  makeRegisterStore,
+  EMPTY_CORE_SET,
   quorumOf,
   startCore,
   type Ballot,
   type RegisterEntry,
   type Core,
-  type CorePlace,
+  type CoreMember,
   type Proposer,
   type Quorum,
   type RegisterValue,
@@ -32,11 +32,11 @@
 t.setTimeout(600000)
 
 type Box = { id: string; machine: Machine; proc: Proc; core: Core | undefined }
-type Cores = { sim: Sim; boxes: Box[]; places: CorePlace[]; start: (k: number) => void; serving: () => boolean }
+type Cores = { sim: Sim; boxes: Box[]; places: CoreMember[]; start: (k: number) => void; serving: () => boolean }
 
 function makeCores(seed: number): Cores {
   const sim = makeSim(seed)
-  const places: CorePlace[] = []
+  const places: CoreMember[] = []
   const boxes: Box[] = []
   for (let k = 1; k <= 5; k++) places.push({ id: `c${k}`, addr: `10.0.1.${k}:7000` })
   for (const p of places)
@@ -64,7 +64,7 @@
 function ignore(): undefined {
   return undefined
 }
-function proposerOf(world: World, name: string, places: CorePlace[]): Proposer {
+function proposerOf(world: World, name: string, places: CoreMember[]): Proposer {
   const all = votersOf(world, places)
   function voters(): Voter[] {
     return all
@@ -74,7 +74,7 @@
   }
   return makeProposer(world, name, voters, quorum)
 }
-function votersOf(world: World, places: CorePlace[]): Voter[] {
+function votersOf(world: World, places: CoreMember[]): Voter[] {
   const stop = makeFlag()
   const out: Voter[] = []
   for (const p of places) {
@@ -233,21 +233,21 @@
   const sim = makeSim(1)
   let out: string[] = []
   async function run(world: World): Promise<void> {
-    const a = makeStore(world, '/a')
-    const b = makeStore(world, '/b')
-    const cc = makeStore(world, '/c')
-    const d = makeStore(world, '/d')
-    const x = makeStore(world, '/x')
+    const a = makeRegisterStore(world, '/a')
+    const b = makeRegisterStore(world, '/b')
+    const cc = makeRegisterStore(world, '/c')
+    const d = makeRegisterStore(world, '/d')
+    const x = makeRegisterStore(world, '/x')
     const one: Ballot = [1, 'p']
     for (const s of [a, b, x]) await s.prepare('k', one)
     // Two of five have accepted; the third accept is on its way to b.
     await a.accept('k', one, value('first'))
     await x.accept('k', one, value('first'))
     // x loses its disk and copies from b, c and d, which hold nothing.
-    const copy = makeStore(world, '/x2')
+    const copy = makeRegisterStore(world, '/x2')
     const cells = new Map<string, RegisterEntry>()
     for (const s of [b, cc, d]) for (const [key, cell] of s.entries()) if (cell.value) cells.set(key, cell)
-    await copy.refill(cells, 0, NO_SET, undefined)
+    await copy.refill(cells, 0, EMPTY_CORE_SET, undefined)
     // Another proposer finds nothing at a majority and has its own value chosen.
     const two: Ballot = [2, 'q']
     let seen: RegisterValue | undefined
@@ -364,7 +364,7 @@
   for (let k = 0; k < f.cores.length; k++) f.startCoreAt(k)
   await f.sim.run(f.sim.now() + 15000)
   for (const x of f.cores) c.equal(x.core?.serving(), false, `${x.id} does not serve`)
-  for (const x of f.fronts) c.equal(x.proxy?.state.valid(), false, `${x.node} takes no work`)
+  for (const x of f.fronts) c.equal(x.proxy?.state.hasValidLease(), false, `${x.node} takes no work`)
   c.ok(f.sim.lines.some(isTold), 'and the log says why')
 }
 function isTold(line: string): boolean {
--- a/packages/fleet/src/test/registers.test.ts
+++ b/packages/fleet/src/test/registers.test.ts
@@ -4,7 +4,7 @@
 import {
   quorumOf,
   type Ballot,
-  type CorePlace,
+  type CoreMember,
   type RegisterSummary,
   type RegisterPush,
   type Committed,
@@ -50,10 +50,10 @@
     registers.learn('k', valueAt(2), ballotAt(2))
     registers.learn('k', valueAt(1), ballotAt(1))
     c.equal(registers.value('k')?.turn, 2, 'an older version from a round')
-    await registers.takePush('a', pushAt(1))
+    await registers.applyPush('a', pushAt(1))
     c.equal(registers.value('k')?.turn, 2, 'an older version from a push')
-    await registers.takePush('a', pushAt(4))
-    await registers.takePush('b', pushAt(3))
+    await registers.applyPush('a', pushAt(4))
+    await registers.applyPush('b', pushAt(3))
     registers.learn('k', valueAt(4), ballotAt(4))
     c.equal(registers.value('k')?.turn, 4)
     c.strictSame(registers.held('k')?.ballot, ballotAt(4))
@@ -90,7 +90,7 @@
       const registers = makeRegisterCache(world, { epoch: zero, link, readCommitted, onNewer: noop, onBehind: noop })
       const tables = new Map<string, Map<string, RegisterSummary>>()
       for (const id of ['a', 'b']) tables.set(id, new Map([['k', lineOf(pending.includes(id))]]))
-      registers.takeSummaries(tables, enough, world.now())
+      registers.applySummaries(tables, enough, world.now())
       await registers.catchUp()
       c.strictSame(asked, wanted, `${pending.length} of two are writing`)
       c.equal(rounds, 1)
@@ -103,7 +103,7 @@
   }
   c.ok(await sim.until(isOver, 1000))
 }
-function placeOf(id: string): CorePlace {
+function placeOf(id: string): CoreMember {
   return { id, addr: `${id}:1` }
 }
 function lineOf(isPending: boolean): RegisterSummary {
--- a/packages/fleet/src/test/stored.test.ts
+++ b/packages/fleet/src/test/stored.test.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs'
 import t, { type Test } from 'tap'
 import type { World } from '@claynotch/base'
-import { makeStore } from '@claynotch/register'
+import { makeRegisterStore } from '@claynotch/register'
 import { makeSim } from '../sim.js'
 import { task } from './beside.js'
 
@@ -16,7 +16,7 @@
   const machine = sim.machine('core', '10.0.0.1')
   machine.files.set('/d/register', readFileSync(FIXTURE))
   async function run(world: World): Promise<void> {
-    const store = makeStore(world, '/d/register')
+    const store = makeRegisterStore(world, '/d/register')
     c.strictSame(await store.open(), [], 'nothing is wrong with it')
     c.equal(store.phase(), 'founded')
     c.equal(store.token(), 'mine')
@@ -37,7 +37,7 @@
     c.equal(store.highestNumber(), 9)
     // And it is written on in the same form.
     c.strictSame(await store.prepare('config', [5, 'z']), { ok: true, ballot: [4, 'a'], value: configuration?.value })
-    const again = makeStore(world, '/d/register')
+    const again = makeRegisterStore(world, '/d/register')
     c.strictSame(await again.open(), [])
     c.strictSame(again.entries().get('config')?.promise, [5, 'z'])
   }
--- a/packages/fleet/src/test/takeover.test.ts
+++ b/packages/fleet/src/test/takeover.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import { ownAdapters } from '@claynotch/proxy'
-import { httpInstance } from '@claynotch/instance'
+import { httpInstanceAdapter } from '@claynotch/instance'
 import { recordOf, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
 
@@ -27,7 +27,7 @@
 // Nobody asks the leader anything meanwhile, so that no node reports failures: the new holder has only what all know.
 async function both(c: Test): Promise<void> {
   // Proxies take no samples, as on the users' platform.
-  const { sampler: _, ...plain } = httpInstance
+  const { sampler: _, ...plain } = httpInstanceAdapter
   for (const seed of [1, 2, 3, 4]) {
     const fleet = makeSimFleet(seed, shape(), { proxyEdges: { ...ownAdapters, instance: plain } })
     c.ok(await fleet.begin())
--- a/packages/fleet/src/test/voterplan.test.ts
+++ b/packages/fleet/src/test/voterplan.test.ts
@@ -1,12 +1,12 @@
 import t, { type Test } from 'tap'
 import { planVoters, type VoterView } from '@claynotch/agent/dist/voter-plan.js'
 import { MAX_VOTERS } from '@claynotch/base'
-import type { CorePlace } from '@claynotch/register'
+import type { CoreMember } from '@claynotch/register'
 
 // Which set of voters follows, by what the holder of the duty sees: docs/design/coreset.md.
 
-function places(ids: string): CorePlace[] {
-  const out: CorePlace[] = []
+function places(ids: string): CoreMember[] {
+  const out: CoreMember[] = []
   for (const id of ids) out.push({ id, addr: `${id}:1`, token: id })
   return out
 }
@@ -20,9 +20,9 @@
   }
   const view: VoterView = {
     set: { epoch: 1, cores: places(voters) },
-    fresh: places(fresh),
+    joining: places(fresh),
     silence,
-    well: new Set(well),
+    serving: new Set(well),
     isHeardByOthers,
     mostVoters: MAX_VOTERS,
   }
--- a/packages/instance/src/announcement.ts
+++ b/packages/instance/src/announcement.ts
@@ -26,7 +26,7 @@
 export type Announcement = t.TypeOf<typeof Announcement>
 
 // heard: why the word can't be acknowledged, if so.
-export async function takeAnnouncement(
+export async function handleAnnouncement(
   ask: HttpRequest,
   heard: (a: Announcement) => Promise<string | undefined>,
 ): Promise<HttpResponse> {
--- a/packages/instance/src/edge.ts
+++ b/packages/instance/src/edge.ts
@@ -156,7 +156,7 @@
 }
 
 // Our own wire. A follower's place is known by samples only; a promotion is refused for an epoch that was passed.
-export const httpInstance: InstanceAdapter = {
+export const httpInstanceAdapter: InstanceAdapter = {
   sampler: openSampler,
   exact: true,
   named: true,
--- a/packages/proxy/src/key-refusals.ts
+++ b/packages/proxy/src/key-refusals.ts
@@ -24,9 +24,9 @@
  */
 export type KeyRefusals = {
   /** What a client of the lane is told; keyHash: of the key that it came with. */
-  deny: (lane: LaneRules, keyHash: string | undefined) => Verdict
+  refuse: (lane: LaneRules, keyHash: string | undefined) => Verdict
   /** Compares the rules in force with those before, and tells what was refused since it was told last. To be called often. */
-  look: () => void
+  refresh: () => void
 }
 
 /** A key that was taken away here: who had it last, and the first configuration without it. */
@@ -94,7 +94,7 @@
   // --- refusals ---
 
   function reasonFor(keyHash: string | undefined): KeyRefusalReason {
-    if (!state.valid()) return 'no-lease'
+    if (!state.hasValidLease()) return 'no-lease'
     if (keyHash === undefined) return 'no-key'
     return removed.has(keyHash) ? 'removed' : 'unknown'
   }
@@ -141,5 +141,5 @@
     compare()
     for (const [reason, what] of untold) tell(reason, what)
   }
-  return { deny, look }
+  return { refuse: deny, refresh: look }
 }
--- a/packages/proxy/src/quota-step.ts
+++ b/packages/proxy/src/quota-step.ts
@@ -38,7 +38,7 @@
 /** ms that the call waits for an allowance. */
 function waitOf(call: Call, now: number): number {
   const most = Math.max(1, call.deadline - now) * QUOTA_WAIT_SHARE
-  return Math.min(most, call.lane.aim ?? CHECK_OUT_TIMEOUT_MS)
+  return Math.min(most, call.lane.targetLatencyMs ?? CHECK_OUT_TIMEOUT_MS)
 }
 
 export function makeQuotaStep(
@@ -57,7 +57,7 @@
     for (const { rate } of state.rules()?.tenants?.values() ?? []) if (rate !== undefined) return true
     return false
   }
-  const { valid: isLeased, leasedSince } = state
+  const { hasValidLease: isLeased, leasedSince } = state
   const allowances = makeAllowances(world, { life, isLeased, leasedSince, isActive, ask }, metrics, stop)
 
   function release(call: Call): void {
@@ -71,7 +71,7 @@
     call.reservation = await allowances.reserve(tenant, waitOf(call, world.now()), call.gone)
     if (call.reservation) return undefined
     if (call.gone.fired()) return refusal('ABORTED', 'the requester went away', false)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.hasValidLease()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     return refusal('RESOURCE_EXHAUSTED', `the tenant ${tenant} is at its limit`, true, RETRY_AFTER_QUOTA_S)
   }
   function sent(call: Call): boolean {
--- a/packages/register/src/core-founding.ts
+++ b/packages/register/src/core-founding.ts
@@ -5,7 +5,7 @@
 import { foundingStep, type CoreState } from './founding.js'
 import type { Leases } from './leases.js'
 import { readRefill } from './refill.js'
-import type { Store } from './register-store.js'
+import type { RegisterStore } from './register-store.js'
 
 // How a voter that doesn't serve comes to: the founding of the set, or a refill of what it lost. docs/register.md.
 
@@ -13,7 +13,7 @@
   id: string
   /** Local time (ms) at which this life of the core began. */
   startedAt: number
-  store: Store
+  store: RegisterStore
   follower: CoreSetFollower
   peers: CorePeers
   leases: Leases
--- a/packages/register/src/core-messages.ts
+++ b/packages/register/src/core-messages.ts
@@ -10,14 +10,14 @@
 import { CoreMessage, type GetAnswer, type LeaseRenewal } from './messages.js'
 import type { DeltaChains, Pushes } from './pushes.js'
 import type { QuotaUseAnswer, QuotaUseQuestion } from './quota-register.js'
-import type { DeltaAnswer, Store, RegisterValue } from './register-store.js'
+import type { DeltaAnswer, RegisterStore, RegisterValue } from './register-store.js'
 import type { Renewals } from './renewals.js'
 
 // What a core answers on its links; docs/wire.md has each message with its answer.
 
 export type CoreMessagesView = {
   id: string
-  store: Store
+  store: RegisterStore
   chains: DeltaChains
   pushes: Pushes
   renewals: Renewals
@@ -133,7 +133,7 @@
       case 'handover':
         return { ok: true, took: await view.handover.take(message.cells as HandedEntry[]) }
       case 'offer':
-        return { ok: true, lacks: view.handover.lackingOf(message.cells) }
+        return { ok: true, lacks: view.handover.missingKeysOf(message.cells) }
       case 'get':
         return await get(message.key, message.have)
       case 'subscribe':
--- a/packages/register/src/core-peers.ts
+++ b/packages/register/src/core-peers.ts
@@ -7,7 +7,7 @@
   type PersistentLink,
   type World,
 } from '@claynotch/base'
-import type { CorePlace } from './core-set.js'
+import type { CoreMember } from './core-set.js'
 
 /** The link to another voter. */
 export type CorePeer = { id: string; addr: Address; held: PersistentLink; end: () => void }
@@ -18,7 +18,7 @@
 export type CorePeers = {
   list: () => CorePeer[]
   /** Links to these places and to no others; those that stand already are kept. */
-  connect: (places: CorePlace[]) => void
+  connect: (places: CoreMember[]) => void
 }
 
 /** Only answers come on such a link. */
@@ -30,7 +30,7 @@
   const hello = makeHello('core', id)
   let peers: CorePeer[] = []
 
-  function open(place: CorePlace): CorePeer {
+  function open(place: CoreMember): CorePeer {
     const ended = makeFlag()
     const unwatch = stop.watch(ended.fire)
     function end(): void {
@@ -39,7 +39,7 @@
     }
     return { id: place.id, addr: place.addr, held: makePersistentLink(world, place.addr, hello, ignore, ended), end }
   }
-  function connect(places: CorePlace[]): void {
+  function connect(places: CoreMember[]): void {
     const before = peers
     peers = []
     for (const place of places) {
--- a/packages/register/src/core-set-follower.ts
+++ b/packages/register/src/core-set-follower.ts
@@ -1,7 +1,7 @@
 import { DISK_RETRY_DELAY_MS, makeSerialQueue, type World } from '@claynotch/base'
-import { NO_SET, votersOf, type CorePlace, type CoreSet } from './core-set.js'
+import { EMPTY_CORE_SET, votersOf, type CoreMember, type CoreSet } from './core-set.js'
 import type { Leases } from './leases.js'
-import type { Store } from './register-store.js'
+import type { RegisterStore } from './register-store.js'
 
 /**
  * The set that one core is of, and whether it may vote.
@@ -22,7 +22,7 @@
   /** Local time (ms) after which nothing that was promised is forgotten. */
   quietSince: () => number
   /** This core as the set has it. */
-  placeIn: (set: CoreSet) => CorePlace | undefined
+  placeIn: (set: CoreSet) => CoreMember | undefined
   /** Takes the first set that is known in this life. */
   join: (known: CoreSet) => Promise<void>
   /** Takes a later set, which was chosen. */
@@ -44,7 +44,7 @@
   isLost: boolean
 }
 
-export function idsOf(places: CorePlace[]): string[] {
+export function idsOf(places: CoreMember[]): string[] {
   const out: string[] = []
   for (const { id } of places) out.push(id)
   return out.sort()
@@ -54,12 +54,12 @@
 export function makeCoreSetFollower(
   world: World,
   settings: FollowerSettings,
-  store: Store,
+  store: RegisterStore,
   leases: Leases,
-  connect: (others: CorePlace[]) => void,
+  connect: (others: CoreMember[]) => void,
 ): CoreSetFollower {
   const inTurn = makeSerialQueue()
-  let coreSet: CoreSet = NO_SET
+  let coreSet: CoreSet = EMPTY_CORE_SET
   let ids: string[] = []
   let isVoter = false
   let isServing = false
@@ -68,13 +68,13 @@
   let quietSince = settings.startedAt
   let nextRecoveryAt = 0
 
-  function isMe(place: CorePlace): boolean {
+  function isMe(place: CoreMember): boolean {
     return place.id === settings.id
   }
-  function isOther(place: CorePlace): boolean {
+  function isOther(place: CoreMember): boolean {
     return place.id !== settings.id
   }
-  function placeIn(set: CoreSet): CorePlace | undefined {
+  function placeIn(set: CoreSet): CoreMember | undefined {
     return votersOf(set).find(isMe)
   }
   function connectOthers(): void {
--- a/packages/register/src/core.ts
+++ b/packages/register/src/core.ts
@@ -17,14 +17,14 @@
 import { makeCoreMessages, type QuotaService } from './core-messages.js'
 import { makeCorePeers } from './core-peers.js'
 import { idsOf, makeCoreSetFollower, type CoreSetFollower } from './core-set-follower.js'
-import { askSeeds, type CorePlace, type CoreSet } from './core-set.js'
+import { fetchCoreSetFromSeeds, type CoreMember, type CoreSet } from './core-set.js'
 import type { Delta } from './delta.js'
 import type { CoreState } from './founding.js'
 import { makeHandover } from './handover.js'
 import { makeLeases } from './leases.js'
 import type { RegisterSummary } from './messages.js'
 import { makeDeltaChains, makePushes } from './pushes.js'
-import { isLoss, makeStore, type RegisterEntry, type Store } from './register-store.js'
+import { isLoss, makeRegisterStore, type RegisterEntry, type RegisterStore } from './register-store.js'
 import { makeRenewals } from './renewals.js'
 
 /**
@@ -38,23 +38,23 @@
   /** An operator's word that all cores lost their disks and everything is to begin again. */
   foundAnew?: boolean
 } & (
-  | { cores: CorePlace[] }
+  | { cores: CoreMember[] }
   | {
       /** Where this machine takes links. */
       addr: Address
       /** HTTP addresses of others, asked again until one tells. */
       seeds: () => Address[]
       /** Given at the very first start of the whole system, with empty disks, to all alike. */
-      founders?: CorePlace[]
+      founders?: CoreMember[]
     }
 )
 
 export type Core = {
   /** This machine as it may be taken into a set; its token is on disk. */
-  place: () => CorePlace
+  place: () => CoreMember
   stop: () => Promise<void>
   serving: () => boolean
-  store: Store
+  store: RegisterStore
   metrics: Metrics
   state: () => string
   agents: () => string[]
@@ -70,7 +70,7 @@
 const FOUNDING_INTERVAL_MS = 200
 
 /** The set that a core begins with, where it knows one without asking: an operator's, its disk's, or the founders'. */
-function firstSetOf(settings: CoreSettings, store: Store): CoreSet | undefined {
+function firstSetOf(settings: CoreSettings, store: RegisterStore): CoreSet | undefined {
   if ('cores' in settings) return { epoch: 0, cores: settings.cores }
   if (store.set().cores.length > 0) return store.set()
   return settings.founders ? { epoch: 0, cores: settings.founders } : undefined
@@ -92,7 +92,7 @@
   stop.watch(found.fire)
   async function seek(): Promise<void> {
     if (follower.coreSet().cores.length > 0) return
-    const told = await askSeeds(world, seeds())
+    const told = await fetchCoreSetFromSeeds(world, seeds())
     if (!told || stop.fired()) return
     world.log.info('core-set-told', { core: id, seed: told.seed, set: told.set.cores.length })
     // It may have been told a set already by a link.
@@ -110,7 +110,7 @@
   const metrics = makeMetrics()
   const chains = makeDeltaChains()
   const committed = makeCommittedBallots()
-  const store = makeStore(world, `${settings.data}/register`, taken)
+  const store = makeRegisterStore(world, `${settings.data}/register`, taken)
   const leases = makeLeases(world)
   const pushes = makePushes(store, chains, committed.isCommitted, metrics)
   const renewals = makeRenewals(world, leases, registerSummaries, metrics)
@@ -236,7 +236,7 @@
     pushes.closeAll()
     await listener.close()
   }
-  function place(): CorePlace {
+  function place(): CoreMember {
     const token = follower.isVoter() || store.failed() !== undefined ? undefined : store.token()
     return { id, addr: address, ...(token === undefined ? {} : { token }) }
   }
--- a/packages/register/src/handover.ts
+++ b/packages/register/src/handover.ts
@@ -9,7 +9,7 @@
 } from '@claynotch/base'
 import { compareBallots, type Ballot } from './ballot.js'
 import { HandoverOfferAnswer } from './messages.js'
-import type { RegisterEntry, Store, RegisterValue } from './register-store.js'
+import type { RegisterEntry, RegisterStore, RegisterValue } from './register-store.js'
 
 // Repair of what a core that was away should have had: it is kept for it, and handed over at its return.
 // docs/design/repair.md.
@@ -32,7 +32,7 @@
   /** Hands over what it missed to each voter that is reached again. */
   handOver: (others: { id: string; held: HandoverLink }[]) => Promise<void>
   /** The registers of an offer that this core lacks; of the others it now knows that they are settled. */
-  lackingOf: (offered: OfferedEntry[]) => string[]
+  missingKeysOf: (offered: OfferedEntry[]) => string[]
   /** Takes settled values as late accepts would be taken, never under a higher promise; how many were taken. */
   take: (cells: HandedEntry[]) => Promise<number>
 }
@@ -40,7 +40,7 @@
 /** learn: a value is settled at this ballot. */
 export function makeHandover(
   world: World,
-  store: Store,
+  store: RegisterStore,
   isSettled: (key: string, cell: RegisterEntry) => boolean,
   learn: (key: string, ballot: Ballot) => void,
   metrics: Metrics,
@@ -120,5 +120,5 @@
     if (took > 0) metrics.add('claynotch_core_taken_over_total', [], took)
     return took
   }
-  return { added, removed, missedBy, handOver, lackingOf, take }
+  return { added, removed, missedBy, handOver, missingKeysOf: lackingOf, take }
 }
--- a/packages/register/src/messages.ts
+++ b/packages/register/src/messages.ts
@@ -2,7 +2,7 @@
 import { HolderQuestion } from '@claynotch/quota'
 import * as t from 'io-ts'
 import { Ballot } from './ballot.js'
-import { CorePlace, CoreSet } from './core-set.js'
+import { CoreMember, CoreSet } from './core-set.js'
 import { Delta } from './delta.js'
 import { QuotaUseQuestion } from './quota-register.js'
 
@@ -30,7 +30,7 @@
 // core: the core machine that it runs on, which votes or could.
 export const MemberDescription = t.intersection([
   t.type({ area: t.string, addr: t.string, operator: t.string, build: t.string, proxy: t.boolean }),
-  t.partial({ core: CorePlace }),
+  t.partial({ core: CoreMember }),
 ])
 export type MemberDescription = t.TypeOf<typeof MemberDescription>
 
--- a/packages/register/src/pushes.ts
+++ b/packages/register/src/pushes.ts
@@ -1,7 +1,7 @@
 import { DELTA_LINK_VERSION, MAX_KEPT_DELTAS, type Hello, type Link, type Metrics } from '@claynotch/base'
 import { compareBallots, type Ballot } from './ballot.js'
 import { bytesOf, makeDelta, type Delta } from './delta.js'
-import type { Accepted, RegisterEntry, Store, RegisterValue } from './register-store.js'
+import type { AcceptedListener, RegisterEntry, RegisterStore, RegisterValue } from './register-store.js'
 import type { Deltas } from './messages.js'
 
 /**
@@ -15,7 +15,7 @@
 
 /** The last changes of each register that this core took, as deltas from one ballot to the next. */
 export type DeltaChains = {
-  taken: Accepted
+  taken: AcceptedListener
   /** What makes the value at the second ballot of the one at the first; undefined: not kept, or no shorter than the value. */
   path: (key: string, from: Ballot, to: Ballot) => Delta[] | undefined
 }
@@ -72,7 +72,7 @@
 }
 
 export function makePushes(
-  store: Store,
+  store: RegisterStore,
   chains: DeltaChains,
   isSettled: (key: string, c: RegisterEntry) => boolean,
   metrics: Metrics,
--- a/packages/register/src/register-store.ts
+++ b/packages/register/src/register-store.ts
@@ -1,6 +1,6 @@
 import { makeDataFile, makeSerialQueue, type World, type Finding } from '@claynotch/base'
 import { ZERO_BALLOT, compareBallots, type Ballot } from './ballot.js'
-import { NO_SET, type CorePlace, type CoreSet } from './core-set.js'
+import { EMPTY_CORE_SET, type CoreMember, type CoreSet } from './core-set.js'
 import { applyDelta, type Delta } from './delta.js'
 
 const FILE_FORMAT = 'format-2'
@@ -25,9 +25,9 @@
   k: 'set'
   phase: FoundingPhase
   cores: string[]
-  places?: CorePlace[]
+  places?: CoreMember[]
   epoch?: number
-  next?: CorePlace[]
+  next?: CoreMember[]
   token?: string
 }
 type FloorRecord = { k: 'floor'; floor: number }
@@ -44,9 +44,9 @@
 export type DeltaAnswer = AcceptAnswer | { ok: false; lacksBase: true }
 
 // Told of each value taken, once it is on disk. delta: what it came as, where it did.
-export type Accepted = (key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined) => void
+export type AcceptedListener = (key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined) => void
 
-export type Store = {
+export type RegisterStore = {
   open: () => Promise<Finding[]>
   phase: () => FoundingPhase
   // The ids of the set that this disk knows, and the set whole where the file holds it.
@@ -82,13 +82,13 @@
   return finding.what.includes(LOST_MEMORY)
 }
 
-export function makeStore(world: World, path: string, accepted?: Accepted): Store {
+export function makeRegisterStore(world: World, path: string, accepted?: AcceptedListener): RegisterStore {
   const file = makeDataFile(world, path)
   const cells = new Map<string, RegisterEntry>()
   const enter = makeSerialQueue()
   let phase: FoundingPhase = 'none'
   let cores: string[] = []
-  let set: CoreSet = NO_SET
+  let set: CoreSet = EMPTY_CORE_SET
   let token: string | undefined
   // marked: the file says that it may hold deltas.
   let marked = false
@@ -126,7 +126,7 @@
   // Nothing that was read counts: what is missing may have been a promise of any register.
   function forget(): void {
     cells.clear()
-    keep('none', NO_SET, undefined)
+    keep('none', EMPTY_CORE_SET, undefined)
     floor = 0
   }
   function live(): Rec[] {
