--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -8,8 +8,8 @@
   readAs,
   REFILL_BATCH_SIZE,
   ROUND_TIMEOUT_MS,
-  VOTER_GONE_MS,
-  VOTER_SILENCE_MS,
+  VOTER_REMOVAL_TIMEOUT_MS,
+  VOTER_REPLACEMENT_TIMEOUT_MS,
   type Flag,
   type PersistentLink,
   type World,
@@ -122,8 +122,8 @@
   function couldChange(set: CoreSet, joinableCount: number): boolean {
     let longestSilenceMs = 0
     for (const voter of set.cores) longestSilenceMs = Math.max(longestSilenceMs, silenceMs(voter.id))
-    if (joinableCount === 0) return set.cores.length % 2 === 0 && longestSilenceMs > VOTER_GONE_MS
-    return longestSilenceMs > VOTER_SILENCE_MS || set.cores.length < view.mostVoters
+    if (joinableCount === 0) return set.cores.length % 2 === 0 && longestSilenceMs > VOTER_REMOVAL_TIMEOUT_MS
+    return longestSilenceMs > VOTER_REPLACEMENT_TIMEOUT_MS || set.cores.length < view.mostVoters
   }
   async function startChange(set: CoreSet): Promise<void> {
     const joinable = machinesToJoin()
@@ -206,7 +206,7 @@
     const missing = newcomers.filter(isMissing)
     const waitedMs = world.now() - adoptedAt
     function hasTimedOut(place: CoreMember): boolean {
-      return waitedMs > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
+      return waitedMs > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_REPLACEMENT_TIMEOUT_MS)
     }
     const timedOut = missing.filter(hasTimedOut)
     if (missing.length > 0 && timedOut.length === 0) return
--- a/packages/base/src/constants.ts
+++ b/packages/base/src/constants.ts
@@ -33,17 +33,17 @@
  * ms. How long a writer that holds a table's lock first waits for connected readers, some ten round trips. The wait
  * doubles with each lock that the writer had to release.
  */
-export const LOCK_PATIENCE_MS = 200
+export const INITIAL_LOCK_WAIT_MS = 200
 /**
  * ms. A reader that has not acknowledged an announcement by then is suspended: many round trips, and half a renewal
  * interval, by which most readers learn what was not pushed to them.
  */
-export const ANNOUNCEMENT_PATIENCE_MS = 300
+export const ANNOUNCEMENT_ACK_TIMEOUT_MS = 300
 /**
  * ms. A writer's claim on the lock lasts this much longer than what it has to wait for: its commits and the waits
  * above.
  */
-export const CLAIM_MARGIN_MS = 1000
+export const LOCK_CLAIM_MARGIN_MS = 1000
 /** ms. Interval at which a writer asks who acknowledged its lock: no connected reader serves meanwhile. */
 export const LOCK_POLL_INTERVAL_MS = 20
 /** ms. The same for an announcement, and for a lock that another writer holds: only the operator waits. */
@@ -112,7 +112,7 @@
  * ms. Interval at which a node checks whether the core that it subscribed to has sent by now what the node knew at the
  * previous check: changes reach the cores within milliseconds of each other.
  */
-export const SUBSCRIPTION_LAG_MS = 500
+export const SUBSCRIPTION_CHECK_INTERVAL_MS = 500
 /** count. Consecutive checks, SUBSCRIPTION_CHECK_INTERVAL_MS apart, that find the core behind before it is left. */
 export const MAX_SUBSCRIPTION_LAGS = 2
 /**
@@ -176,22 +176,22 @@
  * ms. While a voter was not heard for this long, but for less than it takes to be replaced, no machine joins: the voter
  * may be the one that the newcomer is to replace. Two lease renewal intervals.
  */
-export const VOTER_DOUBT_MS = 1200
+export const VOTER_SUSPICION_TIMEOUT_MS = 1200
 /**
  * ms. A voter that nobody heard for this long is replaced by a fresh machine where all core machines are voters:
  * a machine that is not a voter exists only because another was replaced, and a lease of the lost one has expired then.
  */
-export const VOTER_SILENCE_MS = 2500
+export const VOTER_REPLACEMENT_TIMEOUT_MS = 2500
 /**
  * ms. A voter that nobody heard for this long is removed from a set of even size where there is no fresh machine: the
  * quorum is smaller without it. Longer than a process restart.
  */
-export const VOTER_GONE_MS = 5000
+export const VOTER_REMOVAL_TIMEOUT_MS = 5000
 /**
  * ms. A voter that nobody heard for this long is replaced by a spare where the set has MAX_VOTERS voters and there are
  * always spares: longer than a process restart (5 s) and than freezes of a few seconds.
  */
-export const CORE_GONE_MS = 8000
+export const SPARE_REPLACEMENT_TIMEOUT_MS = 8000
 /**
  * ms. A newcomer that answers but does not vote by then is given up. It votes as soon as the set is on its disk, or
  * after a refill of REFILL_DELAY_MS and two rounds for each register.
@@ -269,7 +269,7 @@
  * count. Retries of a group known from all nodes above which nodes without any retries report how much they send: half
  * of the retries at which the cap over all nodes takes effect (RETRY_TOKENS).
  */
-export const RETRIES_WORTH_TELLING = 10
+export const RETRY_REPORT_THRESHOLD = 10
 /**
  * ms. Added for each proxy node to the pause between summaries that bring all others nothing new, so that every node
  * receives at most 20 of them a second. Up to ten such nodes the pause is not lengthened.
@@ -278,7 +278,7 @@
 /** count. Intervals in which a change is sent again, as datagrams are lost now and then. */
 export const SUMMARY_REPEATS = 3
 /** count. Nodes whose newest summary is kept. */
-export const MAX_HEARD_SUMMARIES = 256
+export const MAX_CACHED_SUMMARIES = 256
 /** ms. An older summary is no longer used as a hint: two summaries at the longest pause may be lost. */
 export const SUMMARY_LIFETIME_MS = 5000
 /**
@@ -309,7 +309,7 @@
  * count. Consecutive failed attempts without an answer between them that make an instance suspect where nothing samples
  * it.
  */
-export const FAILURES_BEFORE_DOUBT = 2
+export const FAILURES_BEFORE_SUSPICION = 2
 /**
  * ms. First delay before one call tries a suspect instance that nothing samples: short compared with a promotion, long
  * compared with a call's way there.
@@ -382,7 +382,7 @@
 /** ms. Interval at which a proxy logs the clients that it rejected for their keys, by reason. */
 export const KEY_REFUSAL_LOG_INTERVAL_MS = 10000
 /** count. Rejected or removed keys whose hashes a proxy keeps, to tell why a client is rejected. */
-export const MAX_KEYS_REMEMBERED = 1000
+export const MAX_REMEMBERED_KEYS = 1000
 /** count. Most open sessions of a proxy. */
 export const MAX_SESSIONS = 4000
 /** ms. A session unused for this long is closed (sessions stay open and idle for hours). */
@@ -409,7 +409,7 @@
  * ms. How long answers in flight may take when a listener closes; at the listener for requesters, a whole attempt is
  * added.
  */
-export const DRAIN_TAIL_MS = 1500
+export const CLOSE_TIMEOUT_MS = 1500
 /** bytes. Largest HTTP body accepted. */
 export const BODY_LIMIT_BYTES = 256 * 1024
 /** bytes. Largest operator body (a stream may carry many configurations). */
@@ -422,7 +422,7 @@
  */
 export const CONNECTION_GRACE_MS = 250
 /** count. Most connections of one listener; further ones are closed at once. */
-export const MAX_EDGE_CONNECTIONS = 20000
+export const MAX_LISTENER_CONNECTIONS = 20000
 /** count. Most connections of the listener for operators and announcements: some hundred instances keep one each. */
 export const MAX_CONTROL_CONNECTIONS = 1024
 /**
@@ -437,7 +437,7 @@
 /** bytes. Largest announcement. */
 export const ANNOUNCEMENT_LIMIT_BYTES = 4096
 /** ms. A reader of the decision stream is checked at least this often, to notice that it disconnected. */
-export const FOLLOW_INTERVAL_MS = 2000
+export const DECISION_READER_CHECK_INTERVAL_MS = 2000
 /** s. Retry-After for rejections by overload. */
 export const RETRY_AFTER_OVERLOAD_S = 1
 /** s. Retry-After while a promotion or a lease is awaited. */
@@ -460,9 +460,9 @@
 /** ms. A client connection that has not begun its session by then is closed. */
 export const SESSION_START_TIMEOUT_MS = 10000
 /** count. Unanswered requests of one client connection; above it the connection is not read. */
-export const CLIENT_QUESTIONS_LIMIT = 64
+export const MAX_CLIENT_PENDING_REQUESTS = 64
 /** bytes. The same limit by size. A single request may be longer. */
-export const CLIENT_QUESTIONS_LIMIT_BYTES = 256 * 1024
+export const CLIENT_PENDING_REQUESTS_LIMIT_BYTES = 256 * 1024
 /** bytes. Answers that one client connection has not read; above it none of its requests is started. */
 export const CLIENT_UNREAD_ANSWERS_LIMIT_BYTES = 1024 * 1024
 /**
@@ -479,7 +479,7 @@
 /** bytes. A pooled connection with longer settings in force is not kept idle. */
 export const IDLE_CONNECTION_SETTINGS_LIMIT_BYTES = 16 * 1024
 /** count. A pooled connection with more prepared statements is reset before its next use. */
-export const CONNECTION_SHAPES_LIMIT = 256
+export const MAX_CONNECTION_PREPARED_STATEMENTS = 256
 /** bytes. Longest policy. */
 export const POLICY_LIMIT_BYTES = 16384
 
@@ -501,7 +501,7 @@
  * suspected after CONFIRMED_SUSPICION_TIMEOUT_MS: its last announcement is forgotten at most ANNOUNCEMENT_LIFETIME_MS
  * after it was received, and a check or two follow.
  */
-export const TAKEOVER_DOUBT_MS = 5000
+export const TAKEOVER_SUSPICION_WINDOW_MS = 5000
 /** ms. Interval at which a proxy checks for calls that are stalled at an instance. */
 export const STALL_INTERVAL_MS = 100
 /**
@@ -537,7 +537,7 @@
  * ms. Of two candidates with the same data, one that joined this much later is preferred: where instances are replaced
  * one after the other, the older is the next to be stopped.
  */
-export const NEWER_INSTANCE_MS = 3000
+export const NEWER_CANDIDATE_MARGIN_MS = 3000
 /**
  * ms. Leadership returns to the group's home zones once an instance there has been healthy without a break for this
  * long: longer than a flapping zone takes to show it, as each return stalls writes for a moment.
@@ -568,7 +568,7 @@
 /** ms. Interval at which the duty holder logs the replicas that it waits for. */
 export const PROMOTION_WAIT_LOG_INTERVAL_MS = 5000
 /** ms. A node that heard the leader within this is evidence against suspicion. */
-export const GOOD_OBSERVATION_MS = 1500
+export const LEADER_EVIDENCE_LIFETIME_MS = 1500
 /** ms. Timeout of the POST /promotion call; after it the outcome is unclear and STATUS decides. */
 export const PROMOTION_TIMEOUT_MS = 3000
 /** ms. How long one candidate is tried before another is recorded. */
@@ -576,7 +576,7 @@
 
 // --- moves of lanes between groups ---
 /** ms. Writes may stop once the target holds what the source had this long ago. */
-export const MOVE_NEAR_LAG_MS = 1000
+export const MOVE_CUTOVER_LAG_MS = 1000
 /**
  * ms. Longest pause of writes of a lane that is moved; after it the move is cancelled. With the drain before it, a
  * waiting call is still served within its budget.
@@ -591,31 +591,31 @@
  */
 export const QUOTA_METER_WINDOW_MS = 5250
 /** ms. Operations sent this close to each other may be counted together, at the time of the last. */
-export const QUOTA_METER_GRAIN_MS = 10
+export const QUOTA_METER_RESOLUTION_MS = 10
 /** ms. Interval at which a proxy reports its tenants' allowances, use and demand, while there is anything to report. */
 export const QUOTA_REPORT_INTERVAL_MS = 500
 /** ms. The same for a proxy without allowances: a new quota holder waits until it has received that report. */
 export const QUOTA_IDLE_REPORT_INTERVAL_MS = 1000
 /** ms. Least time from an answer to a proxy's next quota request, to batch what arrives together. */
-export const QUOTA_QUESTION_SPACING_MS = 2
+export const QUOTA_REQUEST_MIN_INTERVAL_MS = 2
 /** ms. Delay of a quota request that is not urgent: most of an allowance is used, or part of one can be returned. */
-export const QUOTA_SOON_MS = 50
+export const QUOTA_REQUEST_DELAY_MS = 50
 /**
  * ratio. Of a statement's time: the longest wait for an allowance, limited by its route's target latency too. An answer
  * that grants nothing ends the wait at once, so that only statements wait whose answer is on its way.
  */
 export const QUOTA_WAIT_SHARE = 0.45
 /** ms. A quota request without an answer by then is given up: longer than an agent waits for a quota holder. */
-export const QUOTA_QUESTION_TIMEOUT_MS = 500
+export const QUOTA_REQUEST_TIMEOUT_MS = 500
 /** ms. Delay of the next quota request after one that nobody answered. */
-export const QUOTA_QUESTION_RETRY_MS = 100
+export const QUOTA_REQUEST_RETRY_DELAY_MS = 100
 /**
  * ms. Quota of a tenant that got less than it wants is not requested again sooner; operations without an allowance are
  * rejected at once.
  */
-export const QUOTA_DENIAL_MS = 200
+export const QUOTA_DENIAL_BACKOFF_MS = 200
 /** ms. An allowance that was not used for two windows is returned. */
-export const QUOTA_IDLE_MS = 10000
+export const QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS = 10000
 /** ratio. Of an allowance: the rest at which more is requested. */
 export const QUOTA_LOW_SHARE = 0.25
 /**
@@ -627,7 +627,7 @@
  * operations. Least amount granted beyond a proxy's demand, if there is enough for all, so that operations need not
  * wait for an answer.
  */
-export const QUOTA_LEAST_EXTRA = 2
+export const QUOTA_MIN_EXTRA = 2
 /**
  * ratio. Of a proxy's demand: the amount granted beyond it, if there is enough for all, so that operations need not
  * wait for an answer.
@@ -636,7 +636,7 @@
 /** ratio. Of the quota that nobody demands: what proxies may get as extras. The rest is free for new demand. */
 export const QUOTA_SPARE_SHARE = 0.75
 /** ratio. The same where that is less than one operation for each proxy. */
-export const QUOTA_THIN_SPARE_SHARE = 0.25
+export const QUOTA_SCARCE_SPARE_SHARE = 0.25
 /**
  * ratio. Of a tenant's limit: what is kept for a new quota holder to grant at once, unless the tenant's demand exceeds
  * the rest.
--- a/packages/base/src/data-file.ts
+++ b/packages/base/src/data-file.ts
@@ -16,7 +16,7 @@
 const HEADER_BYTES = 12
 
 /** Contents of an opened file; cut: length of the torn write at its end (bytes). */
-export type Opened = { records: unknown[]; damaged: boolean; cut: number; empty: boolean }
+export type DataFileContents = { records: unknown[]; damaged: boolean; cut: number; empty: boolean }
 
 function encodeRecord(body: unknown): Uint8Array {
   const bytes = encode(body)
@@ -61,11 +61,11 @@
 
 export type DataFile = {
   /** Reads all records, and truncates a torn write at the end. */
-  open: () => Promise<Opened>
+  open: () => Promise<DataFileContents>
   /** Completes once the record is synced. */
   append: (body: unknown) => Promise<void>
   /** Rewrites the file with the live records if it has grown too long; returns whether it did. */
-  trim: (liveRecords: () => unknown[]) => Promise<boolean>
+  compact: (liveRecords: () => unknown[]) => Promise<boolean>
   /** Replaces all records of the file. */
   reset: (liveRecords: unknown[]) => Promise<void>
   size: () => number
@@ -78,7 +78,7 @@
   let sizeAfterRewrite = 0
   const enqueue = makeSerialQueue()
 
-  async function open(): Promise<Opened> {
+  async function open(): Promise<DataFileContents> {
     const bytes = await world.disk.read(path)
     if (!bytes || bytes.length === 0) return { records: [], damaged: false, cut: 0, empty: true }
     const contents = readRecords(bytes)
@@ -129,5 +129,5 @@
   function currentSize(): number {
     return size
   }
-  return { open, append, trim, reset, size: currentSize }
+  return { open, append, compact: trim, reset, size: currentSize }
 }
--- a/packages/base/src/http-server.ts
+++ b/packages/base/src/http-server.ts
@@ -4,9 +4,9 @@
   RETRY_AFTER_OVERLOAD_S,
   BODY_LIMIT_BYTES,
   BODY_TIMEOUT_MS,
-  DRAIN_TAIL_MS,
+  CLOSE_TIMEOUT_MS,
   CONNECTION_GRACE_MS,
-  MAX_EDGE_CONNECTIONS,
+  MAX_LISTENER_CONNECTIONS,
 } from './constants.js'
 import { type Flag, TIMED_OUT, makeFlag, noop, pause, withTimeout } from './waiting.js'
 import type { Address, World } from './world.js'
@@ -20,7 +20,7 @@
   header: (name: string) => string | undefined
   body: unknown
   /** The connection it arrived on: the same object for the life of the connection. */
-  line: object
+  connection: object
   /** Fires when the caller disconnects before its answer is written. */
   gone: Flag
   raw: { req: IncomingMessage; res: ServerResponse }
@@ -80,7 +80,7 @@
 }
 
 /** The refusal of an invalid request. */
-export function badInput(status: number, why: string, findings: unknown[] = []): HttpResponse {
+export function invalidRequest(status: number, why: string, findings: unknown[] = []): HttpResponse {
   return {
     status,
     body: { outcome: 'refused', class: 'INVALID_ARGUMENT', kept: 'nothing', again: false, why, findings },
@@ -100,7 +100,7 @@
    */
   quiet?: number
   /** Called for each accepted connection; the flag fires when it closes. */
-  onLine?: (connection: object, closed: Flag) => void
+  onConnection?: (connection: object, closed: Flag) => void
   /** Whether the handler reads the body of this path itself. */
   raw?: (path: string) => boolean
 }
@@ -145,7 +145,7 @@
       url = new URL(req.url ?? '/', 'http://x')
     } catch {
       res.setHeader('connection', 'close')
-      sendResponse(res, badInput(400, 'malformed path'))
+      sendResponse(res, invalidRequest(400, 'malformed path'))
       return
     }
     const maxBytes =
@@ -155,7 +155,7 @@
       const bytes = await withTimeout(world, BODY_TIMEOUT_MS, readBody(req, maxBytes, reserve))
       if (bytes === TIMED_OUT) {
         res.setHeader('connection', 'close')
-        sendResponse(res, badInput(408, `body not whole within ${BODY_TIMEOUT_MS} ms`))
+        sendResponse(res, invalidRequest(408, `body not whole within ${BODY_TIMEOUT_MS} ms`))
         return
       }
       if (bytes === 'full') {
@@ -175,14 +175,14 @@
       }
       if (bytes === 'long') {
         res.setHeader('connection', 'close')
-        sendResponse(res, badInput(413, `body over ${maxBytes} bytes`))
+        sendResponse(res, invalidRequest(413, `body over ${maxBytes} bytes`))
         return
       }
       if (bytes.length > 0) {
         try {
           body = JSON.parse(bytes.toString('utf8'))
         } catch (error) {
-          sendResponse(res, badInput(400, `malformed JSON: ${(error as Error).message}`))
+          sendResponse(res, invalidRequest(400, `malformed JSON: ${(error as Error).message}`))
           return
         }
       }
@@ -202,7 +202,7 @@
       query: url.searchParams,
       header,
       body,
-      line: req.socket,
+      connection: req.socket,
       gone,
       raw: { req, res },
     })
@@ -254,7 +254,7 @@
   server.on('clientError', onClientError)
 
   function acceptConnection(socket: Duplex): void {
-    if (connections.size >= (options.lines ?? MAX_EDGE_CONNECTIONS)) {
+    if (connections.size >= (options.lines ?? MAX_LISTENER_CONNECTIONS)) {
       socket.on('error', noop)
       socket.destroy()
       return
@@ -267,7 +267,7 @@
     }
     socket.on('error', noop)
     socket.on('close', onClosed)
-    options.onLine?.(socket, closed)
+    options.onConnection?.(socket, closed)
     scheduleIdleSweep()
     server.emit('connection', socket)
   }
@@ -303,7 +303,7 @@
    * so drain() has to come well before. At the timeout the remaining connections (such as followers of a stream) are
    * closed regardless.
    */
-  async function close(timeoutMs = DRAIN_TAIL_MS): Promise<void> {
+  async function close(timeoutMs = CLOSE_TIMEOUT_MS): Promise<void> {
     isDraining = true
     const listenerClosed = listener.close()
     const deadline = world.now() + timeoutMs
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -6,16 +6,16 @@
 import { Ok, Err, type Result } from './result.js'
 
 /** Command-line flags of one process, as name and value; they override its settings file. */
-export type Flags = [string, string][]
+export type CommandLineFlags = [string, string][]
 
 /** File format of settings, JSON by default. open: unknown fields are ignored instead of reported. */
-export type Format = { name: string; parse: (text: string) => unknown; open: boolean }
+export type SettingsFormat = { name: string; parse: (text: string) => unknown; open: boolean }
 function parseJson(text: string): unknown {
   return JSON.parse(text)
 }
-const JSON_FORMAT: Format = { name: 'JSON', parse: parseJson, open: false }
+const JSON_FORMAT: SettingsFormat = { name: 'JSON', parse: parseJson, open: false }
 
-function parseSettings(path: string, bytes: Uint8Array | undefined, format: Format): Result<object, Finding[]> {
+function parseSettings(path: string, bytes: Uint8Array | undefined, format: SettingsFormat): Result<object, Finding[]> {
   if (!bytes) return Err([{ place: path, what: 'no such file' }])
   let value: unknown
   try {
@@ -29,21 +29,21 @@
 }
 
 /** Where the settings of a process come from: a file and the flags that override it. */
-export type Source<T> = {
+export type SettingsSource<T> = {
   path: string | undefined
-  flags: Flags
+  flags: CommandLineFlags
   /** Flags whose values are lists separated by commas. */
   lists: string[]
   /** Further checks of decoded settings. */
   more?: (settings: T) => Finding[]
-  format?: Format
+  format?: SettingsFormat
 }
 
 /** Reads and checks the settings; on failure all findings come back, each with its file or flag. */
 export async function readSettings<T>(
   world: World,
   codec: t.Type<T, unknown, unknown>,
-  source: Source<T>,
+  source: SettingsSource<T>,
 ): Promise<Result<T, Finding[]>> {
   const document = new Map<string, unknown>()
   const format = source.format ?? JSON_FORMAT
@@ -81,7 +81,7 @@
 export function watchSettings<T>(
   world: World,
   codec: t.Type<T, unknown, unknown>,
-  source: Source<T>,
+  source: SettingsSource<T>,
   stop: Flag,
   signal: Signal,
   apply: (settings: T) => void,
@@ -112,7 +112,7 @@
 }
 
 /** One line of text for each finding. */
-export function showFindings(findings: Finding[]): string {
+export function formatFindings(findings: Finding[]): string {
   let text = ''
   for (const finding of findings) text += `${finding.place}: ${finding.what}\n`
   return text
--- a/packages/base/src/streams.ts
+++ b/packages/base/src/streams.ts
@@ -1,5 +1,10 @@
 import type { Duplex } from 'node:stream'
-import { CONNECTION_GRACE_MS, DRAIN_TAIL_MS, MAX_EDGE_CONNECTIONS, SESSION_START_TIMEOUT_MS } from './constants.js'
+import {
+  CONNECTION_GRACE_MS,
+  CLOSE_TIMEOUT_MS,
+  MAX_LISTENER_CONNECTIONS,
+  SESSION_START_TIMEOUT_MS,
+} from './constants.js'
 import type { HttpListener } from './http-server.js'
 import { makeFlag, noop, pause } from './waiting.js'
 import type { Address, World } from './world.js'
@@ -29,7 +34,7 @@
   world: World,
   addr: Address,
   openHandler: (stream: Duplex, slot: ConnectionSlot) => ConnectionHandler,
-  maxConnections: number = MAX_EDGE_CONNECTIONS,
+  maxConnections: number = MAX_LISTENER_CONNECTIONS,
 ): Promise<HttpListener> {
   const handlers = new Map<Duplex, ConnectionHandler>()
   let openRequests = 0
@@ -75,7 +80,7 @@
     isDraining = true
     for (const handler of [...handlers.values()]) if (handler.resting()) handler.end()
   }
-  async function close(timeoutMs = DRAIN_TAIL_MS): Promise<void> {
+  async function close(timeoutMs = CLOSE_TIMEOUT_MS): Promise<void> {
     drain()
     const listenerClosed = listener.close()
     for (const handler of [...handlers.values()]) if (handler.resting(true)) handler.end()
--- a/packages/base/src/validation.ts
+++ b/packages/base/src/validation.ts
@@ -132,8 +132,8 @@
 function isWholeNumber(value: unknown): value is number {
   return Number.isSafeInteger(value) && (value as number) >= 0
 }
-export const Whole = makeCodec('a whole number from 0', isWholeNumber)
+export const WholeNumber = makeCodec('a whole number from 0', isWholeNumber)
 function isDurationMs(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value) && value >= 0 && value <= 86400000
 }
-export const Ms = makeCodec('milliseconds from 0 to 86400000', isDurationMs)
+export const DurationMs = makeCodec('milliseconds from 0 to 86400000', isDurationMs)
--- a/packages/base/src/world.ts
+++ b/packages/base/src/world.ts
@@ -11,7 +11,7 @@
 export type Address = string
 
 export type Listener = { close: () => Promise<void> }
-export type DatagramSocket = { cast: (addr: Address, bytes: Uint8Array) => void; close: () => void }
+export type DatagramSocket = { send: (addr: Address, bytes: Uint8Array) => void; close: () => void }
 
 /**
  * All access of a process to the outside: clock, timers, randomness, log, network and disk. Real processes use
@@ -28,7 +28,7 @@
   /** Opens a TCP connection; rejects after the timeout. */
   dial: (addr: Address, timeoutMs: number) => Promise<Duplex>
   /** Binds a UDP socket. */
-  wire: (addr: Address, onDatagram: (bytes: Uint8Array) => void) => Promise<DatagramSocket>
+  bindDatagrams: (addr: Address, onDatagram: (bytes: Uint8Array) => void) => Promise<DatagramSocket>
   disk: Disk
 }
 
@@ -201,7 +201,7 @@
       function onBound(): void {
         socket.removeListener('error', reject)
         socket.on('error', ignore)
-        resolve({ cast, close })
+        resolve({ send: cast, close })
       }
       socket.on('message', onDatagram)
       socket.once('error', reject)
@@ -210,5 +210,14 @@
     return new Promise(start)
   }
 
-  return { now: realNow, later, random: Math.random, log: logOrDefault, listen, dial, wire, disk: realDisk() }
+  return {
+    now: realNow,
+    later,
+    random: Math.random,
+    log: logOrDefault,
+    listen,
+    dial,
+    bindDatagrams: wire,
+    disk: realDisk(),
+  }
 }
--- a/packages/claynotch/src/daemons.ts
+++ b/packages/claynotch/src/daemons.ts
@@ -1,4 +1,4 @@
-import { serveHttp, type HttpRequest, type Flags, type HttpResponse, type World } from '@claynotch/base'
+import { serveHttp, type HttpRequest, type CommandLineFlags, type HttpResponse, type World } from '@claynotch/base'
 import { startAgent } from '@claynotch/agent'
 import { takeProbe } from '@claynotch/host'
 import { startProxy } from '@claynotch/proxy'
@@ -7,7 +7,7 @@
 import { needsRestart, runDaemon, type Running } from './run.js'
 import { AgentShape, checkAgent, checkCore, CoreShape, ProxyShape } from './settings.js'
 
-export async function runCore(path: string | undefined, flags: Flags): Promise<void> {
+export async function runCore(path: string | undefined, flags: CommandLineFlags): Promise<void> {
   async function start(world: World, set: CoreShape): Promise<Running<CoreShape>> {
     const core = await startCore(world, set)
     function ready(): string | undefined {
@@ -35,7 +35,7 @@
   await runDaemon('core', CoreShape, { path, flags, lists: [], more: checkCore }, start)
 }
 
-export async function runAgent(path: string | undefined, flags: Flags): Promise<void> {
+export async function runAgent(path: string | undefined, flags: CommandLineFlags): Promise<void> {
   async function start(world: World, set: AgentShape): Promise<Running<AgentShape>> {
     const agent = await startAgent(world, { ...set, build: BUILD })
     function apply(next: AgentShape): void {
@@ -53,7 +53,7 @@
   await runDaemon('agent', AgentShape, { path, flags, lists: ['seeds'], more: checkAgent }, start)
 }
 
-export async function runProxy(path: string | undefined, flags: Flags): Promise<void> {
+export async function runProxy(path: string | undefined, flags: CommandLineFlags): Promise<void> {
   async function start(world: World, set: ProxyShape): Promise<Running<ProxyShape>> {
     const proxy = await startProxy(world, set)
     function apply(next: ProxyShape): void {
--- a/packages/claynotch/src/run.ts
+++ b/packages/claynotch/src/run.ts
@@ -5,9 +5,9 @@
   makeLog,
   readSettings,
   realWorld,
-  showFindings,
+  formatFindings,
   watchSettings,
-  type Source,
+  type SettingsSource,
   type World,
 } from '@claynotch/base'
 
@@ -17,7 +17,7 @@
 export async function runDaemon<T>(
   kind: string,
   codec: t.Type<T, unknown, unknown>,
-  from: Source<T>,
+  from: SettingsSource<T>,
   start: (world: World, set: T) => Promise<Running<T>>,
 ): Promise<void> {
   // Signals are held from the first line on: one that comes while the daemon starts is not lost, nor does it kill.
@@ -29,7 +29,7 @@
   const world = realWorld(makeLog({ program: kind }))
   const got = await readSettings(world, codec, from)
   if (got.err) {
-    process.stderr.write(showFindings(got.val))
+    process.stderr.write(formatFindings(got.val))
     process.exit(2)
   }
   let running: Running<T>
--- a/packages/failover/src/evidence.ts
+++ b/packages/failover/src/evidence.ts
@@ -1,4 +1,4 @@
-import { GOOD_OBSERVATION_MS, OBSERVATION_SKEW_MS } from '@claynotch/base'
+import { LEADER_EVIDENCE_LIFETIME_MS, OBSERVATION_SKEW_MS } from '@claynotch/base'
 
 /** What one node reports about instances, by instance name. */
 export type InstanceObservations = {
@@ -10,7 +10,7 @@
 
 /** The observations of all nodes about one instance, summarized. */
 export type Evidence = {
-  /** Number of nodes that had an answer within GOOD_OBSERVATION_MS and report no failure. */
+  /** Number of nodes that had an answer within LEADER_EVIDENCE_LIFETIME_MS and report no failure. */
   good: number
   /** How many of these had an answer after the median start of the failures of other nodes. */
   hears: number
@@ -31,7 +31,7 @@
     const bad = badAgeMs.get(name)
     const good = goodAgeMs.get(name)
     if (bad !== undefined) failingAgesMs.push(bad)
-    else if (good !== undefined && good < GOOD_OBSERVATION_MS) goodAgesMs.push(good)
+    else if (good !== undefined && good < LEADER_EVIDENCE_LIFETIME_MS) goodAgesMs.push(good)
   }
   failingAgesMs.sort(descending)
   const since = failingAgesMs[Math.min(1, failingAgesMs.length - 1)] ?? 0
--- a/packages/fleet/src/test/cutoff.test.ts
+++ b/packages/fleet/src/test/cutoff.test.ts
@@ -243,7 +243,7 @@
       const got = readAs(Summary, decode(bytes))
       if (got.ok && got.val.node === f.fronts[0].node) heard.push({ at: f.sim.now(), sum: got.val })
     }
-    await world.wire(`${peer.machine.ip}:7200`, take)
+    await world.bindDatagrams(`${peer.machine.ip}:7200`, take)
   }
   f.sim.spawn(peer.machine, 'listener', listen)
   await wait(f, 1000)
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -1,11 +1,11 @@
 import * as t from 'io-ts'
 import {
   Count,
-  Ms,
+  DurationMs,
   Name,
   POLICY_LIMIT_BYTES,
   readStrict,
-  Whole,
+  WholeNumber,
   type Finding,
   Ok,
   Err,
@@ -16,7 +16,10 @@
 
 // The operator's configuration.
 // reads: 'leader', every read goes to the leader; else within ms, and own (a session reads its own writes).
-const Reads = t.union([t.literal('leader'), t.intersection([t.type({ within: Ms }), t.partial({ own: t.boolean })])])
+const Reads = t.union([
+  t.literal('leader'),
+  t.intersection([t.type({ within: DurationMs }), t.partial({ own: t.boolean })]),
+])
 // path: tells lanes of one database apart; of those that have one, no two may have database and path alike.
 // limit: ms that one statement may take. aim: ms that a call should be answered within. sends: most sends of a call.
 // rank: who is served first where there isn't enough for all, 0 before 1. public: nobody is asked for a key.
@@ -27,10 +30,10 @@
     team: Name,
     pending: Count,
     path: t.string,
-    limit: Ms,
-    aim: Ms,
+    limit: DurationMs,
+    aim: DurationMs,
     sends: Count,
-    rank: Whole,
+    rank: WholeNumber,
     public: t.boolean,
     label: t.unknown,
   }),
@@ -41,7 +44,7 @@
 // instance acknowledges it.
 const Group = t.intersection([
   t.type({ name: Name, connections: Count }),
-  t.partial({ guard: Ms, home: t.array(Name), sync: t.union([t.literal(0), t.literal(1)]), label: t.unknown }),
+  t.partial({ guard: DurationMs, home: t.array(Name), sync: t.union([t.literal(0), t.literal(1)]), label: t.unknown }),
 ])
 // share: weight of the team when connections are short. sessions, pending: most open sessions, and most calls
 // waiting or running, on one proxy.
@@ -50,7 +53,7 @@
   // proxies: how many share each instance's connections; 'live': as many as are members with a proxy now.
   t.type({ proxies: t.union([Count, t.literal('live')]), groups: t.array(Group), lanes: t.array(Lane) }),
   // transactionIdle: ms; an open transaction that rests for longer may be ended.
-  t.partial({ transactionIdle: Ms, label: t.unknown }),
+  t.partial({ transactionIdle: DurationMs, label: t.unknown }),
   // policy: a Lua text that matches calls for the lane 'auto' to lanes; fallback: the lane where it fails.
   // tenants: whose keys the routes that aren't public ask for; without them no key is asked for.
   t.partial({ teams: t.array(Team), tenants: t.array(Tenant), policy: t.type({ lua: t.string, fallback: Name }) }),
@@ -182,7 +185,7 @@
 export const Change = t.intersection([
   t.type({ number: Count, expect: t.number }),
   // epoch: the one that the change makes, above the present one; without it the next.
-  t.partial({ epoch: Whole }),
+  t.partial({ epoch: WholeNumber }),
   // stage: areas that work by the new configuration; the others keep the one before until a later change says all.
   t.partial({ whole: t.unknown, edits: t.array(Edit), stage: t.union([t.literal('all'), t.array(Name)]) }),
 ])
--- a/packages/operator/src/edge.ts
+++ b/packages/operator/src/edge.ts
@@ -1,7 +1,7 @@
 import { createInterface } from 'node:readline'
 import {
-  badInput,
-  FOLLOW_INTERVAL_MS,
+  invalidRequest,
+  DECISION_READER_CHECK_INTERVAL_MS,
   Name,
   OPERATOR_BODY_LIMIT_BYTES,
   readStrict,
@@ -142,7 +142,7 @@
           res.write(`${JSON.stringify(d)}\n`)
         }
       }
-      await reading.news.wait(world, FOLLOW_INTERVAL_MS, ask.gone)
+      await reading.news.wait(world, DECISION_READER_CHECK_INTERVAL_MS, ask.gone)
     }
     return undefined
   }
@@ -164,18 +164,18 @@
     if (ask.method === 'POST' && parts[0] === 'streams' && parts.length === 2) {
       if (!Name.is(parts[1])) {
         ask.raw.req.resume()
-        return badInput(400, 'a stream needs a name', [{ place: '/streams/', what: 'expected a name' }])
+        return invalidRequest(400, 'a stream needs a name', [{ place: '/streams/', what: 'expected a name' }])
       }
       return await changes(ask, parts[1], who?.team)
     }
     if (ask.method === 'POST' && parts[0] === 'groups' && parts.length === 3 && parts[2] === 'replacement') {
       const to = (ask.body as { to?: unknown } | undefined)?.to
       if (to !== undefined && !Name.is(to))
-        return badInput(400, 'not understood', [{ place: '/to', what: 'expected a name' }])
+        return invalidRequest(400, 'not understood', [{ place: '/to', what: 'expected a name' }])
       const got = await reading.replace(parts[1], to as string | undefined)
       return { status: got.ok ? 202 : 409, body: got }
     }
-    if (ask.method !== 'GET') return badInput(404, `no such path: ${ask.method} ${ask.path}`)
+    if (ask.method !== 'GET') return invalidRequest(404, `no such path: ${ask.method} ${ask.path}`)
     switch (parts[0]) {
       case 'configuration': {
         const now = await body()
@@ -219,7 +219,7 @@
       case 'groups':
         return { status: 200, body: reading.groups() }
     }
-    return badInput(404, `no such path: ${ask.method} ${ask.path}`)
+    return invalidRequest(404, `no such path: ${ask.method} ${ask.path}`)
   }
   function noMajority(): HttpResponse {
     return {
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,7 +1,7 @@
 import {
   CLIENT_DESCRIPTORS_SHARE,
   DRAIN_TIMEOUT_MS,
-  DRAIN_TAIL_MS,
+  CLOSE_TIMEOUT_MS,
   makeHello,
   makePersistentLink,
   loop,
@@ -9,7 +9,7 @@
   makeFlag,
   makeMetrics,
   makeSignal,
-  MAX_EDGE_CONNECTIONS,
+  MAX_LISTENER_CONNECTIONS,
   PROXY_REPORT_INTERVAL_MS,
   NOT_READY_NOTICE_MS,
   pause,
@@ -83,7 +83,7 @@
   // here, so an agent never feeds one while another may still work.
   const clientMemory = makeClientMemory(metrics)
   const connections =
-    set.descriptors === undefined ? MAX_EDGE_CONNECTIONS : Math.floor(set.descriptors * CLIENT_DESCRIPTORS_SHARE)
+    set.descriptors === undefined ? MAX_LISTENER_CONNECTIONS : Math.floor(set.descriptors * CLIENT_DESCRIPTORS_SHARE)
   const listen = { addr: set.listen, connections }
   const http = await edges.requester(world, listen, sessions, clientMemory)
   function admin(ask: HttpRequest): HttpResponse {
@@ -252,7 +252,7 @@
     draining = true
     sessions.cut('the node stops')
     // No new connections from here on; those that are left are answered to the end.
-    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : half - CONNECTION_GRACE_MS)
+    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + CLOSE_TIMEOUT_MS : half - CONNECTION_GRACE_MS)
     state.expireLeases()
     note()
     await pause(world, 20)
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -4,7 +4,7 @@
   makeFlag,
   pause,
   SAMPLE_INTERVAL_MS,
-  FAILURES_BEFORE_DOUBT,
+  FAILURES_BEFORE_SUSPICION,
   SAMPLE_TIMEOUT_MS,
   MIN_TRIAL_DELAY_MS,
   MAX_TRIAL_DELAY_MS,
@@ -181,7 +181,7 @@
       one.failing = Math.max(asked, one.lastOk)
       trouble.notify()
     }
-    if (!edge.sampler && !sure && ++one.row < FAILURES_BEFORE_DOUBT) return
+    if (!edge.sampler && !sure && ++one.row < FAILURES_BEFORE_SUSPICION) return
     one.pause = Math.min(MAX_TRIAL_DELAY_MS, one.pause === 0 ? MIN_TRIAL_DELAY_MS : one.pause * 2)
     one.again = world.now() + one.pause
     if (one.doubt) return
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -232,7 +232,7 @@
     edits: [
       [
         'proxy/dist/proxy.js',
-        'await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : half - CONNECTION_GRACE_MS);',
+        'await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + CLOSE_TIMEOUT_MS : half - CONNECTION_GRACE_MS);',
         '',
       ],
       [
@@ -484,7 +484,9 @@
     rule: 'a voter that was away for a moment is replaced',
     test: 'cores.test.js',
     seeds: [100, 102],
-    edits: [['agent/dist/voter-plan.js', 'isFull ? CORE_GONE_MS : VOTER_SILENCE_MS', '3000']],
+    edits: [
+      ['agent/dist/voter-plan.js', 'isFull ? SPARE_REPLACEMENT_TIMEOUT_MS : VOTER_REPLACEMENT_TIMEOUT_MS', '3000'],
+    ],
   },
   {
     name: 'pending-accepted',
@@ -853,42 +855,63 @@
     rule: 'nothing is written once what allowed the call has ended',
     test: 'promotions.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/http-client.js', 'if (may && !may())', 'if (false)']],
+    edits: [['base/dist/http-client.js', 'if (isStillAllowed && !isStillAllowed())', 'if (false)']],
   },
   {
     name: 'http-stray',
     rule: 'bytes that come while nothing is asked end the connection',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/http-client.js', 'if (!asked) close();', '']],
+    edits: [
+      [
+        'base/dist/http-client.js',
+        `if (!isRequestOpen)
+            close();`,
+        '',
+      ],
+    ],
   },
   {
     name: 'http-two-asks',
     rule: 'one request is under way on a connection at a time',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/http-client.js', 'if (closed.fired() || asked)', 'if (closed.fired())']],
+    edits: [['base/dist/http-client.js', 'if (closed.fired() || isRequestOpen)', 'if (closed.fired())']],
   },
   {
     name: 'http-kept-unclear',
     rule: 'a connection whose answer did not come whole is closed',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/http-client.js', 'if (r.err) close();', '']],
+    edits: [
+      [
+        'base/dist/http-client.js',
+        `if (result.err)
+                    close();`,
+        '',
+      ],
+    ],
   },
   {
     name: 'link-any-answer',
     rule: 'an answer on a link goes to the ask whose number it bears',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/link.js', 'const done = pending.get(id);', 'const done = [...pending.values()][0];']],
+    edits: [['base/dist/link.js', 'const settle = pending.get(id);', 'const settle = [...pending.values()][0];']],
   },
   {
     name: 'link-closed-asks',
     rule: 'the asks of a link that closed end with it',
     test: 'answers.test.js',
     seeds: [1, 1],
-    edits: [['base/dist/link.js', 'for (const done of pending.values()) done(undefined);', '']],
+    edits: [
+      [
+        'base/dist/link.js',
+        `for (const settle of pending.values())
+            settle(undefined);`,
+        '',
+      ],
+    ],
   },
   {
     on: 'platform',
@@ -1428,7 +1451,7 @@
     rule: 'Fault: what a client sends ahead is bounded by size',
     test: 'platform/dist/test/client-memory.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/client-memory.js', '&& questionBytes <= CLIENT_QUESTIONS_LIMIT_BYTES', '']],
+    edits: [['proxy/dist/client-memory.js', '&& questionBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES', '']],
   },
   {
     name: 'long-question-stops-reading',
@@ -1449,7 +1472,7 @@
     rule: 'Fault: statements that clients prepare on a pooled connection are bounded',
     test: 'lend.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/pool.js', 'c.shapes.size > CONNECTION_SHAPES_LIMIT', 'false']],
+    edits: [['proxy/dist/pool.js', 'c.shapes.size > MAX_CONNECTION_PREPARED_STATEMENTS', 'false']],
   },
   {
     name: 'idle-connection-keeps-values',
@@ -1532,7 +1555,7 @@
     edits: [
       [
         'proxy/dist/client-memory.js',
-        'return questions <= CLIENT_QUESTIONS_LIMIT && questionBytes <= CLIENT_QUESTIONS_LIMIT_BYTES;',
+        'return questions <= MAX_CLIENT_PENDING_REQUESTS && questionBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES;',
         'return true;',
       ],
     ],
@@ -1689,8 +1712,8 @@
     edits: [
       [
         'quota/dist/allowances.js',
-        'withTimeout(world, QUOTA_QUESTION_TIMEOUT_MS, options.ask(question))',
-        'withTimeout(world, QUOTA_QUESTION_TIMEOUT_MS, options.ask(question).then((late) => (applyGrants(late ?? [], lines), late)))',
+        'withTimeout(world, QUOTA_REQUEST_TIMEOUT_MS, options.ask(question))',
+        'withTimeout(world, QUOTA_REQUEST_TIMEOUT_MS, options.ask(question).then((late) => (applyGrants(late ?? [], lines), late)))',
       ],
     ],
   },
@@ -1699,7 +1722,9 @@
     rule: 'QUOTA: what is not used is given back',
     test: 'quota-allowances.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/allowances.js', 'world.now() - account.lastWantedAt > QUOTA_IDLE_MS', 'false']],
+    edits: [
+      ['quota/dist/allowances.js', 'world.now() - account.lastWantedAt > QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS', 'false'],
+    ],
   },
   {
     name: 'quota-sent-without',
