--- a/packages/operator/src/decide.ts
+++ b/packages/operator/src/decide.ts
@@ -1,78 +1,92 @@
 import { encode, REGISTER_VALUE_LIMIT_BYTES, type Finding } from '@claynotch/base'
 import { applyEdits, readConfig, type Body, type Config, type Decision, type Move, type Order } from './config.js'
 import { beyondTeam } from './credentials.js'
-import { epochMadeBy, findDecision, keepDecision, keepNamed, mayBeForgotten, withDigest } from './kept.js'
-import { checkMoves, editMoves, SYSTEM } from './moves.js'
-
-// What becomes of one change on the present body. Pure: the register calls it anew in each round.
-// 'known': nothing is written: this stream and number were decided before, and the first decision stands; or the change
-// names its epoch and is refused: for good, as no later body takes what this one refuses.
-// 'unclear': nothing is written and nothing can be told: it may have been taken, or may yet be.
-export type Ruling = { known: Decision } | { unclear: string } | { body: Body; decision: Decision }
-
-// The configuration that a change makes, with what stands beside it.
+import { epochMadeBy, findDecision, recordDecision, recordNamedChange, mayBeForgotten, withDigest } from './kept.js'
+import { checkMoves, editMoves, SYSTEM_STREAM } from './moves.js'
+
+/**
+ * Result of evaluating one change against the current value of the configuration register.
+ * - `known`: nothing is written. Either this stream and number were decided before, and the first decision stands; or
+ *   the change names its epoch and is refused, finally, because no later value accepts what this one refuses.
+ * - `unclear`: nothing is written and the outcome is unknown: the change may have been accepted, or may still be.
+ * - `body`: the new value to propose, with the decision that it records.
+ */
+export type Evaluation = { known: Decision } | { unclear: string } | { body: Body; decision: Decision }
+
+/** The configuration that a change produces, with the stage and the moves that are open beside it. */
 type Outcome = { config: Config; stage?: Body['stage']; moves?: Move[] }
-// A step of the way: what it refuses, or undefined for "go on".
-type Refusal = { why: string; findings: Finding[] }
-
-export function decide(body: Body, order: Order): Ruling {
-  const first = firstDecision(body, order)
-  if (first) return { known: first }
-  const doubt = doubtOf(body, order)
-  if (doubt !== undefined) return { unclear: doubt }
-  const passed = refusePassed(body, order)
-  if (passed) return { known: refused(body, order, passed) }
-  const made = refuseOrder(body, order) ?? outcomeOf(body, order)
-  if ('why' in made) return refusal(body, order, made)
-  return acceptance(body, order, made)
+/** Why a check refuses the change. Checks return undefined when they find nothing wrong. */
+type RefusalReason = { why: string; findings: Finding[] }
+
+/** Evaluates a change. Pure, because the register calls it again, on the value of that time, in each round. */
+export function decide(body: Body, request: Order): Evaluation {
+  const earlierDecision = findEarlierDecision(body, request)
+  if (earlierDecision) return { known: earlierDecision }
+  const unclearReason = findUnclearReason(body, request)
+  if (unclearReason !== undefined) return { unclear: unclearReason }
+  const skippedNumber = refuseSkippedNumber(body, request)
+  if (skippedNumber) return { known: refusedDecision(body, request, skippedNumber) }
+  const outcome = checkRequest(body, request) ?? applyChange(body, request)
+  if ('why' in outcome) return recordRefusal(body, request, outcome)
+  return recordAcceptance(body, request, outcome)
 }
 
-// --- what was decided before ---
-
-// The first decision on this number stands; under it any other change has lost, or is none that an operator may send.
-function firstDecision(body: Body, order: Order): Decision | undefined {
-  const { stream, change, digest } = order
-  if (stream === SYSTEM) return refused(body, order, refuse(`the stream ${SYSTEM} is the system's own`))
-  const first = findDecision(body, stream, change.number)
-  if (first?.digest === undefined || digest === undefined || first.digest === digest) return first
-  return refused(
+// --- earlier decisions ---
+
+/**
+ * The first decision on a number stands. A different change under the same number is refused, and so is any change in
+ * the system's stream, which operators may not write to.
+ */
+function findEarlierDecision(body: Body, request: Order): Decision | undefined {
+  const { stream, change, digest } = request
+  if (stream === SYSTEM_STREAM)
+    return refusedDecision(body, request, makeRefusal(`the stream ${SYSTEM_STREAM} is the system's own`))
+  const earlierDecision = findDecision(body, stream, change.number)
+  if (earlierDecision?.digest === undefined || digest === undefined || earlierDecision.digest === digest)
+    return earlierDecision
+  return refusedDecision(
     body,
-    order,
-    refuse(`number ${change.number} is another change's, which was ${first.decision} (epoch ${first.epoch})`),
+    request,
+    makeRefusal(
+      `number ${change.number} is another change's, which was ${earlierDecision.decision} (epoch ${earlierDecision.epoch})`,
+    ),
   )
 }
 
-// Why nothing can be told: what the change expects lies before all that is remembered, or ahead.
-function doubtOf(body: Body, { change }: Order): string | undefined {
-  const made = epochMadeBy(change)
-  // It could never have been taken.
-  if (made <= change.expect) return undefined
+/** Why the outcome is unknown: the expected epoch is older than the history that is kept, or is still to come. */
+function findUnclearReason(body: Body, { change }: Order): string | undefined {
+  const epoch = epochMadeBy(change)
+  // Such a change can't have been accepted at any time.
+  if (epoch <= change.expect) return undefined
   if (change.expect < body.epoch && mayBeForgotten(body, change))
-    return `whether it was taken can't be told any more: it would have made epoch ${made}, the present one is ${body.epoch}`
-  // A refusal would not be for good: it may be taken once that epoch is there. A change without an epoch of its own is
-  // refused by its number for good.
+    return `whether it was taken can't be told any more: it would have made epoch ${epoch}, the present one is ${body.epoch}`
+  // A refusal would not be final: the change may be accepted once the expected epoch is reached. A change that doesn't
+  // name its epoch is refused finally, through its number.
   if (change.epoch !== undefined && change.expect > body.epoch)
     return `it expects epoch ${change.expect}, the present one is ${body.epoch}: send it again once that one is there`
   return undefined
 }
 
-function refusePassed(body: Body, { stream, change }: Order): Refusal | undefined {
-  const mine = body.streams.find(isMine)
-  function isMine(s: { name: string }): boolean {
-    return s.name === stream
+/** Refuses a number that is lower than the latest one decided in its stream: its own decision is not known any more. */
+function refuseSkippedNumber(body: Body, { stream, change }: Order): RefusalReason | undefined {
+  const storedStream = body.streams.find(isStreamOfRequest)
+  function isStreamOfRequest(stored: { name: string }): boolean {
+    return stored.name === stream
   }
-  const last = mine?.decisions[mine.decisions.length - 1]
-  if (!last || change.number >= last.number) return undefined
-  return refuse(`number ${change.number} was passed by ${last.number}; its decision, if any, is forgotten`)
+  const latestDecision = storedStream?.decisions[storedStream.decisions.length - 1]
+  if (!latestDecision || change.number >= latestDecision.number) return undefined
+  return makeRefusal(
+    `number ${change.number} was passed by ${latestDecision.number}; its decision, if any, is forgotten`,
+  )
 }
 
-// --- what stands against it ---
+// --- refusals ---
 
-function refuse(why: string, findings: Finding[] = []): Refusal {
+function makeRefusal(why: string, findings: Finding[] = []): RefusalReason {
   return { why, findings }
 }
-function refused(body: Body, order: Order, { why, findings }: Refusal): Decision {
-  const { stream, change, digest } = order
+function refusedDecision(body: Body, request: Order, { why, findings }: RefusalReason): Decision {
+  const { stream, change, digest } = request
   return {
     stream,
     number: change.number,
@@ -84,94 +98,97 @@
   }
 }
 
-// Whoever sends it, and on what.
-function refuseOrder(body: Body, { change, team, hindered = [] }: Order): Refusal | undefined {
-  const beyond = team === undefined ? [] : beyondTeam(team, change, body.config)
-  if (beyond.length > 0) return refuse("not this team's to change", beyond)
+/** Checks the sender's permission, the epochs, and what currently prevents the fleet from carrying out the change. */
+function checkRequest(body: Body, { change, team, hindered = [] }: Order): RefusalReason | undefined {
+  const foreignEdits = team === undefined ? [] : beyondTeam(team, change, body.config)
+  if (foreignEdits.length > 0) return makeRefusal("not this team's to change", foreignEdits)
   const epoch = epochMadeBy(change)
-  // Whenever the one that it expects is the present one.
+  // Refused whatever the current epoch is: it would be refused also when the expected epoch is the current one.
   if (epoch <= change.expect)
-    return refuse(`epoch ${epoch} isn't above the one that it expects, ${change.expect}`, [
+    return makeRefusal(`epoch ${epoch} isn't above the one that it expects, ${change.expect}`, [
       { place: '/epoch', what: `not above ${change.expect}` },
     ])
-  if (change.expect !== body.epoch) return refuse(`expected epoch ${change.expect}, the present one is ${body.epoch}`)
-  if (hindered.length > 0) return refuse("the fleet can't do this now", hindered)
+  if (change.expect !== body.epoch)
+    return makeRefusal(`expected epoch ${change.expect}, the present one is ${body.epoch}`)
+  if (hindered.length > 0) return makeRefusal("the fleet can't do this now", hindered)
   return undefined
 }
 
-// --- what it makes ---
+// --- the new configuration ---
 
-function outcomeOf(body: Body, { change }: Order): Outcome | Refusal {
+function applyChange(body: Body, { change }: Order): Outcome | RefusalReason {
   const { stage } = body
-  // A stage opened further, or to all, with nothing else changed.
+  // The open stage is extended to more areas, or to all, and nothing else changes.
   if (stage && change.stage !== undefined && change.whole === undefined && change.edits === undefined) {
     const config = body.config as Config
     return change.stage === 'all' ? { config } : { config, stage: { ...stage, areas: change.stage } }
   }
   if (stage && !(change.stage === 'all' && change.whole !== undefined))
-    return refuse(
+    return makeRefusal(
       `a stage is open (areas ${stage.areas.join(', ')}): open it to all, or send a whole configuration to all`,
     )
   if ((change.whole === undefined) === (change.edits === undefined))
-    return refuse('exactly one of whole and edits is needed')
+    return makeRefusal('exactly one of whole and edits is needed')
   let next: unknown = change.whole
   if (change.edits) {
-    if (!body.config) return refuse('there is no configuration yet to edit')
-    const edited = applyEdits(body.config, change.edits)
-    if (edited.err) return refuse('invalid change', edited.val)
-    next = edited.val
+    if (!body.config) return makeRefusal('there is no configuration yet to edit')
+    const editResult = applyEdits(body.config, change.edits)
+    if (editResult.err) return makeRefusal('invalid change', editResult.val)
+    next = editResult.val
   }
-  const got = readConfig(next)
-  if (got.err) return refuse('invalid configuration', got.val)
-  return outcomeWith(body, change, got.val)
+  const parsed = readConfig(next)
+  if (parsed.err) return makeRefusal('invalid configuration', parsed.val)
+  return applyMovesAndStage(body, change, parsed.val)
 }
 
-// Moves and stages beside a configuration that is valid by itself.
-function outcomeWith(body: Body, change: Order['change'], config: Config): Outcome | Refusal {
+/** Adds moves and a stage to a configuration that is valid by itself, and checks that they are compatible. */
+function applyMovesAndStage(body: Body, change: Order['change'], config: Config): Outcome | RefusalReason {
   const staged = body.stage !== undefined || change.stage !== undefined
-  const moved = editMoves(body, config, change.edits ?? [], staged, epochMadeBy(change))
-  if (moved.err) return refuse('invalid move', moved.val)
-  const moves = moved.val
-  const clash = checkMoves(moves, config)
+  const moveResult = editMoves(body, config, change.edits ?? [], staged, epochMadeBy(change))
+  if (moveResult.err) return makeRefusal('invalid move', moveResult.val)
+  const moves = moveResult.val
+  const conflicts = checkMoves(moves, config)
   if (moves.length > 0 && Array.isArray(change.stage))
-    clash.push({ place: '/stage', what: 'a move is under way, and a stage would leave areas out of it' })
-  if (clash.length > 0) return refuse('a move is under way', clash)
+    conflicts.push({ place: '/stage', what: 'a move is under way, and a stage would leave areas out of it' })
+  if (conflicts.length > 0) return makeRefusal('a move is under way', conflicts)
   if (!Array.isArray(change.stage)) return { config, moves }
-  if (!body.config) return refuse("the first configuration can't be staged")
-  const split = splitLanes(body.config, config)
-  if (split.length > 0) return refuse("a stage can't have a lane served by two groups", split)
+  if (!body.config) return makeRefusal("the first configuration can't be staged")
+  const lanesInTwoGroups = findLanesInTwoGroups(body.config, config)
+  if (lanesInTwoGroups.length > 0)
+    return makeRefusal("a stage can't have a lane served by two groups", lanesInTwoGroups)
   return { config, stage: { areas: change.stage, prior: body.config, priorEpoch: body.epoch } }
 }
 
-// Lanes that two configurations in force beside each other would send to two groups, which both would write.
-function splitLanes(prior: Config, next: Config): Finding[] {
-  const out: Finding[] = []
-  const groups = new Map<string, string>()
-  for (const lane of prior.lanes) groups.set(lane.name, lane.group)
-  for (const [k, lane] of next.lanes.entries()) {
-    const was = groups.get(lane.name)
-    if (was !== undefined && was !== lane.group)
-      out.push({
-        place: `/lanes/${k}/group`,
-        what: `the lane ${lane.name} is in group ${was} where the stage isn't open yet`,
+/** Lanes that the prior and the staged configuration, in force at the same time, would let two groups write. */
+function findLanesInTwoGroups(prior: Config, next: Config): Finding[] {
+  const findings: Finding[] = []
+  const priorGroups = new Map<string, string>()
+  for (const lane of prior.lanes) priorGroups.set(lane.name, lane.group)
+  for (const [index, lane] of next.lanes.entries()) {
+    const priorGroup = priorGroups.get(lane.name)
+    if (priorGroup !== undefined && priorGroup !== lane.group)
+      findings.push({
+        place: `/lanes/${index}/group`,
+        what: `the lane ${lane.name} is in group ${priorGroup} where the stage isn't open yet`,
       })
   }
-  return out
+  return findings
 }
 
-// --- what is kept of it ---
+// --- recording the decision ---
 
-// One that names its epoch isn't remembered.
-function refusal(body: Body, order: Order, what: Refusal): Ruling {
-  const decision = refused(body, order, what)
-  if (order.change.epoch !== undefined) return { known: decision }
-  return { body: keepDecision(body, decision), decision }
+/** Records the refusal, unless the change names its epoch: such refusals are not stored. */
+function recordRefusal(body: Body, request: Order, refusal: RefusalReason): Evaluation {
+  const decision = refusedDecision(body, request, refusal)
+  if (request.change.epoch !== undefined) return { known: decision }
+  return { body: recordDecision(body, decision), decision }
 }
 
-function acceptance(body: Body, order: Order, made: Outcome): Ruling {
-  const { stream, change, digest } = order
-  const { config, stage, moves } = made
-  const named = change.epoch !== undefined
+/** Records the accepted change, or refuses it where the register's value would become too large. */
+function recordAcceptance(body: Body, request: Order, outcome: Outcome): Evaluation {
+  const { stream, change, digest } = request
+  const { config, stage, moves } = outcome
+  const namesEpoch = change.epoch !== undefined
   const decision: Decision = {
     stream,
     number: change.number,
@@ -186,12 +203,12 @@
   delete next.moves
   if (stage) next.stage = stage
   if (moves && moves.length > 0) next.moves = moves
-  const after = named ? keepNamed(next, decision, config) : keepDecision(next, decision, config)
-  if (encode(named ? config : after).length <= REGISTER_VALUE_LIMIT_BYTES) return { body: after, decision }
-  return refusal(
+  const recorded = namesEpoch ? recordNamedChange(next, decision, config) : recordDecision(next, decision, config)
+  if (encode(namesEpoch ? config : recorded).length <= REGISTER_VALUE_LIMIT_BYTES) return { body: recorded, decision }
+  return recordRefusal(
     body,
-    order,
-    refuse('too large', [
+    request,
+    makeRefusal('too large', [
       { place: '', what: `with what is kept of earlier ones over ${REGISTER_VALUE_LIMIT_BYTES} bytes` },
     ]),
   )
--- a/packages/operator/src/edge.ts
+++ b/packages/operator/src/edge.ts
@@ -30,198 +30,215 @@
 import { allDecisions, digestOf } from './kept.js'
 import type { TenantLine } from './tenants.js'
 
-// The operator's edge: numbered changes in, decisions out, and what there is to read.
-// 'unclear' is said where no majority settled the change in time, and where what is remembered can't tell: the same number
-// may be sent again.
-export type Reading = {
-  // undefined: no majority.
+// HTTP API for operators: accepts numbered changes, answers with decisions, and serves the views below.
+// The decision is 'unclear' if no majority settled the change in time, or if the kept history doesn't tell whether it
+// was accepted; the same number may be sent again.
+
+/** What operators may read from this agent, and the replacement of a leader. */
+export type OperatorQueries = {
+  /** undefined: no majority of cores answered. */
   members: () => Promise<unknown>
-  // undefined: no set is known yet. Told without a majority too.
+  /** undefined: no core set is known yet. Answered also without a majority. */
   cores: () => Promise<CoreStatus | undefined>
   groups: () => unknown
   tenants: () => Promise<TenantLine[]>
   replace: (group: string, to: string | undefined) => Promise<{ ok: boolean; why: string }>
-  // What stands against moves that a change asks for, in the fleet as it is.
+  /** What in the current state of the fleet prevents the moves that the edits request. */
   hinders: (edits: Edit[]) => Promise<Finding[]>
-  // What this agent knows of the configuration, and a bell for news of it.
+  /** The configuration as this agent knows it. */
   body: () => Body | undefined
+  /** Notified when the configuration that this agent knows changes. */
   news: Signal
 }
 
 const NO_MAJORITY = 'no majority of cores settled it in time; send the same number again'
 
-export function unclear(order: Order, why: string): Unclear {
-  return { stream: order.stream, number: order.change.number, decision: 'unclear', why, findings: [] }
+/** The answer 'unclear' to a change. */
+export function unclear(request: Order, why: string): Unclear {
+  return { stream: request.stream, number: request.change.number, decision: 'unclear', why, findings: [] }
 }
 
-// Decides one change at the cores. What is told rests on the chosen value: a ruling counts only if the very round that it was
-// made in ended with the value it was made on, or made, chosen; each round judges anew.
-export async function makeDecision(proposer: Proposer, order: Order, limit?: number): Promise<Verdict> {
-  const tag = `${order.stream}#${order.change.number}`
-  let out: Verdict = unclear(order, NO_MAJORITY)
-  function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
-    const ruling = decide((now?.body as Body | undefined) ?? emptyBody(), order)
-    if ('unclear' in ruling) {
-      out = unclear(order, ruling.unclear)
+/**
+ * Decides one change at the cores. The answer is based on the chosen value: an evaluation counts only if the round in
+ * which it was made ended with the value that it read, or the value that it produced, as the chosen one. Each round
+ * evaluates the change again.
+ */
+export async function makeDecision(proposer: Proposer, request: Order, timeoutMs?: number): Promise<Verdict> {
+  const tag = `${request.stream}#${request.change.number}`
+  let answer: Verdict = unclear(request, NO_MAJORITY)
+  function edit(current: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
+    const evaluation = decide((current?.body as Body | undefined) ?? emptyBody(), request)
+    if ('unclear' in evaluation) {
+      answer = unclear(request, evaluation.unclear)
       return undefined
     }
-    if ('known' in ruling) {
-      out = ruling.known
+    if ('known' in evaluation) {
+      answer = evaluation.known
       return undefined
     }
-    out = ruling.decision
-    return { body: ruling.body, tag }
+    answer = evaluation.decision
+    return { body: evaluation.body, tag }
   }
-  const got = await proposer.change(CONFIG_KEY, edit, limit)
-  return got.done ? out : unclear(order, NO_MAJORITY)
+  const proposal = await proposer.change(CONFIG_KEY, edit, timeoutMs)
+  return proposal.done ? answer : unclear(request, NO_MAJORITY)
 }
 
+/**
+ * Makes the handler for operators' requests. `take` answers a request, or returns undefined if it has written the
+ * response itself; `raw` tells whether requests to a path stream their body. Without credentials the API is open to
+ * all.
+ */
 export function makeOperatorEdge(
   world: World,
   proposer: Proposer,
-  reading: Reading,
+  queries: OperatorQueries,
   metrics: Metrics,
   credentials: () => Credential[] | undefined,
 ): { take: (ask: HttpRequest) => Promise<HttpResponse | undefined>; raw: (path: string) => boolean } {
-  function raw(path: string): boolean {
+  function isStreamPath(path: string): boolean {
     return path.startsWith('/streams/')
   }
-  async function line(stream: string, text: string, team: string | undefined): Promise<unknown> {
+  async function decideLine(stream: string, lineText: string, team: string | undefined): Promise<unknown> {
     let value: unknown
     try {
-      value = JSON.parse(text)
+      value = JSON.parse(lineText)
     } catch (e) {
       return { stream, decision: 'refused', why: `malformed JSON: ${(e as Error).message}`, findings: [] as Finding[] }
     }
-    const got = readStrict(Change, value)
-    if (got.err)
+    const parsed = readStrict(Change, value)
+    if (parsed.err)
       return {
         stream,
         number: (value as { number?: unknown } | null)?.number,
         decision: 'refused',
         why: 'not a change',
-        findings: got.val,
+        findings: parsed.val,
       }
-    const change = got.val
-    const hindered = await reading.hinders(change.edits ?? [])
-    const made = await makeDecision(proposer, { stream, change, digest: digestOf(change), team, hindered })
-    metrics.add('claynotch_decisions_total', [['decision', made.decision]])
-    return made
+    const change = parsed.val
+    const hindered = await queries.hinders(change.edits ?? [])
+    const answer = await makeDecision(proposer, { stream, change, digest: digestOf(change), team, hindered })
+    metrics.add('claynotch_decisions_total', [['decision', answer.decision]])
+    return answer
   }
-  async function changes(ask: HttpRequest, stream: string, team: string | undefined): Promise<undefined> {
-    const { req, res } = ask.raw
+  async function decideStream(request: HttpRequest, stream: string, team: string | undefined): Promise<undefined> {
+    const { req, res } = request.raw
     res.writeHead(200, { 'content-type': 'application/x-ndjson' })
-    let size = 0
-    for await (const text of createInterface({ input: req, crlfDelay: Infinity })) {
-      size += text.length
-      if (size > OPERATOR_BODY_LIMIT_BYTES) {
+    let receivedLength = 0
+    for await (const lineText of createInterface({ input: req, crlfDelay: Infinity })) {
+      receivedLength += lineText.length
+      if (receivedLength > OPERATOR_BODY_LIMIT_BYTES) {
         res.end(
           `${JSON.stringify({ stream, decision: 'refused', why: `body over ${OPERATOR_BODY_LIMIT_BYTES} bytes`, findings: [] })}\n`,
         )
         return undefined
       }
-      if (text.trim() === '') continue
-      res.write(`${JSON.stringify(await line(stream, text, team))}\n`)
+      if (lineText.trim() === '') continue
+      res.write(`${JSON.stringify(await decideLine(stream, lineText, team))}\n`)
       if (res.destroyed) return undefined
     }
     res.end()
     return undefined
   }
-  // Decisions as they are taken, for as long as the reader stays: first those kept, then each new one.
-  async function follow(ask: HttpRequest, stream: string | undefined): Promise<undefined> {
-    const { res } = ask.raw
+  // Streams decisions until the client disconnects: first the stored ones, then each new one.
+  async function followDecisions(request: HttpRequest, stream: string | undefined): Promise<undefined> {
+    const { res } = request.raw
     res.writeHead(200, { 'content-type': 'application/x-ndjson' })
     res.flushHeaders()
-    const sent = new Map<string, number>()
-    while (!ask.gone.fired() && !res.destroyed) {
-      for (const s of reading.body()?.streams ?? []) {
-        if (stream !== undefined && s.name !== stream) continue
-        for (const d of s.decisions) {
-          if (d.number <= (sent.get(s.name) ?? 0)) continue
-          sent.set(s.name, d.number)
-          res.write(`${JSON.stringify(d)}\n`)
+    const lastSentNumbers = new Map<string, number>()
+    while (!request.gone.fired() && !res.destroyed) {
+      for (const storedStream of queries.body()?.streams ?? []) {
+        if (stream !== undefined && storedStream.name !== stream) continue
+        for (const decision of storedStream.decisions) {
+          if (decision.number <= (lastSentNumbers.get(storedStream.name) ?? 0)) continue
+          lastSentNumbers.set(storedStream.name, decision.number)
+          res.write(`${JSON.stringify(decision)}\n`)
         }
       }
-      await reading.news.wait(world, FOLLOW_INTERVAL_MS, ask.gone)
+      await queries.news.wait(world, FOLLOW_INTERVAL_MS, request.gone)
     }
     return undefined
   }
-  async function body(): Promise<Body | undefined> {
-    const got = await proposer.look(CONFIG_KEY)
-    return got.done ? ((got.value?.body as Body | undefined) ?? emptyBody()) : undefined
+  async function readBody(): Promise<Body | undefined> {
+    const lookup = await proposer.look(CONFIG_KEY)
+    return lookup.done ? ((lookup.value?.body as Body | undefined) ?? emptyBody()) : undefined
   }
-  async function take(ask: HttpRequest): Promise<HttpResponse | undefined> {
-    const who = identify(credentials(), ask.header('authorization'))
-    const stopped = stopCaller(who, ask)
-    if (stopped) {
+  async function handleRequest(request: HttpRequest): Promise<HttpResponse | undefined> {
+    const operator = identify(credentials(), request.header('authorization'))
+    const refusal = stopCaller(operator, request)
+    if (refusal) {
       metrics.add('claynotch_operators_refused_total')
-      if (!raw(ask.path)) return stopped
-      sendResponse(ask.raw.res, stopped)
-      ask.raw.req.resume()
+      if (!isStreamPath(request.path)) return refusal
+      sendResponse(request.raw.res, refusal)
+      request.raw.req.resume()
       return undefined
     }
-    const parts = ask.path.split('/').filter(Boolean)
-    if (ask.method === 'POST' && parts[0] === 'streams' && parts.length === 2) {
-      if (!Name.is(parts[1])) {
-        ask.raw.req.resume()
+    const segments = request.path.split('/').filter(Boolean)
+    if (request.method === 'POST' && segments[0] === 'streams' && segments.length === 2) {
+      if (!Name.is(segments[1])) {
+        request.raw.req.resume()
         return badInput(400, 'a stream needs a name', [{ place: '/streams/', what: 'expected a name' }])
       }
-      return await changes(ask, parts[1], who?.team)
+      return await decideStream(request, segments[1], operator?.team)
     }
-    if (ask.method === 'POST' && parts[0] === 'groups' && parts.length === 3 && parts[2] === 'replacement') {
-      const to = (ask.body as { to?: unknown } | undefined)?.to
-      if (to !== undefined && !Name.is(to))
+    if (
+      request.method === 'POST' &&
+      segments[0] === 'groups' &&
+      segments.length === 3 &&
+      segments[2] === 'replacement'
+    ) {
+      const targetInstance = (request.body as { to?: unknown } | undefined)?.to
+      if (targetInstance !== undefined && !Name.is(targetInstance))
         return badInput(400, 'not understood', [{ place: '/to', what: 'expected a name' }])
-      const got = await reading.replace(parts[1], to as string | undefined)
-      return { status: got.ok ? 202 : 409, body: got }
+      const replacement = await queries.replace(segments[1], targetInstance as string | undefined)
+      return { status: replacement.ok ? 202 : 409, body: replacement }
     }
-    if (ask.method !== 'GET') return badInput(404, `no such path: ${ask.method} ${ask.path}`)
-    switch (parts[0]) {
+    if (request.method !== 'GET') return badInput(404, `no such path: ${request.method} ${request.path}`)
+    switch (segments[0]) {
       case 'configuration': {
-        const now = await body()
-        return now
+        const current = await readBody()
+        return current
           ? {
               status: 200,
               body: {
-                epoch: now.epoch,
-                config: now.config,
-                ...(now.stage ? { stage: { areas: now.stage.areas, prior: now.stage.priorEpoch } } : {}),
+                epoch: current.epoch,
+                config: current.config,
+                ...(current.stage ? { stage: { areas: current.stage.areas, prior: current.stage.priorEpoch } } : {}),
               },
             }
-          : noMajority()
+          : noMajorityResponse()
       }
       case 'history': {
-        const now = await body()
-        return now ? { status: 200, body: now.history } : noMajority()
+        const current = await readBody()
+        return current ? { status: 200, body: current.history } : noMajorityResponse()
       }
       case 'decisions': {
-        if (ask.query.has('follow')) return await follow(ask, parts[1])
-        const now = await body()
-        if (!now) return noMajority()
+        if (request.query.has('follow')) return await followDecisions(request, segments[1])
+        const current = await readBody()
+        if (!current) return noMajorityResponse()
         let text = ''
-        for (const d of allDecisions(now, parts[1])) text += `${JSON.stringify(d)}\n`
+        for (const decision of allDecisions(current, segments[1])) text += `${JSON.stringify(decision)}\n`
         return { status: 200, body: text, type: 'application/x-ndjson' }
       }
       case 'moves': {
-        const now = await body()
-        return now ? { status: 200, body: now.moves ?? [] } : noMajority()
+        const current = await readBody()
+        return current ? { status: 200, body: current.moves ?? [] } : noMajorityResponse()
       }
       case 'members': {
-        const got = await reading.members()
-        return got === undefined ? noMajority() : { status: 200, body: got }
+        const members = await queries.members()
+        return members === undefined ? noMajorityResponse() : { status: 200, body: members }
       }
       case 'cores': {
-        const got = await reading.cores()
-        return got === undefined ? noMajority() : { status: 200, body: got }
+        const cores = await queries.cores()
+        return cores === undefined ? noMajorityResponse() : { status: 200, body: cores }
       }
       case 'tenants':
-        return { status: 200, body: await reading.tenants() }
+        return { status: 200, body: await queries.tenants() }
       case 'groups':
-        return { status: 200, body: reading.groups() }
+        return { status: 200, body: queries.groups() }
     }
-    return badInput(404, `no such path: ${ask.method} ${ask.path}`)
+    return badInput(404, `no such path: ${request.method} ${request.path}`)
   }
-  function noMajority(): HttpResponse {
+  function noMajorityResponse(): HttpResponse {
     return {
       status: 503,
       body: {
@@ -234,5 +251,5 @@
       after: 2,
     }
   }
-  return { take, raw }
+  return { take: handleRequest, raw: isStreamPath }
 }
--- a/packages/operator/src/kept.ts
+++ b/packages/operator/src/kept.ts
@@ -9,120 +9,132 @@
 } from '@claynotch/base'
 import type { Body, Change, Config, Decision, Made } from './config.js'
 
-// What the configuration's register remembers of changes: their decisions, what each made, and from where on that is whole.
+// The history in the configuration register: decisions on changes, the epochs that they made, and from which epoch on
+// this history is complete.
 
 // --- reading ---
 
+/** The stored decision on a number of a stream. */
 export function findDecision(body: Body, stream: string, number: number): Decision | undefined {
-  for (const s of body.streams) if (s.name === stream) for (const d of s.decisions) if (d.number === number) return d
-  for (const h of body.history) if (h.stream === stream && h.number === number) return accepted(h)
+  for (const stored of body.streams)
+    if (stored.name === stream) for (const decision of stored.decisions) if (decision.number === number) return decision
+  for (const entry of body.history)
+    if (entry.stream === stream && entry.number === number) return acceptedDecision(entry)
   return undefined
 }
-function accepted(h: Made): Decision {
-  const { stream, number, epoch, digest } = h
+function acceptedDecision(entry: Made): Decision {
+  const { stream, number, epoch, digest } = entry
   return { stream, number, decision: 'accepted', epoch, why: '', findings: [], ...withDigest(digest) }
 }
+/** For spreading into an object: the field `digest`, or nothing if it is undefined. */
 export function withDigest(digest: string | undefined): { digest?: string } {
   return digest === undefined ? {} : { digest }
 }
 
-// Every decision there is to read back, by stream and number.
+/** All stored decisions, or those of one stream, ordered by stream and number. */
 export function allDecisions(body: Body, stream?: string): Decision[] {
-  const byKey = new Map<string, Decision>()
-  for (const h of body.history) byKey.set(`${h.stream} ${h.number}`, accepted(h))
-  for (const s of body.streams) for (const d of s.decisions) byKey.set(`${d.stream} ${d.number}`, d)
-  const out: Decision[] = []
-  for (const d of byKey.values()) if (stream === undefined || d.stream === stream) out.push(d)
-  return out.sort(byPlace)
-}
-function byPlace(a: Decision, b: Decision): number {
+  const decisions = new Map<string, Decision>()
+  for (const entry of body.history) decisions.set(`${entry.stream} ${entry.number}`, acceptedDecision(entry))
+  for (const stored of body.streams)
+    for (const decision of stored.decisions) decisions.set(`${decision.stream} ${decision.number}`, decision)
+  const selected: Decision[] = []
+  for (const decision of decisions.values())
+    if (stream === undefined || decision.stream === stream) selected.push(decision)
+  return selected.sort(compareByStreamAndNumber)
+}
+function compareByStreamAndNumber(a: Decision, b: Decision): number {
   return a.stream !== b.stream ? (a.stream < b.stream ? -1 : 1) : a.number - b.number
 }
 
-// Tells changes apart that bear one number. What a change expects is not of it: sent again, it may name the present epoch.
+/**
+ * Distinguishes different changes under one number. The expected epoch is not part of it, because a change that is sent
+ * again may expect the current epoch.
+ */
 export function digestOf(change: Change): string {
   const content = JSON.stringify([change.epoch, change.whole, change.edits, change.stage])
   return createHash('sha256').update(content).digest('base64url').slice(0, DIGEST_LENGTH)
 }
 const DIGEST_LENGTH = 11
 
-// The epoch that a change made, if it was ever taken.
+/** The epoch that a change makes, or made, if it is accepted. */
 export function epochMadeBy(change: Change): number {
   return change.epoch ?? change.expect + 1
 }
 
-// Whether the change may have been taken, though nothing kept tells of it: all of its kind from its epoch on must be there
-// to say that it was not.
+/**
+ * Whether the change may have been accepted although no stored entry shows it. This can be ruled out only if all
+ * changes of its kind from its epoch on are still stored.
+ */
 export function mayBeForgotten(body: Body, change: Change): boolean {
-  const named = change.epoch !== undefined
-  let oldest: number | undefined
+  const namesEpoch = change.epoch !== undefined
+  let oldestEpoch: number | undefined
   let count = 0
-  for (const h of body.history) {
-    if ((h.named === true) !== named) continue
-    oldest ??= h.epoch
+  for (const entry of body.history) {
+    if ((entry.named === true) !== namesEpoch) continue
+    oldestEpoch ??= entry.epoch
     count++
   }
-  const least = named ? MIN_NAMED_CHANGES : MAX_HISTORY_ENTRIES
-  return oldest !== undefined && count >= least && epochMadeBy(change) < oldest
+  const fullCount = namesEpoch ? MIN_NAMED_CHANGES : MAX_HISTORY_ENTRIES
+  return oldestEpoch !== undefined && count >= fullCount && epochMadeBy(change) < oldestEpoch
 }
 
 // --- writing ---
 
-// The body with one more decision, and with it, where it was accepted, a configuration.
-export function keepDecision(body: Body, decision: Decision, config?: Config): Body {
+/** The body with one more decision and, if the change was accepted, the new configuration. */
+export function recordDecision(body: Body, decision: Decision, config?: Config): Body {
   const { stream, number, epoch, digest } = decision
   const streams = putDecision(body.streams, decision)
   if (!config) return { ...body, streams }
-  const made: Made = { epoch, stream, number, ...withDigest(digest), config }
-  const history = [...lastOf(thinned(body.history), false, MAX_HISTORY_ENTRIES - 1), made]
+  const entry: Made = { epoch, stream, number, ...withDigest(digest), config }
+  const history = [...keepLatest(dropOldConfigurations(body.history), false, MAX_HISTORY_ENTRIES - 1), entry]
   return { ...body, epoch, config, streams, history }
 }
-// The body with an accepted change that named its epoch.
-export function keepNamed(body: Body, decision: Decision, config: Config): Body {
+/** The body with an accepted change that names its epoch. */
+export function recordNamedChange(body: Body, decision: Decision, config: Config): Body {
   const { stream, number, epoch, digest } = decision
-  const made: Made = { epoch, stream, number, ...withDigest(digest), named: true }
-  const history = [...lastOf(body.history, true, MAX_NAMED_CHANGES - 1), made]
+  const entry: Made = { epoch, stream, number, ...withDigest(digest), named: true }
+  const history = [...keepLatest(body.history, true, MAX_NAMED_CHANGES - 1), entry]
   return { ...body, epoch, config, history }
 }
-// The stream that is used now becomes the last one used.
-function putDecision(from: Body['streams'], decision: Decision): Body['streams'] {
-  let used = 0
-  let mine: Body['streams'][number] | undefined
+/** Adds a decision to its stream, which becomes the most recently used one; drops the least recently used streams. */
+function putDecision(current: Body['streams'], decision: Decision): Body['streams'] {
+  let lastUse = 0
+  let decisionStream: Body['streams'][number] | undefined
   const streams: Body['streams'] = []
-  for (const s of from) {
-    used = Math.max(used, s.used)
-    if (s.name === decision.stream) mine = s
-    else streams.push(s)
+  for (const stored of current) {
+    lastUse = Math.max(lastUse, stored.used)
+    if (stored.name === decision.stream) decisionStream = stored
+    else streams.push(stored)
   }
-  const decisions = [...(mine?.decisions ?? []), decision].slice(-MAX_DECISIONS_PER_STREAM)
-  streams.push({ name: decision.stream, used: used + 1, decisions })
-  streams.sort(byUse)
+  const decisions = [...(decisionStream?.decisions ?? []), decision].slice(-MAX_DECISIONS_PER_STREAM)
+  streams.push({ name: decision.stream, used: lastUse + 1, decisions })
+  streams.sort(compareByLastUse)
   while (streams.length > MAX_OPERATOR_STREAMS) streams.shift()
   return streams
 }
-function byUse(a: { used: number }, b: { used: number }): number {
+function compareByLastUse(a: { used: number }, b: { used: number }): number {
   return a.used - b.used
 }
-// Without the configurations beside the latest few, the next one counted among these.
-function thinned(history: Made[]): Made[] {
-  const least = countOf(history, false) + 1 - MAX_KEPT_CONFIGURATIONS
-  const out: Made[] = []
+/** Drops the configurations of all but the latest few entries, counting the entry to be added as one of these. */
+function dropOldConfigurations(history: Made[]): Made[] {
+  const firstWithConfig = countEntries(history, false) + 1 - MAX_KEPT_CONFIGURATIONS
+  const result: Made[] = []
   let k = 0
-  for (const h of history) out.push(h.named || k++ >= least ? h : withoutConfig(h))
-  return out
-}
-function withoutConfig(h: Made): Made {
-  return { epoch: h.epoch, stream: h.stream, number: h.number, ...withDigest(h.digest) }
-}
-function countOf(history: Made[], named: boolean): number {
-  let out = 0
-  for (const h of history) if ((h.named === true) === named) out++
-  return out
-}
-// All of the other kind, and of this kind the latest so many.
-function lastOf(history: Made[], named: boolean, most: number): Made[] {
-  let over = countOf(history, named) - most
-  const out: Made[] = []
-  for (const h of history) if ((h.named === true) !== named || over-- <= 0) out.push(h)
-  return out
+  for (const entry of history) result.push(entry.named || k++ >= firstWithConfig ? entry : withoutConfig(entry))
+  return result
+}
+function withoutConfig(entry: Made): Made {
+  return { epoch: entry.epoch, stream: entry.stream, number: entry.number, ...withDigest(entry.digest) }
+}
+function countEntries(history: Made[], named: boolean): number {
+  let count = 0
+  for (const entry of history) if ((entry.named === true) === named) count++
+  return count
+}
+/** Keeps all entries of the other kind, and the latest `maxCount` entries of this kind. */
+function keepLatest(history: Made[], named: boolean, maxCount: number): Made[] {
+  let excess = countEntries(history, named) - maxCount
+  const remaining: Made[] = []
+  for (const entry of history) if ((entry.named === true) !== named || excess-- <= 0) remaining.push(entry)
+  return remaining
 }
--- a/packages/operator/src/moves.ts
+++ b/packages/operator/src/moves.ts
@@ -1,27 +1,31 @@
 import { Ok, Err, type Finding, type Result } from '@claynotch/base'
 import type { Body, Config, Edit, Move } from './config.js'
-import { keepDecision } from './kept.js'
+import { recordDecision } from './kept.js'
 
-// Moves of lanes between groups, as a part of the configuration's register. Everything here is pure: the register
-// calls it anew in each round, on the value of now.
+// Moves of lanes between groups, stored in the configuration register. All functions here are pure, because the
+// register calls them again in each round, on the current value.
 
-// The system's own stream: how moves ended. No operator may write to it.
-export const SYSTEM = 'system'
+/** The system's own stream, which records how moves ended. Operators may not write to it. */
+export const SYSTEM_STREAM = 'system'
 
+/** The open move that includes the lane. */
 export function moveOf(moves: Move[] | undefined, lane: string): Move | undefined {
-  for (const m of moves ?? []) if (m.lanes.includes(lane)) return m
+  for (const move of moves ?? []) if (move.lanes.includes(lane)) return move
   return undefined
 }
 
-// The lanes that an edit means to move, as far as they are there.
-export function meantBy(e: Extract<Edit, { op: 'move' }>, config: Config | null | undefined): Config['lanes'] {
-  const out: Config['lanes'] = []
+/** The existing lanes that an edit selects for a move. */
+export function meantBy(edit: Extract<Edit, { op: 'move' }>, config: Config | null | undefined): Config['lanes'] {
+  const lanes: Config['lanes'] = []
   for (const lane of config?.lanes ?? [])
-    if (e.lanes ? e.lanes.includes(lane.name) : lane.group === e.group) out.push(lane)
-  return out
+    if (edit.lanes ? edit.lanes.includes(lane.name) : lane.group === edit.group) lanes.push(lane)
+  return lanes
 }
 
-// Moves after a change's edits; config is what the change's other edits make of it, epoch the one that it makes.
+/**
+ * The open moves after the edits of a change. `config` is the configuration after the change's other edits, `epoch` the
+ * epoch that the change makes. `staged`: a stage is open or requested, which excludes new moves.
+ */
 export function editMoves(
   body: Body,
   config: Config,
@@ -29,135 +33,152 @@
   staged: boolean,
   epoch = body.epoch + 1,
 ): Result<Move[], Finding[]> {
-  const out: Finding[] = []
+  const findings: Finding[] = []
   let moves = body.moves ?? []
-  for (const [k, e] of edits.entries()) {
-    if (e.op === 'move') {
+  for (const [index, edit] of edits.entries()) {
+    if (edit.op === 'move') {
       const lanes: string[] = []
-      for (const lane of meantBy(e, config)) lanes.push(lane.name)
-      const bad: Finding[] = []
-      if ((e.lanes === undefined) === (e.group === undefined))
-        bad.push({ place: `/edits/${k}`, what: 'exactly one of lanes and group is needed' })
-      if (staged) bad.push({ place: `/edits/${k}`, what: 'a stage is open, and a move is for all areas' })
-      for (const [n, name] of (e.lanes ?? []).entries())
-        if (!lanes.includes(name)) bad.push({ place: `/edits/${k}/lanes/${n}`, what: `no lane is named ${name}` })
-      const froms = new Set<string>()
-      for (const lane of config.lanes) if (lanes.includes(lane.name)) froms.add(lane.group)
-      if (bad.length === 0 && lanes.length === 0) bad.push({ place: `/edits/${k}`, what: 'no lane is to be moved' })
-      if (froms.size > 1)
-        bad.push({
-          place: `/edits/${k}/lanes`,
-          what: `the lanes are in groups ${[...froms].sort().join(', ')}; a move has one group to come from`,
+      for (const lane of meantBy(edit, config)) lanes.push(lane.name)
+      const editFindings: Finding[] = []
+      if ((edit.lanes === undefined) === (edit.group === undefined))
+        editFindings.push({ place: `/edits/${index}`, what: 'exactly one of lanes and group is needed' })
+      if (staged) editFindings.push({ place: `/edits/${index}`, what: 'a stage is open, and a move is for all areas' })
+      for (const [laneIndex, name] of (edit.lanes ?? []).entries())
+        if (!lanes.includes(name))
+          editFindings.push({ place: `/edits/${index}/lanes/${laneIndex}`, what: `no lane is named ${name}` })
+      const sourceGroups = new Set<string>()
+      for (const lane of config.lanes) if (lanes.includes(lane.name)) sourceGroups.add(lane.group)
+      if (editFindings.length === 0 && lanes.length === 0)
+        editFindings.push({ place: `/edits/${index}`, what: 'no lane is to be moved' })
+      if (sourceGroups.size > 1)
+        editFindings.push({
+          place: `/edits/${index}/lanes`,
+          what: `the lanes are in groups ${[...sourceGroups].sort().join(', ')}; a move has one group to come from`,
         })
-      if (froms.has(e.to)) bad.push({ place: `/edits/${k}/to`, what: `${e.to} is the group that the lanes are in` })
-      let known = false
-      for (const g of config.groups) if (g.name === e.to) known = true
-      if (!known) bad.push({ place: `/edits/${k}/to`, what: `no group is named ${e.to}` })
-      // Lanes to one database share its rows: one of them left behind would make two groups write it.
+      if (sourceGroups.has(edit.to))
+        editFindings.push({ place: `/edits/${index}/to`, what: `${edit.to} is the group that the lanes are in` })
+      let targetExists = false
+      for (const group of config.groups) if (group.name === edit.to) targetExists = true
+      if (!targetExists) editFindings.push({ place: `/edits/${index}/to`, what: `no group is named ${edit.to}` })
+      // Lanes of one database share its rows; if one of them stayed behind, two groups would write to it.
       const databases = new Set<string>()
       for (const lane of config.lanes) if (lanes.includes(lane.name)) databases.add(lane.database)
       for (const lane of config.lanes)
-        if (froms.has(lane.group) && databases.has(lane.database) && !lanes.includes(lane.name))
-          bad.push({
-            place: `/edits/${k}/lanes`,
+        if (sourceGroups.has(lane.group) && databases.has(lane.database) && !lanes.includes(lane.name))
+          editFindings.push({
+            place: `/edits/${index}/lanes`,
             what: `the lane ${lane.name} is to the same database ${lane.database} and has to go along`,
           })
       for (const name of lanes)
-        if (moveOf(moves, name)) bad.push({ place: `/edits/${k}`, what: `the lane ${name} is being moved already` })
-      out.push(...bad)
-      if (bad.length === 0)
+        if (moveOf(moves, name))
+          editFindings.push({ place: `/edits/${index}`, what: `the lane ${name} is being moved already` })
+      findings.push(...editFindings)
+      if (editFindings.length === 0)
         moves = [
           ...moves,
-          { id: epoch, lanes, from: [...froms][0], to: e.to, proof: e.proof ?? 'reported', phase: 'copy' },
+          { id: epoch, lanes, from: [...sourceGroups][0], to: edit.to, proof: edit.proof ?? 'reported', phase: 'copy' },
         ]
-    } else if (e.op === 'confirm' || e.op === 'calloff') {
-      const mine = moveOf(moves, e.lane)
-      if (!mine) out.push({ place: `/edits/${k}/lane`, what: `no move of the lane ${e.lane} is under way` })
-      else if (e.op === 'calloff') moves = without(moves, mine)
-      else if (mine.proof !== 'confirmed')
-        out.push({ place: `/edits/${k}`, what: 'the target reports what it holds; nothing is to be confirmed' })
-      else if (mine.phase !== 'quiet')
-        out.push({
-          place: `/edits/${k}`,
-          what: `the move is in phase ${mine.phase}; only once writes have stopped (phase quiet) can it be known that the target holds everything`,
+    } else if (edit.op === 'confirm' || edit.op === 'calloff') {
+      const move = moveOf(moves, edit.lane)
+      if (!move) findings.push({ place: `/edits/${index}/lane`, what: `no move of the lane ${edit.lane} is under way` })
+      else if (edit.op === 'calloff') moves = withoutMove(moves, move)
+      else if (move.proof !== 'confirmed')
+        findings.push({
+          place: `/edits/${index}`,
+          what: 'the target reports what it holds; nothing is to be confirmed',
+        })
+      else if (move.phase !== 'quiet')
+        findings.push({
+          place: `/edits/${index}`,
+          what: `the move is in phase ${move.phase}; only once writes have stopped (phase quiet) can it be known that the target holds everything`,
         })
-      else moves = put(moves, { ...mine, confirmed: true })
+      else moves = replaceMove(moves, { ...move, confirmed: true })
     }
   }
-  return out.length > 0 ? Err(out) : Ok(moves)
+  return findings.length > 0 ? Err(findings) : Ok(moves)
 }
 
-// A changed configuration must leave the lanes and groups of open moves as they are.
+/** Checks that a changed configuration leaves the lanes and groups of open moves unchanged. */
 export function checkMoves(moves: Move[], config: Config): Finding[] {
-  const out: Finding[] = []
-  const groups = new Set<string>()
-  for (const g of config.groups) groups.add(g.name)
-  const lanes = new Map<string, string>()
-  for (const lane of config.lanes) lanes.set(lane.name, lane.group)
-  for (const m of moves) {
-    for (const name of m.lanes)
-      if (lanes.get(name) !== m.from)
-        out.push({
+  const findings: Finding[] = []
+  const groupNames = new Set<string>()
+  for (const group of config.groups) groupNames.add(group.name)
+  const groupByLane = new Map<string, string>()
+  for (const lane of config.lanes) groupByLane.set(lane.name, lane.group)
+  for (const move of moves) {
+    for (const name of move.lanes)
+      if (groupByLane.get(name) !== move.from)
+        findings.push({
           place: '/lanes',
-          what: `the lane ${name} is being moved from ${m.from} to ${m.to}: call the move off, or leave the lane in ${m.from}`,
+          what: `the lane ${name} is being moved from ${move.from} to ${move.to}: call the move off, or leave the lane in ${move.from}`,
         })
-    for (const g of [m.from, m.to])
-      if (!groups.has(g)) out.push({ place: '/groups', what: `the group ${g} takes part in a move` })
+    for (const group of [move.from, move.to])
+      if (!groupNames.has(group)) findings.push({ place: '/groups', what: `the group ${group} takes part in a move` })
   }
-  return out
+  return findings
 }
 
-function without(moves: Move[], one: Move): Move[] {
-  const out: Move[] = []
-  for (const m of moves) if (m !== one) out.push(m)
-  return out
+function withoutMove(moves: Move[], removed: Move): Move[] {
+  const remaining: Move[] = []
+  for (const move of moves) if (move !== removed) remaining.push(move)
+  return remaining
 }
-function put(moves: Move[], next: Move): Move[] {
-  const out: Move[] = []
-  for (const m of moves) out.push(m.id === next.id ? next : m)
-  return out
+function replaceMove(moves: Move[], replacement: Move): Move[] {
+  const result: Move[] = []
+  for (const move of moves) result.push(move.id === replacement.id ? replacement : move)
+  return result
 }
-function find(body: Body, id: number, phase: Move['phase']): Move | undefined {
-  for (const m of body.moves ?? []) if (m.id === id && m.phase === phase) return m
+function findMoveInPhase(body: Body, id: number, phase: Move['phase']): Move | undefined {
+  for (const move of body.moves ?? []) if (move.id === id && move.phase === phase) return move
   return undefined
 }
 
-// One step forward; undefined where the move isn't in that phase any more.
+/** Advances a move by one phase; undefined if it is no longer in the given phase. */
 export function stepMove(
   body: Body,
   id: number,
   phase: Move['phase'],
   next: Pick<Move, 'phase' | 'mark'>,
 ): Body | undefined {
-  const mine = find(body, id, phase)
-  return mine ? { ...body, moves: put(body.moves ?? [], { ...mine, ...next }) } : undefined
+  const move = findMoveInPhase(body, id, phase)
+  return move ? { ...body, moves: replaceMove(body.moves ?? [], { ...move, ...next }) } : undefined
 }
-// The end, in one value: the lanes' group is the other, and the move is gone. Before this it can be called off.
+/**
+ * Completes a move in a single register value: the lanes belong to the target group and the move is removed. Until then
+ * it can be called off.
+ */
 export function switchMove(body: Body, id: number): Body | undefined {
-  const mine = find(body, id, 'held')
-  if (!mine || !body.config) return undefined
+  const move = findMoveInPhase(body, id, 'held')
+  if (!move || !body.config) return undefined
   const lanes: Config['lanes'] = []
-  for (const lane of body.config.lanes) lanes.push(mine.lanes.includes(lane.name) ? { ...lane, group: mine.to } : lane)
-  return ended(body, mine, 'accepted', `lanes ${mine.lanes.join(', ')} moved from ${mine.from} to ${mine.to}`, {
+  for (const lane of body.config.lanes) lanes.push(move.lanes.includes(lane.name) ? { ...lane, group: move.to } : lane)
+  return endMove(body, move, 'accepted', `lanes ${move.lanes.join(', ')} moved from ${move.from} to ${move.to}`, {
     ...body.config,
     lanes,
   })
 }
+/** Cancels a move that is in the given phase; the lanes stay in their group. */
 export function callOff(body: Body, id: number, phase: Move['phase'], why: string): Body | undefined {
-  const mine = find(body, id, phase)
-  return mine
-    ? ended(
+  const move = findMoveInPhase(body, id, phase)
+  return move
+    ? endMove(
         body,
-        mine,
+        move,
         'refused',
-        `the move of ${mine.lanes.join(', ')} from ${mine.from} to ${mine.to} was called off: ${why}`,
+        `the move of ${move.lanes.join(', ')} from ${move.from} to ${move.to} was called off: ${why}`,
       )
     : undefined
 }
-function ended(body: Body, mine: Move, decision: 'accepted' | 'refused', why: string, config?: Config): Body {
-  const moves = without(body.moves ?? [], mine)
+/** Removes the move and records its end in the system's stream. The epoch changes only with the configuration. */
+function endMove(body: Body, move: Move, decision: 'accepted' | 'refused', why: string, config?: Config): Body {
+  const moves = withoutMove(body.moves ?? [], move)
   let number = 1
-  for (const s of body.streams) if (s.name === SYSTEM) number += s.decisions[s.decisions.length - 1]?.number ?? 0
+  for (const stored of body.streams)
+    if (stored.name === SYSTEM_STREAM) number += stored.decisions[stored.decisions.length - 1]?.number ?? 0
   const epoch = config ? body.epoch + 1 : body.epoch
-  return keepDecision({ ...body, moves }, { stream: SYSTEM, number, decision, epoch, why, findings: [] }, config)
+  return recordDecision(
+    { ...body, moves },
+    { stream: SYSTEM_STREAM, number, decision, epoch, why, findings: [] },
+    config,
+  )
 }
--- a/packages/operator/src/test/orders.test.ts
+++ b/packages/operator/src/test/orders.test.ts
@@ -5,11 +5,11 @@
 import { emptyBody, type Body } from '../config.js'
 import { decide } from '../decide.js'
 import { digestOf } from '../kept.js'
-import { SYSTEM } from '../moves.js'
+import { SYSTEM_STREAM } from '../moves.js'
 
 t.setTimeout(600000)
 
-// What decide() says of orders, against a plain model that remembers everything: docs/design/control-safety.md, 2.
+// Compares decide() with a simple model that keeps the complete history: docs/design/control-safety.md, section 2.
 
 function configOf(name: string, valid: boolean): Config {
   return {
@@ -19,76 +19,100 @@
   }
 }
 
-// --- the plain model: all that was ever taken, in a list without end ---
+// --- the model: all changes that were ever accepted, in an unbounded list ---
 
-type Taken = { key: string; content: string; epoch: number }
-type Model = { epoch: number; taken: Taken[]; refused: Map<string, string> }
+type AcceptedRequest = { key: string; content: string; epoch: number }
+type Model = { epoch: number; accepted: AcceptedRequest[]; refused: Map<string, string> }
 
-function keyOf(o: Order): string {
-  return `${o.stream} ${o.change.number}`
+function keyOf(request: Order): string {
+  return `${request.stream} ${request.change.number}`
 }
-function contentOf(o: Order): string {
-  return JSON.stringify([o.change.epoch, o.change.whole])
+function contentOf(request: Order): string {
+  return JSON.stringify([request.change.epoch, request.change.whole])
 }
-function isValid(o: Order): boolean {
-  return (o.change.whole as Config).lanes[0].group === 'g'
+function isValid(request: Order): boolean {
+  return (request.change.whole as Config).lanes[0].group === 'g'
 }
-function madeBy(o: Order): number {
-  return o.change.epoch ?? o.change.expect + 1
+function epochMadeBy(request: Order): number {
+  return request.change.epoch ?? request.change.expect + 1
 }
-// What may be told of an order: exactly one word, or, where 'forgotten' is said, 'unclear' as well.
-type Wanted = { word: 'accepted' | 'refused' | 'unclear'; epoch?: number; writes: boolean; forgettable: boolean }
+/** The expected outcome of a request. `forgettable`: 'unclear' is allowed as well, if history has been dropped. */
+type Expected = { outcome: 'accepted' | 'refused' | 'unclear'; epoch?: number; writes: boolean; forgettable: boolean }
 
-function wantedOf(model: Model, o: Order): Wanted {
-  const named = o.change.epoch !== undefined
-  const old = model.taken.find(isIt)
-  function isIt(x: Taken): boolean {
-    return x.key === keyOf(o)
+function expectedOf(model: Model, request: Order): Expected {
+  const namesEpoch = request.change.epoch !== undefined
+  const acceptedBefore = model.accepted.find(hasSameKey)
+  function hasSameKey(accepted: AcceptedRequest): boolean {
+    return accepted.key === keyOf(request)
   }
-  if (old && old.content === contentOf(o))
-    return { word: 'accepted', epoch: old.epoch, writes: false, forgettable: true }
-  const behind = o.change.expect < model.epoch
-  if (old || model.refused.has(keyOf(o))) return { word: 'refused', writes: false, forgettable: behind }
-  if (madeBy(o) <= o.change.expect) return { word: 'refused', writes: !named, forgettable: false }
-  if (named && o.change.expect > model.epoch) return { word: 'unclear', writes: false, forgettable: false }
-  if (o.change.expect !== model.epoch || !isValid(o)) return { word: 'refused', writes: !named, forgettable: behind }
-  return { word: 'accepted', epoch: madeBy(o), writes: true, forgettable: false }
-}
-function note(model: Model, o: Order, got: Decision): void {
-  if (got.decision === 'accepted') {
-    model.taken.push({ key: keyOf(o), content: contentOf(o), epoch: got.epoch })
-    model.epoch = got.epoch
-  } else model.refused.set(keyOf(o), contentOf(o))
-}
-
-// One order at the real code and at the model; the body afterwards.
-function step(body: Body, model: Model, o: Order, mayForget: boolean, counts: Map<string, number>): Body {
-  const wanted = wantedOf(model, o)
-  const got = decide(body, o)
-  const word = 'unclear' in got ? 'unclear' : 'known' in got ? got.known.decision : got.decision.decision
-  const name = `${keyOf(o)} ${JSON.stringify(o.change)} at ${body.epoch}`
-  counts.set(word, (counts.get(word) ?? 0) + 1)
-  if (word === 'unclear' && wanted.word !== 'unclear') {
-    if (!mayForget || !wanted.forgettable) throw new Error(`${name}: unclear, and is ${wanted.word}`)
+  if (acceptedBefore && acceptedBefore.content === contentOf(request))
+    return { outcome: 'accepted', epoch: acceptedBefore.epoch, writes: false, forgettable: true }
+  const behind = request.change.expect < model.epoch
+  if (acceptedBefore || model.refused.has(keyOf(request)))
+    return { outcome: 'refused', writes: false, forgettable: behind }
+  if (epochMadeBy(request) <= request.change.expect)
+    return { outcome: 'refused', writes: !namesEpoch, forgettable: false }
+  if (namesEpoch && request.change.expect > model.epoch)
+    return { outcome: 'unclear', writes: false, forgettable: false }
+  if (request.change.expect !== model.epoch || !isValid(request))
+    return { outcome: 'refused', writes: !namesEpoch, forgettable: behind }
+  return { outcome: 'accepted', epoch: epochMadeBy(request), writes: true, forgettable: false }
+}
+function recordInModel(model: Model, request: Order, decision: Decision): void {
+  if (decision.decision === 'accepted') {
+    model.accepted.push({ key: keyOf(request), content: contentOf(request), epoch: decision.epoch })
+    model.epoch = decision.epoch
+  } else model.refused.set(keyOf(request), contentOf(request))
+}
+
+/** Decides one request with the real code and with the model, and returns the body afterwards. */
+function decideAndCompare(
+  body: Body,
+  model: Model,
+  request: Order,
+  mayForget: boolean,
+  counts: Map<string, number>,
+): Body {
+  const expected = expectedOf(model, request)
+  const evaluation = decide(body, request)
+  const outcome =
+    'unclear' in evaluation
+      ? 'unclear'
+      : 'known' in evaluation
+        ? evaluation.known.decision
+        : evaluation.decision.decision
+  const description = `${keyOf(request)} ${JSON.stringify(request.change)} at ${body.epoch}`
+  counts.set(outcome, (counts.get(outcome) ?? 0) + 1)
+  if (outcome === 'unclear' && expected.outcome !== 'unclear') {
+    if (!mayForget || !expected.forgettable) throw new Error(`${description}: unclear, expected ${expected.outcome}`)
     return body
   }
-  if (word !== wanted.word) throw new Error(`${name}: ${word}, and is ${wanted.word}`)
-  if ('unclear' in got) return body
-  const decision = 'known' in got ? got.known : got.decision
-  if (wanted.epoch !== undefined && decision.epoch !== wanted.epoch)
-    throw new Error(`${name}: epoch ${decision.epoch}, and is ${wanted.epoch}`)
-  if ('body' in got !== wanted.writes) throw new Error(`${name}: ${wanted.writes ? 'not ' : ''}written`)
-  if ('known' in got) return body
-  note(model, o, decision)
-  if (got.body.epoch !== model.epoch) throw new Error(`${name}: the body's epoch is ${got.body.epoch}`)
-  return got.body
-}
-
-// --- drawn orders ---
-
-// Each draw is one order: a new one, or one sent before, the very same or a rival under its number.
-type Draw = { kind: 'new' | 'again' | 'rival'; back: number; stream: number; base: number; up: number; valid: boolean }
-const draw = fc.record({
+  if (outcome !== expected.outcome) throw new Error(`${description}: ${outcome}, expected ${expected.outcome}`)
+  if ('unclear' in evaluation) return body
+  const decision = 'known' in evaluation ? evaluation.known : evaluation.decision
+  if (expected.epoch !== undefined && decision.epoch !== expected.epoch)
+    throw new Error(`${description}: epoch ${decision.epoch}, expected ${expected.epoch}`)
+  if ('body' in evaluation !== expected.writes)
+    throw new Error(`${description}: ${expected.writes ? 'not ' : ''}written`)
+  if ('known' in evaluation) return body
+  recordInModel(model, request, decision)
+  if (evaluation.body.epoch !== model.epoch)
+    throw new Error(`${description}: the body's epoch is ${evaluation.body.epoch}`)
+  return evaluation.body
+}
+
+// --- random requests ---
+
+/** Each draw is one request: a new one, one that was sent before, or a rival (a different change) under its number. */
+type RequestDraw = {
+  kind: 'new' | 'again' | 'rival'
+  back: number
+  stream: number
+  base: number
+  up: number
+  valid: boolean
+}
+const requestDraw = fc.record({
   kind: fc.constantFrom('new' as const, 'new' as const, 'again' as const, 'rival' as const),
   back: fc.nat(30),
   stream: fc.nat(2),
@@ -96,124 +120,139 @@
   up: fc.integer({ min: 0, max: 3 }),
   valid: fc.boolean(),
 })
-function newOrder(d: Draw, named: boolean, epoch: number, count: number): Order {
-  const expect = Math.max(0, d.base <= 0 && d.base > -2 ? epoch : epoch + d.base)
-  const whole = configOf(`w${count}`, d.valid || d.back > 10)
-  const change: Change = { number: 1, expect, whole, ...(named ? { epoch: expect + d.up } : {}) }
-  if (named) return { stream: `digest${count}`, change }
+function newRequest(generated: RequestDraw, namesEpoch: boolean, epoch: number, count: number): Order {
+  const expect = Math.max(0, generated.base <= 0 && generated.base > -2 ? epoch : epoch + generated.base)
+  const whole = configOf(`w${count}`, generated.valid || generated.back > 10)
+  const change: Change = { number: 1, expect, whole, ...(namesEpoch ? { epoch: expect + generated.up } : {}) }
+  if (namesEpoch) return { stream: `digest${count}`, change }
   change.number = count + 1
-  return { stream: `s${d.stream}`, change, digest: digestOf(change) }
+  return { stream: `s${generated.stream}`, change, digest: digestOf(change) }
 }
-function rivalOf(o: Order, count: number): Order {
-  const change: Change = { ...o.change, whole: configOf(`r${count}`, true) }
-  if (o.change.epoch !== undefined) return { stream: `rival${count}`, change }
-  return { ...o, change, digest: digestOf(change) }
+function rivalOf(request: Order, count: number): Order {
+  const change: Change = { ...request.change, whole: configOf(`r${count}`, true) }
+  if (request.change.epoch !== undefined) return { stream: `rival${count}`, change }
+  return { ...request, change, digest: digestOf(change) }
 }
-function orderOf(d: Draw, named: boolean, epoch: number, sent: Order[]): Order {
-  const old = sent[sent.length - 1 - d.back]
-  if (d.kind === 'again' && old) return old
-  if (d.kind === 'rival' && old) return rivalOf(old, sent.length)
-  return newOrder(d, named, epoch, sent.length)
+function requestOf(generated: RequestDraw, namesEpoch: boolean, epoch: number, sent: Order[]): Order {
+  const earlier = sent[sent.length - 1 - generated.back]
+  if (generated.kind === 'again' && earlier) return earlier
+  if (generated.kind === 'rival' && earlier) return rivalOf(earlier, sent.length)
+  return newRequest(generated, namesEpoch, epoch, sent.length)
 }
 
-function drawn(c: Test): void {
+function randomRequests(test: Test): void {
   const counts = new Map<string, number>()
-  function plays(named: boolean, draws: Draw[]): void {
+  function replay(namesEpoch: boolean, draws: RequestDraw[]): void {
     let body = emptyBody()
-    const model: Model = { epoch: 0, taken: [], refused: new Map() }
+    const model: Model = { epoch: 0, accepted: [], refused: new Map() }
     const sent: Order[] = []
-    for (const d of draws) {
-      const o = orderOf(d, named, body.epoch, sent)
-      sent.push(o)
-      body = step(body, model, o, false, counts)
+    for (const generated of draws) {
+      const request = requestOf(generated, namesEpoch, body.epoch, sent)
+      sent.push(request)
+      body = decideAndCompare(body, model, request, false, counts)
     }
   }
-  fc.assert(fc.property(fc.boolean(), fc.array(draw, { maxLength: 60 }), plays), { numRuns: 5000, seed: 219 })
-  for (const word of ['accepted', 'refused', 'unclear'])
-    c.ok((counts.get(word) ?? 0) > 1000, `${word}: ${counts.get(word)}`)
+  fc.assert(fc.property(fc.boolean(), fc.array(requestDraw, { maxLength: 60 }), replay), { numRuns: 5000, seed: 219 })
+  for (const outcome of ['accepted', 'refused', 'unclear'])
+    test.ok((counts.get(outcome) ?? 0) > 1000, `${outcome}: ${counts.get(outcome)}`)
 }
 
-// --- what was forgotten ---
+// --- dropped history ---
 
-// The body as an earlier program leaves it behind, which kept NAMED_KEPT_LEAST changes and knew nothing of digests.
-function trimmedByEarlier(body: Body): Body {
+/** The body as an older version writes it, which kept MIN_NAMED_CHANGES changes and had no digests. */
+function trimmedByOlderVersion(body: Body): Body {
   return { ...body, history: body.history.slice(-MIN_NAMED_CHANGES) }
 }
-// Two thousand changes that name their epoch, programs of both kinds taking turns at writing; all of them sent again,
-// and rivals of each.
-function forgotten(c: Test): void {
+/**
+ * Sends two thousand changes that name their epoch, first written by the current version only and then by both
+ * versions in turn. Then sends all of them again, with a rival of each.
+ */
+function droppedHistory(test: Test): void {
   const counts = new Map<string, number>()
   for (const [mixed, count] of [
     [false, MAX_NAMED_CHANGES + 400],
     [true, 2 * MIN_NAMED_CHANGES],
   ] as const) {
     let body = emptyBody()
-    const model: Model = { epoch: 0, taken: [], refused: new Map() }
+    const model: Model = { epoch: 0, accepted: [], refused: new Map() }
     const sent: Order[] = []
     for (let k = 0; k < count; k++) {
       const change: Change = { number: 1, expect: body.epoch, epoch: body.epoch + 2, whole: configOf(`n${k}`, true) }
-      const o = { stream: `digest${k}`, change }
-      sent.push(o)
-      body = step(body, model, o, false, counts)
-      if (mixed && k % 7 === 0) body = trimmedByEarlier(body)
+      const request = { stream: `digest${k}`, change }
+      sent.push(request)
+      body = decideAndCompare(body, model, request, false, counts)
+      if (mixed && k % 7 === 0) body = trimmedByOlderVersion(body)
     }
     const kept = body.history.length
-    c.equal(kept < count, true, `${kept} of ${count} are kept`)
-    for (const [k, o] of sent.entries()) {
-      const remembered = k >= count - kept
-      const before = counts.get('unclear') ?? 0
-      step(body, model, o, !remembered, counts)
-      // A rival of the oldest one that is kept is known to have lost: that one made the epoch.
-      step(body, model, rivalOf(o, k), !remembered, counts)
-      const unclear = (counts.get('unclear') ?? 0) - before
-      if (unclear !== (remembered ? 0 : 2)) c.fail(`${k} of ${count}: ${unclear} unclear`)
+    test.equal(kept < count, true, `${kept} of ${count} entries are kept`)
+    for (const [index, request] of sent.entries()) {
+      const remembered = index >= count - kept
+      const unclearBefore = counts.get('unclear') ?? 0
+      decideAndCompare(body, model, request, !remembered, counts)
+      // A rival of the oldest entry kept is known to be refused, because that entry made the epoch.
+      decideAndCompare(body, model, rivalOf(request, index), !remembered, counts)
+      const unclearAnswers = (counts.get('unclear') ?? 0) - unclearBefore
+      if (unclearAnswers !== (remembered ? 0 : 2)) test.fail(`${index} of ${count}: ${unclearAnswers} unclear`)
     }
   }
-  c.ok((counts.get('unclear') ?? 0) >= 2 * 400, `${counts.get('unclear')} can't be told any more`)
+  test.ok((counts.get('unclear') ?? 0) >= 2 * 400, `${counts.get('unclear')} unclear answers`)
 }
 
-// Where little happened nothing was dropped, and all is told.
-function whole(c: Test): void {
+/** With few changes nothing has been dropped, so every outcome is known. */
+function completeHistory(test: Test): void {
   let body = emptyBody()
-  const model: Model = { epoch: 0, taken: [], refused: new Map() }
+  const model: Model = { epoch: 0, accepted: [], refused: new Map() }
   const counts = new Map<string, number>()
   const first: Order = { stream: 'a', change: { number: 1, expect: 0, epoch: 3, whole: configOf('a', true) } }
-  const low: Order = { stream: 'b', change: { number: 1, expect: 0, epoch: 1, whole: configOf('b', true) } }
-  body = step(body, model, first, false, counts)
-  step(body, model, low, false, counts)
-  c.equal(counts.get('refused'), 1, 'below the first one that was taken')
+  const lowerEpoch: Order = { stream: 'b', change: { number: 1, expect: 0, epoch: 1, whole: configOf('b', true) } }
+  body = decideAndCompare(body, model, first, false, counts)
+  decideAndCompare(body, model, lowerEpoch, false, counts)
+  test.equal(counts.get('refused'), 1, 'epoch below the first accepted change')
 }
 
-// The very same one under a fresh expectation is the same one; no operator writes in the system's stream.
-function numbers(c: Test): void {
-  function own(expect: number, name: string): Order {
+/** A change that is sent again with a newer expected epoch is the same change. The system's stream is not writable. */
+function reusedNumbers(test: Test): void {
+  function requestNumber7(expect: number, name: string): Order {
     const change: Change = { number: 7, expect, whole: configOf(name, true) }
     return { stream: 'desk', change, digest: digestOf(change) }
   }
-  const got = decide(emptyBody(), own(0, 'a'))
-  if (!('body' in got)) throw new Error('not taken')
-  const { body } = got
-  c.match(decide(body, own(0, 'a')), { known: { decision: 'accepted', epoch: 1 } })
-  c.match(decide(body, own(1, 'a')), { known: { decision: 'accepted', epoch: 1 } }, 'with a fresh expectation')
-  c.match(decide(body, own(0, 'b')), { known: { decision: 'refused', why: /another change's, which was accepted/ } })
-  c.match(decide(body, own(1, 'b')), { known: { decision: 'refused' } })
-  // A program of before digests wrote it: the number alone tells.
-  const bare: Body = JSON.parse(JSON.stringify(body, dropDigest)) as Body
+  const evaluation = decide(emptyBody(), requestNumber7(0, 'a'))
+  if (!('body' in evaluation)) throw new Error('the first change was not accepted')
+  const { body } = evaluation
+  test.match(decide(body, requestNumber7(0, 'a')), { known: { decision: 'accepted', epoch: 1 } })
+  test.match(
+    decide(body, requestNumber7(1, 'a')),
+    { known: { decision: 'accepted', epoch: 1 } },
+    'sent again with the current epoch',
+  )
+  test.match(decide(body, requestNumber7(0, 'b')), {
+    known: { decision: 'refused', why: /another change's, which was accepted/ },
+  })
+  test.match(decide(body, requestNumber7(1, 'b')), { known: { decision: 'refused' } })
+  // A version without digests wrote it, so only the number identifies the change.
+  const bodyWithoutDigests: Body = JSON.parse(JSON.stringify(body, dropDigest)) as Body
   function dropDigest(key: string, value: unknown): unknown {
     return key === 'digest' ? undefined : value
   }
-  c.match(decide(bare, own(1, 'b')), { known: { decision: 'accepted', epoch: 1 } }, 'as that program told it')
-  const system = { ...own(1, 'c'), stream: SYSTEM }
-  c.match(decide(body, system), { known: { decision: 'refused', why: /system's own/ } })
+  test.match(
+    decide(bodyWithoutDigests, requestNumber7(1, 'b')),
+    { known: { decision: 'accepted', epoch: 1 } },
+    'as the older version decided',
+  )
+  const system = { ...requestNumber7(1, 'c'), stream: SYSTEM_STREAM }
+  test.match(decide(body, system), { known: { decision: 'refused', why: /system's own/ } })
 }
 
-function sync(run: (c: Test) => void): (c: Test) => Promise<void> {
-  async function go(c: Test): Promise<void> {
-    run(c)
+function asyncTest(run: (test: Test) => void): (test: Test) => Promise<void> {
+  async function runTest(test: Test): Promise<void> {
+    run(test)
   }
-  return go
+  return runTest
 }
-void t.test('drawn orders: repeats, rivals, invalid ones, against a plain model', sync(drawn))
-void t.test('what is forgotten is never refused, by programs of both kinds', sync(forgotten))
-void t.test('history is whole where little happened', sync(whole))
-void t.test('a number is of one content', sync(numbers))
+void t.test('random requests: repeats, rivals and invalid changes, compared with a model', asyncTest(randomRequests))
+void t.test(
+  'a change whose decision was dropped is never refused, with both versions writing',
+  asyncTest(droppedHistory),
+)
+void t.test('history is complete while nothing has been dropped', asyncTest(completeHistory))
+void t.test('a number identifies one change', asyncTest(reusedNumbers))
