--- a/packages/operator/src/cores.ts
+++ b/packages/operator/src/cores.ts
@@ -1,11 +1,14 @@
 import type { Finding } from '@claynotch/base'
 
-// The core set as GET /cores tells it, and what `claynotch check` finds wrong with it.
+// The core set as GET /cores shows it, and the findings of `claynotch check` about it.
 
-// part: 'stays' through a change of the set under way, 'joins' or 'leaves' with it; 'votes' where none is under way.
-// state: 'voting'; 'refilling', it answers and may not vote yet; 'behind', it answers under another set (epoch);
-// 'silent', no answer within ROUND_LIFE.
-// heard: ms since it was heard last by this agent.
+/**
+ * Status of one core.
+ * - `part`: its part in a change of the core set that is in progress ('stays', 'joins' or 'leaves'); otherwise 'votes'.
+ * - `state`: 'voting'; 'refilling', it answers but may not vote yet; 'behind', it answers with another core set
+ *   (`epoch`); 'silent', it didn't answer within LEASE_RENEWAL_TIMEOUT_MS.
+ * - `heard`: ms since this agent last received something from it.
+ */
 export type CoreLine = {
   id: string
   addr: string
@@ -14,9 +17,13 @@
   epoch?: number
   heard?: number
 }
-// epoch: of the set as this agent knows it. quorum: those that vote now can decide. lossesBorne: of these so many may be
-// lost, whichever they are, with a quorum left; 0 where there is none.
-// spares: core machines that stand by and don't vote.
+/**
+ * Status of the core set.
+ * - `epoch`: epoch of the core set as this agent knows it.
+ * - `quorum`: whether the cores that vote now form a quorum.
+ * - `lossesBorne`: how many of these may fail, whichever they are, with a quorum remaining; 0 if there is no quorum.
+ * - `spares`: core machines that are available and don't vote.
+ */
 export type CoreStatus = {
   epoch: number
   changing: boolean
@@ -26,39 +33,46 @@
   spares: string[]
 }
 
-// The fewest cores of which one may be lost.
-const LEAST_CORES = 3
+/** The smallest core set that tolerates the loss of one core. */
+const MIN_CORES_FOR_ONE_LOSS = 3
 
+/** Findings about the core set: its size, cores that don't vote, and the losses that it tolerates. */
 export function checkCores(status: CoreStatus): Finding[] {
-  const out: Finding[] = []
+  const findings: Finding[] = []
   let size = 0
-  for (const c of status.cores) if (c.part !== 'joins') size++
-  if (size < LEAST_CORES)
-    out.push({ place: 'cores', what: `${size} of them: no loss is borne with fewer than ${LEAST_CORES}` })
+  for (const core of status.cores) if (core.part !== 'joins') size++
+  if (size < MIN_CORES_FOR_ONE_LOSS)
+    findings.push({
+      place: 'cores',
+      what: `${size} of them: no loss is borne with fewer than ${MIN_CORES_FOR_ONE_LOSS}`,
+    })
   else if (size % 2 === 0)
-    out.push({ place: 'cores', what: `${size} of them bear no more losses than ${size - 1}: an odd number is wanted` })
-  for (const c of status.cores)
-    if (c.state !== 'voting') out.push({ place: `core ${c.id}`, what: `doesn't vote now: ${c.state}` })
-  if (!status.quorum) out.push({ place: 'cores', what: 'those that vote are no quorum: nothing is decided' })
-  else if (status.lossesBorne === 0) out.push({ place: 'cores', what: 'the next loss leaves no quorum' })
-  return out
+    findings.push({
+      place: 'cores',
+      what: `${size} of them bear no more losses than ${size - 1}: an odd number is wanted`,
+    })
+  for (const core of status.cores)
+    if (core.state !== 'voting') findings.push({ place: `core ${core.id}`, what: `doesn't vote now: ${core.state}` })
+  if (!status.quorum) findings.push({ place: 'cores', what: 'those that vote are no quorum: nothing is decided' })
+  else if (status.lossesBorne === 0) findings.push({ place: 'cores', what: 'the next loss leaves no quorum' })
+  return findings
 }
 
-// For people, a line each.
+/** Formats the status for people, with one line per core. */
 export function showCores(status: CoreStatus): string {
   const { epoch, changing, quorum, lossesBorne, cores, spares } = status
-  const head = [
+  const summaryLines = [
     `core set of epoch ${epoch}${changing ? ', being changed' : ''}`,
     quorum ? `losses borne now: ${lossesBorne}` : 'no quorum: nothing is decided',
   ]
-  const lines: string[] = []
-  for (const c of cores) lines.push(showCore(c, epoch))
-  if (spares.length > 0) lines.push(`spares: ${spares.join(', ')}`)
-  return `${[...head, ...lines].join('\n')}\n`
+  const coreLines: string[] = []
+  for (const core of cores) coreLines.push(formatCore(core, epoch))
+  if (spares.length > 0) coreLines.push(`spares: ${spares.join(', ')}`)
+  return `${[...summaryLines, ...coreLines].join('\n')}\n`
 }
-function showCore(c: CoreLine, epoch: number): string {
-  const words = [c.id, c.addr, c.part, c.state]
-  if (c.epoch !== undefined && c.epoch !== epoch) words.push(`epoch ${c.epoch}`)
-  if (c.heard !== undefined && c.state !== 'voting') words.push(`heard ${c.heard} ms ago`)
-  return words.join('  ')
+function formatCore(core: CoreLine, epoch: number): string {
+  const columns = [core.id, core.addr, core.part, core.state]
+  if (core.epoch !== undefined && core.epoch !== epoch) columns.push(`epoch ${core.epoch}`)
+  if (core.heard !== undefined && core.state !== 'voting') columns.push(`heard ${core.heard} ms ago`)
+  return columns.join('  ')
 }
--- a/packages/operator/src/tenants.ts
+++ b/packages/operator/src/tenants.ts
@@ -2,28 +2,29 @@
 import * as t from 'io-ts'
 import { Name, type Finding } from '@claynotch/base'
 
-// Tenants: who may use the routes, told apart by their keys, and how much each may ask of the whole fleet.
+// Tenants: who may use the routes, identified by their keys, and the request rate that each may use in the whole fleet.
 
-function isKeyHash(x: unknown): x is string {
-  return typeof x === 'string' && /^[0-9a-f]{64}$/.test(x)
+function isKeyHash(value: unknown): value is string {
+  return typeof value === 'string' && /^[0-9a-f]{64}$/.test(value)
 }
-function checkKeyHash(x: unknown, context: t.Context): t.Validation<string> {
-  return isKeyHash(x) ? t.success(x) : t.failure(x === undefined ? x : 'hidden', context)
+function checkKeyHash(value: unknown, context: t.Context): t.Validation<string> {
+  return isKeyHash(value) ? t.success(value) : t.failure(value === undefined ? value : 'hidden', context)
 }
-/** The SHA-256 of a key, in hex. The key itself is kept nowhere but in the operator's own document (label). */
+/** The SHA-256 of a key, in hex. The key itself is stored only in the operator's own annotation (`label`). */
 export const KeyHash = new t.Type<string, string, unknown>('a SHA-256 in hex', isKeyHash, checkKeyHash, t.identity)
 
-function isRate(x: unknown): x is number {
-  return typeof x === 'number' && Number.isFinite(x) && x >= 0
+function isRate(value: unknown): value is number {
+  return typeof value === 'number' && Number.isFinite(value) && value >= 0
 }
-function checkRate(x: unknown, context: t.Context): t.Validation<number> {
-  return isRate(x) ? t.success(x) : t.failure(x, context)
+function checkRate(value: unknown, context: t.Context): t.Validation<number> {
+  return isRate(value) ? t.success(value) : t.failure(value, context)
 }
 const Rate = new t.Type<number, number, unknown>('a number from 0', isRate, checkRate, t.identity)
 
 /**
- * rate: operations a second that the whole fleet runs for the tenant; burst: how many more at one time. Without a rate there is no
- * limit. label: the operator's own words on it, kept as they are, given back and read by nobody.
+ * A tenant. `rate`: operations per second that the whole fleet runs for it; no limit without a rate. `burst`: how many
+ * more it may run at one time. `label`: the operator's own annotation, stored and returned as it is and not
+ * interpreted.
  */
 export const Tenant = t.intersection([
   t.type({ name: Name, keys: t.array(KeyHash) }),
@@ -32,8 +33,9 @@
 export type Tenant = t.TypeOf<typeof Tenant>
 
 /**
- * A tenant as GET /tenants tells it. slot, holder, term: who counts its operations. out: what all proxies together may run in one
- * window, as far as the holder knows; undefined: it didn't answer.
+ * A tenant as GET /tenants shows it. `slot`, `holder`, `term`: the quota slot, its current holder, which counts the
+ * tenant's operations, and the holder's term. `out`: operations that all proxies together may run in one window, as far
+ * as the holder knows; undefined if it didn't answer.
  */
 export type TenantLine = {
   name: string
@@ -45,36 +47,36 @@
   out: number | undefined
 }
 
-/** What stands for a key wherever it is compared. */
+/** The hash of a key, used instead of the key in all comparisons. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex')
 }
 
-/** Keys that two tenants have, with the place of both. */
+/** Findings for keys that two tenants share, with both places. */
 export function findSharedKeys(tenants: Tenant[]): Finding[] {
-  const placeOf = new Map<string, { tenant: string; place: string }>()
-  const out: Finding[] = []
-  for (const [k, tenant] of tenants.entries()) {
-    for (const [n, key] of tenant.keys.entries()) {
-      const place = `/tenants/${k}/keys/${n}`
-      const other = placeOf.get(key)
-      if (!other) placeOf.set(key, { tenant: tenant.name, place })
-      else if (other.tenant !== tenant.name)
-        out.push({ place, what: `the tenant ${other.tenant} has this key too (${other.place})` })
+  const firstUseByKey = new Map<string, { tenant: string; place: string }>()
+  const findings: Finding[] = []
+  for (const [tenantIndex, tenant] of tenants.entries()) {
+    for (const [keyIndex, key] of tenant.keys.entries()) {
+      const place = `/tenants/${tenantIndex}/keys/${keyIndex}`
+      const firstUse = firstUseByKey.get(key)
+      if (!firstUse) firstUseByKey.set(key, { tenant: tenant.name, place })
+      else if (firstUse.tenant !== tenant.name)
+        findings.push({ place, what: `the tenant ${firstUse.tenant} has this key too (${firstUse.place})` })
     }
   }
-  return out
+  return findings
 }
 
-/** Which tenant holds each key, by the key's hash; undefined: the configuration has no tenants, and no key is asked for. */
+/** Tenants by the hashes of their keys. Undefined if the configuration has no tenants, so that no key is needed. */
 export function tenantsByKey(tenants: Tenant[] | undefined): Map<string, Tenant> | undefined {
   if (!tenants) return undefined
-  const out = new Map<string, Tenant>()
-  for (const tenant of tenants) for (const key of tenant.keys) out.set(key, tenant)
-  return out
+  const tenantByKey = new Map<string, Tenant>()
+  for (const tenant of tenants) for (const key of tenant.keys) tenantByKey.set(key, tenant)
+  return tenantByKey
 }
 
-/** Without the labels, which hold the keys in plain text. */
+/** The tenants without their labels, which contain the keys in plain text. */
 export function withoutLabels(tenants: Tenant[] = []): Tenant[] {
   return tenants.map(withoutLabel)
 }
