--- a/packages/claynotch/src/build.ts
+++ b/packages/claynotch/src/build.ts
@@ -1,1 +1,2 @@
+/** Version of this build. */
 export const BUILD = '0.1.0'
--- a/packages/claynotch/src/daemons.ts
+++ b/packages/claynotch/src/daemons.ts
@@ -5,65 +5,73 @@
 import { startCore } from '@claynotch/register'
 import { BUILD } from './build.js'
 import { needsRestart, runDaemon, type Running } from './run.js'
-import { AgentShape, checkAgent, checkCore, CoreShape, ProxyShape } from './settings.js'
+import { AgentSettings, checkAgentSettings, checkCoreSettings, CoreSettings, ProxySettings } from './settings.js'
 
-export async function runCore(path: string | undefined, flags: Flags): Promise<void> {
-  async function start(world: World, set: CoreShape): Promise<Running<CoreShape>> {
-    const core = await startCore(world, set)
+/** Runs a core with its HTTP endpoint for probes and seeds. */
+export async function runCore(settingsPath: string | undefined, flags: Flags): Promise<void> {
+  async function start(world: World, settings: CoreSettings): Promise<Running<CoreSettings>> {
+    const core = await startCore(world, settings)
     function ready(): string | undefined {
       return core.serving() ? undefined : `not serving: ${core.state()}`
     }
-    function handle(ask: HttpRequest): HttpResponse {
-      if (ask.path === '/seeds') return { status: 200, body: { cores: set.cores } }
-      return takeProbe(ask, { ready, metrics: core.metrics }) ?? { status: 404, body: { why: 'no such path' } }
+    function handle(request: HttpRequest): HttpResponse {
+      if (request.path === '/seeds') return { status: 200, body: { cores: settings.cores } }
+      return takeProbe(request, { ready, metrics: core.metrics }) ?? { status: 404, body: { why: 'no such path' } }
     }
-    const http = await serveHttp(world, set.http, handle)
+    const http = await serveHttp(world, settings.http, handle)
     async function stop(): Promise<void> {
       await core.stop()
       await http.close()
     }
-    function apply(next: CoreShape): void {
+    function apply(next: CoreSettings): void {
       needsRestart(world, [
-        ['id', set.id, next.id],
-        ['cores', set.cores, next.cores],
-        ['data', set.data, next.data],
-        ['http', set.http, next.http],
+        ['id', settings.id, next.id],
+        ['cores', settings.cores, next.cores],
+        ['data', settings.data, next.data],
+        ['http', settings.http, next.http],
       ])
     }
     return { stop, apply }
   }
-  await runDaemon('core', CoreShape, { path, flags, lists: [], more: checkCore }, start)
+  await runDaemon('core', CoreSettings, { path: settingsPath, flags, lists: [], more: checkCoreSettings }, start)
 }
 
-export async function runAgent(path: string | undefined, flags: Flags): Promise<void> {
-  async function start(world: World, set: AgentShape): Promise<Running<AgentShape>> {
-    const agent = await startAgent(world, { ...set, build: BUILD })
-    function apply(next: AgentShape): void {
+/** Runs the agent of a front machine. */
+export async function runAgent(settingsPath: string | undefined, flags: Flags): Promise<void> {
+  async function start(world: World, settings: AgentSettings): Promise<Running<AgentSettings>> {
+    const agent = await startAgent(world, { ...settings, build: BUILD })
+    function apply(next: AgentSettings): void {
       needsRestart(world, [
-        ['node', set.node, next.node],
-        ['area', set.area, next.area],
-        ['link', set.link, next.link],
-        ['peer', set.peer, next.peer],
-        ['http', set.http, next.http],
+        ['node', settings.node, next.node],
+        ['area', settings.area, next.area],
+        ['link', settings.link, next.link],
+        ['peer', settings.peer, next.peer],
+        ['http', settings.http, next.http],
       ])
       agent.apply({ seeds: next.seeds, platform: next.platform, operators: next.operators })
     }
     return { stop: agent.stop, apply }
   }
-  await runDaemon('agent', AgentShape, { path, flags, lists: ['seeds'], more: checkAgent }, start)
+  await runDaemon(
+    'agent',
+    AgentSettings,
+    { path: settingsPath, flags, lists: ['seeds'], more: checkAgentSettings },
+    start,
+  )
 }
 
-export async function runProxy(path: string | undefined, flags: Flags): Promise<void> {
-  async function start(world: World, set: ProxyShape): Promise<Running<ProxyShape>> {
-    const proxy = await startProxy(world, set)
-    function apply(next: ProxyShape): void {
+/** Runs the proxy of a front machine. */
+export async function runProxy(settingsPath: string | undefined, flags: Flags): Promise<void> {
+  async function start(world: World, settings: ProxySettings): Promise<Running<ProxySettings>> {
+    const proxy = await startProxy(world, settings)
+    function apply(next: ProxySettings): void {
       needsRestart(world, [
-        ['listen', set.listen, next.listen],
-        ['admin', set.admin, next.admin],
-        ['agent', set.agent, next.agent],
+        ['listen', settings.listen, next.listen],
+        ['admin', settings.admin, next.admin],
+        ['agent', settings.agent, next.agent],
       ])
     }
     return { stop: proxy.stop, apply }
   }
-  await runDaemon('proxy', ProxyShape, { path, flags, lists: [] }, start)
+  await runDaemon('proxy', ProxySettings, { path: settingsPath, flags, lists: [] }, start)
 }
--- a/packages/claynotch/src/machine.ts
+++ b/packages/claynotch/src/machine.ts
@@ -10,8 +10,12 @@
 import { foundersFromSeeds, startCore, type Core, type CoreSet } from '@claynotch/register'
 import { BUILD } from './build.js'
 
-// A core machine whose process is told neither its set nor its name in it. link: where it takes links; every machine of the
-// system has the same port there. first: the very first start of the whole system. mostVoters: VOTERS_MOST unless it is given.
+/**
+ * Settings of a core machine whose process isn't configured with a core set or its own id in it.
+ * - `link`: address on which it accepts links; the port is the same on every machine of the system.
+ * - `first`: this is the very first start of the whole system.
+ * - `mostVoters`: maximum number of voters; the default is MAX_VOTERS.
+ */
 export type CoreMachineSettings = {
   node: string
   area: string
@@ -25,6 +29,7 @@
   mostVoters?: number
   quota?: QuotaTolerance
 }
+/** A started core machine. `apply` takes over changed settings. */
 export type CoreMachine = {
   core: Core
   agent: Agent
@@ -32,41 +37,44 @@
   stop: () => Promise<void>
 }
 
-// One process: a core, which votes if it is of the set, and an agent without a proxy, which serves operators and instances.
+/**
+ * Starts a core, which votes if it belongs to the core set, and an agent without a proxy, which serves operators and
+ * instances, in one process.
+ */
 export async function startCoreMachine(
   world: World,
-  set: CoreMachineSettings,
-  edges: AgentAdapters = ownAdapters,
+  settings: CoreMachineSettings,
+  adapters: AgentAdapters = ownAdapters,
 ): Promise<CoreMachine> {
-  let { seeds } = set
-  function seedsNow(): Address[] {
+  let { seeds } = settings
+  function currentSeeds(): Address[] {
     return seeds
   }
-  const { host, port } = parseAddr(set.link)
-  const founders = set.first ? foundersFromSeeds(seeds, port) : undefined
+  const { host, port } = parseAddr(settings.link)
+  const founders = settings.first ? foundersFromSeeds(seeds, port) : undefined
   const core = await startCore(world, {
     id: host,
-    addr: set.link,
-    data: set.data,
-    seeds: seedsNow,
+    addr: settings.link,
+    data: settings.data,
+    seeds: currentSeeds,
     ...(founders ? { founders } : {}),
   })
   const agent = await startAgent(
     world,
     {
-      node: set.node,
-      area: set.area,
-      peer: set.peer,
-      http: set.http,
+      node: settings.node,
+      area: settings.area,
+      peer: settings.peer,
+      http: settings.http,
       seeds,
       coreSet: core.coreSet,
       core: { place: core.place, adopt: core.adopt, serveQuotas: core.serveQuotas },
-      ...(set.platform !== undefined ? { platform: set.platform } : {}),
-      ...(set.mostVoters !== undefined ? { mostVoters: set.mostVoters } : {}),
-      ...(set.quota ? { quota: set.quota } : {}),
+      ...(settings.platform !== undefined ? { platform: settings.platform } : {}),
+      ...(settings.mostVoters !== undefined ? { mostVoters: settings.mostVoters } : {}),
+      ...(settings.quota ? { quota: settings.quota } : {}),
       build: BUILD,
     },
-    edges,
+    adapters,
   )
   function apply(next: { seeds: Address[]; platform: Address | undefined }): void {
     seeds = next.seeds
@@ -79,20 +87,24 @@
   return { core, agent, apply, stop }
 }
 
-// The agent of a front machine that is told seeds alone. At the very first start the set is known by rule.
+/**
+ * Settings of the agent of a front machine that is configured with seeds only. At the very first start of the system
+ * (`first`) the core set is derived from the seeds.
+ */
 export type FrontAgentSettings = Omit<AgentSettings, 'build' | 'coreSet' | 'core'> & {
   corePort: number
   first: boolean
 }
+/** Starts the agent of a front machine. */
 export async function startFrontAgent(
   world: World,
-  set: FrontAgentSettings,
-  edges: AgentAdapters = ownAdapters,
+  settings: FrontAgentSettings,
+  adapters: AgentAdapters = ownAdapters,
 ): Promise<Agent> {
-  const { corePort, first, ...rest } = set
-  const founders = first ? foundersFromSeeds(set.seeds, corePort) : []
+  const { corePort, first, ...agentSettings } = settings
+  const founders = first ? foundersFromSeeds(settings.seeds, corePort) : []
   function coreSet(): CoreSet {
     return { epoch: 0, cores: founders }
   }
-  return await startAgent(world, { ...rest, coreSet, build: BUILD }, edges)
+  return await startAgent(world, { ...agentSettings, coreSet, build: BUILD }, adapters)
 }
--- a/packages/claynotch/src/main.ts
+++ b/packages/claynotch/src/main.ts
@@ -7,56 +7,57 @@
 
 process.env.UV_USE_IO_URING = '0'
 
-const settings = { type: 'string', description: 'settings file (JSON)' } as const
-const to = { type: 'string', description: 'http address of any agent', required: true } as const
+const settingsArg = { type: 'string', description: 'settings file (JSON)' } as const
+const toArg = { type: 'string', description: 'http address of any agent', required: true } as const
 
-function flagsOf(args: object, names: string[]): Flags {
-  const out: Flags = []
-  const all = new Map(pairs(args))
+/** The command-line options of these names that were given, as flags that override the settings file. */
+function selectFlags(args: object, names: string[]): Flags {
+  const flags: Flags = []
+  const values = new Map(argEntries(args))
   for (const name of names) {
-    const value = all.get(name)
-    if (typeof value === 'string') out.push([name, value])
+    const value = values.get(name)
+    if (typeof value === 'string') flags.push([name, value])
   }
-  return out
+  return flags
 }
-function pairs(args: object): [string, unknown][] {
-  // eslint-disable-next-line no-restricted-syntax -- citty hands its arguments over in an object
+function argEntries(args: object): [string, unknown][] {
+  // eslint-disable-next-line no-restricted-syntax -- citty passes the arguments as an object
   return Object.entries(args)
 }
-function text(description: string) {
+function optionalString(description: string) {
   return { type: 'string', description } as const
 }
 
 const coreArgs = {
-  settings,
-  id: text('name of this core'),
-  data: text('data folder'),
-  http: text('address for probes and seeds'),
+  settings: settingsArg,
+  id: optionalString('name of this core'),
+  data: optionalString('data folder'),
+  http: optionalString('address for probes and seeds'),
 }
-async function core({ args }: { args: { settings?: string } }): Promise<void> {
-  await runCore(args.settings, flagsOf(args, ['id', 'data', 'http']))
+async function startCoreCommand({ args }: { args: { settings?: string } }): Promise<void> {
+  await runCore(args.settings, selectFlags(args, ['id', 'data', 'http']))
 }
 const agentArgs = {
-  settings,
-  node: text('name of this node'),
-  area: text('area of this machine'),
-  link: text('loopback address for the proxy'),
-  peer: text('UDP address for summaries'),
-  http: text('address for operators, instances and probes'),
-  seeds: text('http addresses of other processes, parted by commas'),
-  platform: text('address that takes POST /promotion'),
+  settings: settingsArg,
+  node: optionalString('name of this node'),
+  area: optionalString('area of this machine'),
+  link: optionalString('loopback address for the proxy'),
+  peer: optionalString('UDP address for summaries'),
+  http: optionalString('address for operators, instances and probes'),
+  seeds: optionalString('http addresses of other processes, parted by commas'),
+  platform: optionalString('address that takes POST /promotion'),
 }
-async function agent({ args }: { args: { settings?: string } }): Promise<void> {
-  await runAgent(args.settings, flagsOf(args, ['node', 'area', 'link', 'peer', 'http', 'seeds', 'platform']))
+async function startAgentCommand({ args }: { args: { settings?: string } }): Promise<void> {
+  await runAgent(args.settings, selectFlags(args, ['node', 'area', 'link', 'peer', 'http', 'seeds', 'platform']))
 }
 const proxyArgs = {
-  settings,
-  listen: text('address for requesters'),
-  admin: text('address for probes'),
-  agent: text('loopback address of the agent'),
+  settings: settingsArg,
+  listen: optionalString('address for requesters'),
+  admin: optionalString('address for probes'),
+  agent: optionalString('loopback address of the agent'),
 }
-async function proxy({ args }: { args: { settings?: string } }): Promise<void> {
-  await runProxy(args.settings, flagsOf(args, ['listen', 'admin', 'agent']))
+async function startProxyCommand({ args }: { args: { settings?: string } }): Promise<void> {
+  await runProxy(args.settings, selectFlags(args, ['listen', 'admin', 'agent']))
 }
 async function runApply({
   args,
@@ -85,34 +86,34 @@
   await replace(args)
 }
 
-const main = defineCommand({
+const claynotchCommand = defineCommand({
   meta: { name: 'claynotch', version: BUILD, description: 'Database pooler with failover, of many nodes' },
   subCommands: {
     core: defineCommand({
       meta: { name: 'core', description: 'Run a core: registers and terms' },
       args: coreArgs,
-      run: core,
+      run: startCoreCommand,
     }),
     agent: defineCommand({
       meta: { name: 'agent', description: 'Run the agent of a front machine' },
       args: agentArgs,
-      run: agent,
+      run: startAgentCommand,
     }),
     proxy: defineCommand({
       meta: { name: 'proxy', description: 'Run the proxy of a front machine' },
       args: proxyArgs,
-      run: proxy,
+      run: startProxyCommand,
     }),
     apply: defineCommand({
       meta: { name: 'apply', description: 'Send one numbered change and print the decision' },
       args: {
-        to,
+        to: toArg,
         stream: { type: 'string', description: 'stream of the operator', required: true },
         number: { type: 'string', description: 'number in the stream', required: true },
-        expect: text('epoch that the change is made against (default: the present one)'),
-        whole: text('file with a whole configuration'),
-        edits: text('file with a list of edits'),
-        stage: text('areas that take it first, parted by commas; or all'),
+        expect: optionalString('epoch that the change is made against (default: the present one)'),
+        whole: optionalString('file with a whole configuration'),
+        edits: optionalString('file with a list of edits'),
+        stage: optionalString('areas that take it first, parted by commas; or all'),
       },
       run: runApply,
     }),
@@ -122,7 +123,7 @@
         description: 'Print configuration, history, decisions, members, cores, groups, tenants or moves',
       },
       args: {
-        to,
+        to: toArg,
         what: {
           type: 'positional',
           description: 'configuration, history, decisions, members, cores, groups, tenants or moves',
@@ -135,9 +136,9 @@
     check: defineCommand({
       meta: { name: 'check', description: 'Hold a configuration against the fleet as it is' },
       args: {
-        to,
-        whole: text('file with a whole configuration (default: the present one)'),
-        edits: text('file with a list of edits'),
+        to: toArg,
+        whole: optionalString('file with a whole configuration (default: the present one)'),
+        edits: optionalString('file with a list of edits'),
         json: { type: 'boolean', description: 'write JSON', default: false },
       },
       run: runCheck,
@@ -147,7 +148,7 @@
       args: {
         name: { type: 'string', description: 'name', required: true },
         role: { type: 'string', description: 'admin, team or reader', required: true },
-        team: text('team, for role team'),
+        team: optionalString('team, for role team'),
       },
       run: runCredential,
     }),
@@ -157,28 +158,28 @@
         description: 'Move lanes from one group to another under a fence; confirm or call off a move',
       },
       args: {
-        to,
+        to: toArg,
         stream: { type: 'string', description: 'stream of the operator', required: true },
         number: { type: 'string', description: 'number in the stream', required: true },
-        group: text('group that the lanes go to'),
-        lanes: text('lanes, parted by commas'),
-        from: text('group, all of whose lanes go'),
-        proof: text('reported (the target tells what it holds; default) or confirmed (by --confirm)'),
-        confirm: text('a lane of the move whose target holds everything now'),
-        calloff: text('a lane of the move to call off'),
+        group: optionalString('group that the lanes go to'),
+        lanes: optionalString('lanes, parted by commas'),
+        from: optionalString('group, all of whose lanes go'),
+        proof: optionalString('reported (the target tells what it holds; default) or confirmed (by --confirm)'),
+        confirm: optionalString('a lane of the move whose target holds everything now'),
+        calloff: optionalString('a lane of the move to call off'),
       },
       run: runMove,
     }),
     replace: defineCommand({
       meta: { name: 'replace', description: 'Replace the leader of a group, as planned' },
       args: {
-        to,
+        to: toArg,
         group: { type: 'string', description: 'group', required: true },
-        leader: text('the instance that is to lead (default: the most caught-up)'),
+        leader: optionalString('the instance that is to lead (default: the most caught-up)'),
       },
       run: runReplace,
     }),
   },
 })
 
-void runMain(main)
+void runMain(claynotchCommand)
--- a/packages/claynotch/src/run.ts
+++ b/packages/claynotch/src/run.ts
@@ -11,43 +11,47 @@
   type World,
 } from '@claynotch/base'
 
+/** A started daemon. `apply` takes over settings that were read again. */
 export type Running<T> = { stop: () => Promise<void>; apply: (next: T) => void }
 
-// Runs a daemon until it is told to stop: SIGTERM and SIGINT drain it and end with 0; SIGHUP reads its settings again.
+/**
+ * Runs a daemon until it receives SIGTERM or SIGINT, which drain it and exit with code 0. SIGHUP reloads the settings.
+ * Invalid settings exit with code 2, a failed start with code 1.
+ */
 export async function runDaemon<T>(
-  kind: string,
+  programName: string,
   codec: t.Type<T, unknown, unknown>,
-  from: Source<T>,
-  start: (world: World, set: T) => Promise<Running<T>>,
+  source: Source<T>,
+  start: (world: World, settings: T) => Promise<Running<T>>,
 ): Promise<void> {
-  // Signals are held from the first line on: one that comes while the daemon starts is not lost, nor does it kill.
+  // The handlers are installed first, so that a signal during the start is neither lost nor kills the process.
   const stop = makeFlag()
-  const reread = makeSignal()
+  const settingsReload = makeSignal()
   process.on('SIGTERM', stop.fire)
   process.on('SIGINT', stop.fire)
-  process.on('SIGHUP', reread.notify)
-  const world = realWorld(makeLog({ program: kind }))
-  const got = await readSettings(world, codec, from)
-  if (got.err) {
-    process.stderr.write(showFindings(got.val))
+  process.on('SIGHUP', settingsReload.notify)
+  const world = realWorld(makeLog({ program: programName }))
+  const initial = await readSettings(world, codec, source)
+  if (initial.err) {
+    process.stderr.write(showFindings(initial.val))
     process.exit(2)
   }
   let running: Running<T>
   try {
-    running = await start(world, got.val)
+    running = await start(world, initial.val)
   } catch (e) {
-    process.stderr.write(`${kind}: ${(e as Error).message}\n`)
+    process.stderr.write(`${programName}: ${(e as Error).message}\n`)
     process.exit(1)
   }
-  watchSettings(world, codec, from, stop, reread, running.apply)
+  watchSettings(world, codec, source, stop, settingsReload, running.apply)
   await stop.wait()
   await running.stop()
   world.log.info('stopped')
   process.exit(0)
 }
 
-// What can't change without a restart is named in the log when the file asks for it.
-export function needsRestart(world: World, names: [string, unknown, unknown][]): void {
-  for (const [name, old, next] of names)
-    if (JSON.stringify(old) !== JSON.stringify(next)) world.log.warn('settings-need-restart', { field: name })
+/** Logs each field that differs in the new settings but takes effect only after a restart. */
+export function needsRestart(world: World, fields: [string, unknown, unknown][]): void {
+  for (const [fieldName, current, next] of fields)
+    if (JSON.stringify(current) !== JSON.stringify(next)) world.log.warn('settings-need-restart', { field: fieldName })
 }
--- a/packages/claynotch/src/settings.ts
+++ b/packages/claynotch/src/settings.ts
@@ -2,15 +2,17 @@
 import { AddressCodec, Name, type Finding } from '@claynotch/base'
 import { checkCredentials, Credential } from '@claynotch/operator'
 
-// Settings of the daemons. docs/operators/settings.md tells what each means.
+// Settings of the daemons; docs/operators/settings.md explains each of them.
 
-export const CoreShape = t.intersection([
+/** Settings of a core with a fixed core set. */
+export const CoreSettings = t.intersection([
   t.type({ id: Name, cores: t.array(t.type({ id: Name, addr: AddressCodec })), data: t.string, http: AddressCodec }),
   t.partial({ foundAnew: t.boolean }),
 ])
-export type CoreShape = t.TypeOf<typeof CoreShape>
+export type CoreSettings = t.TypeOf<typeof CoreSettings>
 
-export const AgentShape = t.intersection([
+/** Settings of the agent of a front machine. */
+export const AgentSettings = t.intersection([
   t.type({
     node: Name,
     area: Name,
@@ -21,28 +23,30 @@
   }),
   t.partial({ platform: AddressCodec, operators: t.array(Credential) }),
 ])
-export type AgentShape = t.TypeOf<typeof AgentShape>
+export type AgentSettings = t.TypeOf<typeof AgentSettings>
 
-export const ProxyShape = t.type({ listen: AddressCodec, admin: AddressCodec, agent: AddressCodec })
-export type ProxyShape = t.TypeOf<typeof ProxyShape>
+/** Settings of the proxy of a front machine. */
+export const ProxySettings = t.type({ listen: AddressCodec, admin: AddressCodec, agent: AddressCodec })
+export type ProxySettings = t.TypeOf<typeof ProxySettings>
 
-// What a shape alone can't tell.
-export function checkAgent(set: AgentShape): Finding[] {
-  return checkCredentials(set.operators ?? [])
+/** Checks that the codec can't express. */
+export function checkAgentSettings(settings: AgentSettings): Finding[] {
+  return checkCredentials(settings.operators ?? [])
 }
 
-export function checkCore(set: CoreShape): Finding[] {
-  const out: Finding[] = []
+/** Checks that the codec can't express: unique ids, this core among them, and an odd number of cores. */
+export function checkCoreSettings(settings: CoreSettings): Finding[] {
+  const findings: Finding[] = []
   const ids = new Set<string>()
-  for (const [k, c] of set.cores.entries()) {
-    if (ids.has(c.id)) out.push({ place: `/cores/${k}/id`, what: `the id ${c.id} stands twice` })
-    ids.add(c.id)
+  for (const [index, core] of settings.cores.entries()) {
+    if (ids.has(core.id)) findings.push({ place: `/cores/${index}/id`, what: `the id ${core.id} stands twice` })
+    ids.add(core.id)
   }
-  if (!ids.has(set.id)) out.push({ place: '/cores', what: `${set.id} is not among them` })
-  if (set.cores.length % 2 === 0)
-    out.push({
+  if (!ids.has(settings.id)) findings.push({ place: '/cores', what: `${settings.id} is not among them` })
+  if (settings.cores.length % 2 === 0)
+    findings.push({
       place: '/cores',
-      what: `${set.cores.length} cores survive no more losses than ${set.cores.length - 1}: an odd number is wanted`,
+      what: `${settings.cores.length} cores survive no more losses than ${settings.cores.length - 1}: an odd number is wanted`,
     })
-  return out
+  return findings
 }
--- a/packages/claynotch/src/verbs.ts
+++ b/packages/claynotch/src/verbs.ts
@@ -15,43 +15,45 @@
 } from '@claynotch/operator'
 import { AddressCodec, requestOnce, realWorld, showFindings, type HttpAnswer, type Finding } from '@claynotch/base'
 
-// Operator verbs. Exit codes: 0 done, 1 refused, 2 bad input, 3 unclear or no answer.
-const LIMIT = 15000
+// The command-line verbs for operators. Exit codes: 0 done, 1 refused, 2 bad input, 3 unclear or no answer.
 
-function stopWith(code: number, text: string): never {
-  process.stderr.write(text.endsWith('\n') ? text : `${text}\n`)
+const CALL_TIMEOUT_MS = 15000
+
+function exitWith(code: number, message: string): never {
+  process.stderr.write(message.endsWith('\n') ? message : `${message}\n`)
   process.exit(code)
 }
-async function call(to: string, method: string, path: string, body?: unknown): Promise<HttpAnswer> {
-  if (!AddressCodec.is(to)) stopWith(2, `--to: expected ${AddressCodec.name}`)
-  // NAME:TOKEN of an operator, where the fleet asks for one.
+async function callAgent(agentAddr: string, method: string, path: string, body?: unknown): Promise<HttpAnswer> {
+  if (!AddressCodec.is(agentAddr)) exitWith(2, `--to: expected ${AddressCodec.name}`)
+  // NAME:TOKEN of an operator, if the fleet requires one.
   const token = process.env.CLAYNOTCH_TOKEN
-  const got = await requestOnce(
+  const answer = await requestOnce(
     realWorld(),
-    to,
+    agentAddr,
     method,
     path,
     body,
-    LIMIT,
+    CALL_TIMEOUT_MS,
     token !== undefined ? [['authorization', `Bearer ${token}`]] : [],
   )
-  if (got.err) stopWith(3, `no answer from ${to}: ${got.val.why}`)
-  return got.val
+  if (answer.err) exitWith(3, `no answer from ${agentAddr}: ${answer.val.why}`)
+  return answer.val
 }
 async function readJson(path: string, flag: string): Promise<unknown> {
   let text: string
   try {
     text = await readFile(path, 'utf8')
   } catch (e) {
-    stopWith(2, `--${flag}: ${(e as Error).message}`)
+    exitWith(2, `--${flag}: ${(e as Error).message}`)
   }
   try {
     return JSON.parse(text)
   } catch (e) {
-    stopWith(2, `${path}: malformed JSON: ${(e as Error).message}`)
+    exitWith(2, `${path}: malformed JSON: ${(e as Error).message}`)
   }
 }
 
+/** Sends one numbered change, by default based on the current epoch, and prints the decision. */
 export async function apply(args: {
   to: string
   stream: string
@@ -71,11 +73,11 @@
     findings.push({ place: '--whole, --edits', what: 'one of them is needed, or --stage to go on with an open stage' })
   if (args.expect !== undefined && !Number.isInteger(Number(args.expect)))
     findings.push({ place: '--expect', what: 'expected an epoch' })
-  if (findings.length > 0) stopWith(2, showFindings(findings))
+  if (findings.length > 0) exitWith(2, showFindings(findings))
   let expect = Number(args.expect)
   if (args.expect === undefined)
-    expect = ((await call(args.to, 'GET', '/configuration')).body as { epoch: number }).epoch
-  await send(args, {
+    expect = ((await callAgent(args.to, 'GET', '/configuration')).body as { epoch: number }).epoch
+  await sendChange(args, {
     number,
     expect,
     ...(args.whole !== undefined ? { whole: await readJson(args.whole, 'whole') } : {}),
@@ -84,15 +86,15 @@
   })
 }
 
-// Sends one change and ends with its decision.
-async function send(args: { to: string; stream: string }, change: unknown): Promise<never> {
-  const got = await call(args.to, 'POST', `/streams/${encodeURIComponent(args.stream)}`, change)
-  const body = (typeof got.body === 'string' ? JSON.parse(got.body) : got.body) as { decision?: string }
+/** Sends one change, prints the decision and exits with the matching code. */
+async function sendChange(args: { to: string; stream: string }, change: unknown): Promise<never> {
+  const answer = await callAgent(args.to, 'POST', `/streams/${encodeURIComponent(args.stream)}`, change)
+  const body = (typeof answer.body === 'string' ? JSON.parse(answer.body) : answer.body) as { decision?: string }
   process.stdout.write(`${JSON.stringify(body, null, 2)}\n`)
   process.exit(body.decision === 'accepted' ? 0 : body.decision === 'refused' ? 1 : 3)
 }
 
-// Opens, confirms or calls off a move of lanes between groups.
+/** Opens, confirms or calls off a move of lanes between groups. */
 export async function move(args: {
   to: string
   stream: string
@@ -127,88 +129,92 @@
   }
   if (findings.length === 0 && edits.length !== 1)
     findings.push({ place: '--group, --confirm, --calloff', what: 'exactly one of them is needed' })
-  if (findings.length > 0) stopWith(2, showFindings(findings))
-  const now = (await call(args.to, 'GET', '/configuration')).body as { epoch: number }
-  await send(args, { number, expect: now.epoch, edits })
+  if (findings.length > 0) exitWith(2, showFindings(findings))
+  const current = (await callAgent(args.to, 'GET', '/configuration')).body as { epoch: number }
+  await sendChange(args, { number, expect: current.epoch, edits })
 }
 
+/** Prints one of the views that an agent serves. */
 export async function show(args: { to: string; what: string; json?: boolean }): Promise<void> {
-  const known = ['configuration', 'history', 'decisions', 'members', 'cores', 'groups', 'tenants', 'moves']
-  if (!known.includes(args.what)) stopWith(2, `what: expected one of ${known.join(', ')}`)
-  const got = await call(args.to, 'GET', `/${args.what}`)
-  if (args.what === 'cores' && got.status === 200 && args.json !== true) {
-    process.stdout.write(showCores(got.body as CoreStatus))
+  const views = ['configuration', 'history', 'decisions', 'members', 'cores', 'groups', 'tenants', 'moves']
+  if (!views.includes(args.what)) exitWith(2, `what: expected one of ${views.join(', ')}`)
+  const answer = await callAgent(args.to, 'GET', `/${args.what}`)
+  if (args.what === 'cores' && answer.status === 200 && args.json !== true) {
+    process.stdout.write(showCores(answer.body as CoreStatus))
     process.exit(0)
   }
-  process.stdout.write(typeof got.body === 'string' ? got.body : `${JSON.stringify(got.body, null, 2)}\n`)
-  process.exit(got.status === 200 ? 0 : 3)
+  process.stdout.write(typeof answer.body === 'string' ? answer.body : `${JSON.stringify(answer.body, null, 2)}\n`)
+  process.exit(answer.status === 200 ? 0 : 3)
 }
 
+/** Requests the planned replacement of a group's leader. */
 export async function replace(args: { to: string; group: string; leader?: string }): Promise<void> {
-  const got = await call(
+  const answer = await callAgent(
     args.to,
     'POST',
     `/groups/${encodeURIComponent(args.group)}/replacement`,
     args.leader !== undefined ? { to: args.leader } : {},
   )
-  process.stdout.write(`${JSON.stringify(got.body, null, 2)}\n`)
-  process.exit(got.status === 202 ? 0 : 1)
+  process.stdout.write(`${JSON.stringify(answer.body, null, 2)}\n`)
+  process.exit(answer.status === 202 ? 0 : 1)
 }
 
-// What is wrong with the core set; an agent of before GET /cores tells nothing.
-async function findCoreFaults(to: string): Promise<Finding[]> {
-  const got = await call(to, 'GET', '/cores')
-  return got.status === 200 ? checkCores(got.body as CoreStatus) : []
+/** Findings about the core set; none if the agent is an older version without GET /cores. */
+async function findCoreFaults(agentAddr: string): Promise<Finding[]> {
+  const answer = await callAgent(agentAddr, 'GET', '/cores')
+  return answer.status === 200 ? checkCores(answer.body as CoreStatus) : []
 }
 
-// A configuration against the fleet as it is. Exit codes: 0 nothing found, 1 findings, 2 the configuration is
-// invalid or the input bad, 3 the fleet could not be read.
+/**
+ * Checks a configuration against the current state of the fleet. Exit codes: 0 no findings, 1 findings, 2 the
+ * configuration or the input is invalid, 3 the state of the fleet could not be read.
+ */
 export async function check(args: { to: string; whole?: string; edits?: string; json?: boolean }): Promise<void> {
   if (args.whole !== undefined && args.edits !== undefined)
-    stopWith(2, '--whole, --edits: only one of them may be given')
-  async function read(path: string): Promise<unknown> {
-    const got = await call(args.to, 'GET', path)
-    if (got.status !== 200) stopWith(3, `${path}: status ${got.status} ${JSON.stringify(got.body)}`)
-    return got.body
+    exitWith(2, '--whole, --edits: only one of them may be given')
+  async function readView(path: string): Promise<unknown> {
+    const answer = await callAgent(args.to, 'GET', path)
+    if (answer.status !== 200) exitWith(3, `${path}: status ${answer.status} ${JSON.stringify(answer.body)}`)
+    return answer.body
   }
-  const now = (await read('/configuration')) as { epoch: number; config: Config | null }
-  const fleet = {
-    ...now,
-    moves: await read('/moves'),
-    members: await read('/members'),
-    groups: await read('/groups'),
+  const current = (await readView('/configuration')) as { epoch: number; config: Config | null }
+  const fleetState = {
+    ...current,
+    moves: await readView('/moves'),
+    members: await readView('/members'),
+    groups: await readView('/groups'),
   } as Fleet
-  let next: unknown = now.config
+  let next: unknown = current.config
   let findings: Finding[] = []
   if (args.whole !== undefined) next = await readJson(args.whole, 'whole')
   else if (args.edits !== undefined) {
-    if (!now.config) stopWith(2, '--edits: there is no configuration yet to edit')
-    const edited = applyEdits(now.config, (await readJson(args.edits, 'edits')) as Edit[])
+    if (!current.config) exitWith(2, '--edits: there is no configuration yet to edit')
+    const edited = applyEdits(current.config, (await readJson(args.edits, 'edits')) as Edit[])
     if (edited.err) findings = edited.val
     else next = edited.val
   }
-  if (next === null) stopWith(3, 'there is no configuration yet; give one by --whole')
-  const got = findings.length > 0 ? undefined : readConfig(next)
-  if (got?.err) findings = got.val
+  if (next === null) exitWith(3, 'there is no configuration yet; give one by --whole')
+  const parsed = findings.length > 0 ? undefined : readConfig(next)
+  if (parsed?.err) findings = parsed.val
   const invalid = findings.length > 0
-  const changes = got?.ok ? differences(now.config, got.val) : []
-  if (got?.ok) findings = checkAgainst(got.val, fleet)
-  if (got?.ok) findings.push(...(await findCoreFaults(args.to)))
+  const changes = parsed?.ok ? differences(current.config, parsed.val) : []
+  if (parsed?.ok) findings = checkAgainst(parsed.val, fleetState)
+  if (parsed?.ok) findings.push(...(await findCoreFaults(args.to)))
   if (args.json === true)
-    process.stdout.write(`${JSON.stringify({ epoch: now.epoch, valid: !invalid, findings, changes }, null, 2)}\n`)
+    process.stdout.write(`${JSON.stringify({ epoch: current.epoch, valid: !invalid, findings, changes }, null, 2)}\n`)
   else {
-    process.stdout.write(`present epoch ${now.epoch}; the configuration is ${invalid ? 'invalid' : 'valid'}\n`)
+    process.stdout.write(`present epoch ${current.epoch}; the configuration is ${invalid ? 'invalid' : 'valid'}\n`)
     process.stdout.write(showFindings(findings))
-    for (const c of changes) process.stdout.write(`would change ${c}\n`)
+    for (const change of changes) process.stdout.write(`would change ${change}\n`)
   }
   process.exit(invalid ? 2 : findings.length > 0 ? 1 : 0)
 }
 
-// Prints the secret once, and the entry for the agents' settings, which doesn't hold it.
+/** Prints a new secret once, and the entry for the agents' settings, which contains only its hash. */
 export function credential(args: { name: string; role: string; team?: string }): void {
-  if (!['admin', 'team', 'reader'].includes(args.role)) stopWith(2, '--role: expected admin, team or reader')
+  if (!['admin', 'team', 'reader'].includes(args.role)) exitWith(2, '--role: expected admin, team or reader')
   if ((args.role === 'team') !== (args.team !== undefined))
-    stopWith(2, '--team: role team needs one, the others have none')
+    exitWith(2, '--team: role team needs one, the others have none')
   const { token, entry } = makeCredential(args.name, args.role as Credential['role'], args.team)
   process.stdout.write(`CLAYNOTCH_TOKEN=${args.name}:${token}\n${JSON.stringify(entry)}\n`)
 }
