--- a/packages/host/src/index.ts
+++ b/packages/host/src/index.ts
@@ -8,9 +8,13 @@
   type World,
 } from '@claynotch/base'
 
-// The call that makes an instance the leader. at: where the machines' keeper takes it; undefined: straight to the instance.
-// epoch: the one that it is to lead. holder, fence: the node that holds the group's duty; the fence rises with each holder.
-// may: asked once the connection stands, right before the call is written; false: it is not made any more.
+/**
+ * The call that promotes an instance to leader.
+ * - `epoch`: the group epoch in which it will lead.
+ * - `holder`: the node that holds the group's failover duty. `fence`: its fencing token, which increases with each
+ *   holder.
+ * - `may`: called when the connection is established, right before the call is written; on false the call is dropped.
+ */
 export type Promotion = {
   group: string
   instance: string
@@ -20,33 +24,49 @@
   fence: number
   may?: () => boolean
 }
-// done: it was carried out, or will be. refused: it was not. unclear: the instance's status must tell.
+/** 'done': it was or will be carried out. 'refused': it was not. 'unclear': only the instance's status can tell. */
 export type PromotionEnd = { end: 'done' | 'refused' | 'unclear'; why: string }
-export type PromotionEdge = (world: World, at: Address | undefined, what: Promotion) => Promise<PromotionEnd>
+/** Sends the promotion call to the platform that manages the machines or, without one, directly to the instance. */
+export type PromotionEdge = (world: World, platform: Address | undefined, promotion: Promotion) => Promise<PromotionEnd>
 
-// The edge to whoever keeps the machines: probes in, the single promotion call out.
+// The interface to the platform that manages the machines: it sends probes and receives the promotion call.
 
+/** `ready`: why the process is not ready; undefined if it is. */
 export type Probes = { ready: () => string | undefined; metrics: Metrics }
 
-// Answers GET /live, /ready and /metrics; undefined for any other path.
-export function takeProbe(ask: HttpRequest, probes: Probes): HttpResponse | undefined {
-  if (ask.path === '/live') return { status: 200, body: { live: true } }
-  if (ask.path === '/ready') {
-    const why = probes.ready()
-    return why === undefined
+/** Answers GET /live, /ready and /metrics; undefined for any other path. */
+export function takeProbe(request: HttpRequest, probes: Probes): HttpResponse | undefined {
+  if (request.path === '/live') return { status: 200, body: { live: true } }
+  if (request.path === '/ready') {
+    const reason = probes.ready()
+    return reason === undefined
       ? { status: 200, body: { ready: true } }
-      : { status: 503, body: { ready: false, why }, after: 1 }
+      : { status: 503, body: { ready: false, why: reason }, after: 1 }
   }
-  if (ask.path === '/metrics') return { status: 200, body: probes.metrics.text(), type: 'text/plain; version=0.0.4' }
+  if (request.path === '/metrics')
+    return { status: 200, body: probes.metrics.text(), type: 'text/plain; version=0.0.4' }
   return undefined
 }
 
-// Our own promotion call: an instance refuses an epoch that is not above its own.
-export async function promote(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
-  const { group, instance, epoch } = what
+/** The standard promotion call. The instance refuses an epoch that is not above its own. */
+export async function promote(
+  world: World,
+  platform: Address | undefined,
+  promotion: Promotion,
+): Promise<PromotionEnd> {
+  const { group, instance, epoch } = promotion
   const body = { group, instance, epoch }
-  const got = await requestOnce(world, at ?? what.addr, 'POST', '/promotion', body, PROMOTION_TIMEOUT_MS, [], what.may)
-  if (got.err) return { end: got.val.reach === 'none' ? 'refused' : 'unclear', why: got.val.why }
-  if (got.val.status === 200) return { end: 'done', why: '' }
-  return { end: got.val.status >= 500 ? 'unclear' : 'refused', why: `status ${got.val.status}` }
+  const answer = await requestOnce(
+    world,
+    platform ?? promotion.addr,
+    'POST',
+    '/promotion',
+    body,
+    PROMOTION_TIMEOUT_MS,
+    [],
+    promotion.may,
+  )
+  if (answer.err) return { end: answer.val.reach === 'none' ? 'refused' : 'unclear', why: answer.val.why }
+  if (answer.val.status === 200) return { end: 'done', why: '' }
+  return { end: answer.val.status >= 500 ? 'unclear' : 'refused', why: `status ${answer.val.status}` }
 }
