--- a/packages/claynotch/src/settings.ts
+++ b/packages/claynotch/src/settings.ts
@@ -4,7 +4,7 @@
 
 // Settings of the daemons; docs/operators/settings.md explains each of them.
 
-/** Settings of a core with a fixed core set. */
+/** Settings of a core that is configured with its core set. */
 export const CoreSettings = t.intersection([
   t.type({ id: Name, cores: t.array(t.type({ id: Name, addr: AddressCodec })), data: t.string, http: AddressCodec }),
   t.partial({ foundAnew: t.boolean }),
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -22,7 +22,7 @@
 /**
  * A lane: a named route from clients to a database in a group.
  * - `path`: distinguishes lanes of one database; no two lanes may have the same database and path.
- * - `pending`: maximum number of calls waiting or running.
+ * - `pending`: maximum number of pending calls; more are refused at once.
  * - `limit`: statement timeout in ms. `aim`: target response time of a call in ms. `sends`: maximum attempts of a call.
  * - `rank`: priority when there isn't enough capacity for all; 0 is served before 1.
  * - `public`: clients need no key.
@@ -84,18 +84,18 @@
 export const RESERVED_CONNECTIONS_LIVE = 1
 
 /**
- * Maximum number of connections to one instance that one proxy may use for clients. `live` is the number of members
- * with a proxy, used when the configuration shares by live members; while it is unknown, each proxy may use a single
- * one.
+ * Maximum number of connections to one instance that one proxy may use for clients. `liveProxies` is the number of
+ * members with a proxy, used when the configuration shares by live members; while it is unknown, each proxy may use a
+ * single one.
  */
-export function lendable(config: Config, group: string, live?: number): number {
-  for (const candidate of config.groups) {
-    if (candidate.name !== group) continue
+export function lendable(config: Config, groupName: string, liveProxies?: number): number {
+  for (const group of config.groups) {
+    if (group.name !== groupName) continue
     if (config.proxies !== 'live')
-      return Math.max(0, Math.floor(candidate.connections / config.proxies) - RESERVED_CONNECTIONS)
-    return live === undefined
+      return Math.max(0, Math.floor(group.connections / config.proxies) - RESERVED_CONNECTIONS)
+    return liveProxies === undefined
       ? 1
-      : Math.max(1, Math.floor(candidate.connections / Math.max(1, live)) - RESERVED_CONNECTIONS_LIVE)
+      : Math.max(1, Math.floor(group.connections / Math.max(1, liveProxies)) - RESERVED_CONNECTIONS_LIVE)
   }
   return 0
 }
@@ -104,15 +104,15 @@
  * Whether there are fewer connections to an instance than live proxies that share them. A proxy that kept one idle
  * would prevent others from having any.
  */
-export function isShareBelowOne(config: Config, group: string, live: number): boolean {
-  for (const candidate of config.groups)
-    if (candidate.name === group) return config.proxies === 'live' && candidate.connections < live
+export function isShareBelowOne(config: Config, groupName: string, liveProxies: number): boolean {
+  for (const group of config.groups)
+    if (group.name === groupName) return config.proxies === 'live' && group.connections < liveProxies
   return false
 }
 
 /** The replication guard of a group, in ms; see Group. */
-export function guardOf(config: Config | undefined, group: string): number | undefined {
-  for (const candidate of config?.groups ?? []) if (candidate.name === group) return candidate.guard
+export function guardOf(config: Config | undefined, groupName: string): number | undefined {
+  for (const group of config?.groups ?? []) if (group.name === groupName) return group.guard
   return undefined
 }
 
@@ -291,12 +291,12 @@
   digest?: string
 }
 /** No decision: the change may have been accepted or not, and may still be. The same change may be sent again. */
-export type Unclear = { stream: string; number: number; decision: 'unclear'; why: string; findings: Finding[] }
+export type UnclearAnswer = { stream: string; number: number; decision: 'unclear'; why: string; findings: Finding[] }
 /**
  * The answer to the sender of a change. Invariants: an accepted change is never refused afterwards; a refused change
  * that names its epoch is never accepted afterwards; each answer is based on a chosen value.
  */
-export type Verdict = Decision | Unclear
+export type Verdict = Decision | UnclearAnswer
 
 /**
  * A change as it was received. `digest`: see Decision. `team`: set if the caller may change only that team's lanes.
@@ -352,10 +352,17 @@
   stage?: { areas: string[]; prior: Config; priorEpoch: number }
   moves?: Move[]
   streams: { name: string; used: number; decisions: Decision[] }[]
-  history: Made[]
+  history: HistoryEntry[]
 }
 /** An accepted change in the history, with the epoch that it made. */
-export type Made = { epoch: number; stream: string; number: number; digest?: string; config?: Config; named?: true }
+export type HistoryEntry = {
+  epoch: number
+  stream: string
+  number: number
+  digest?: string
+  config?: Config
+  named?: true
+}
 
 /** The configuration that an area uses, its epoch, and the moves in progress (there are none while a stage is open). */
 export function configFor(body: Body, area: string): { config: Config | null; epoch: number; moves: Move[] } {
--- a/packages/operator/src/credentials.ts
+++ b/packages/operator/src/credentials.ts
@@ -61,7 +61,7 @@
  * The credential of a request with the header `authorization: Bearer NAME:TOKEN`. Without a list of credentials the API
  * is open to all, which the agent logs at its start.
  */
-export function identify(list: Credential[] | undefined, header: string | undefined): Credential | undefined {
+export function identifyOperator(list: Credential[] | undefined, header: string | undefined): Credential | undefined {
   if (list === undefined) return { name: 'anyone', role: 'admin', hash: '' }
   const match = /^Bearer ([^:\s]+):(\S+)$/.exec(header ?? '')
   if (!match) return undefined
@@ -74,7 +74,7 @@
 }
 
 /** The response that rejects the request; undefined if it is permitted. decide() checks what a change touches. */
-export function stopCaller(credential: Credential | undefined, request: HttpRequest): HttpResponse | undefined {
+export function checkPermission(credential: Credential | undefined, request: HttpRequest): HttpResponse | undefined {
   if (!credential)
     return {
       status: 401,
@@ -99,7 +99,7 @@
 }
 
 /** Findings for everything in a change that goes beyond the team's own lanes. `config`: the current configuration. */
-export function beyondTeam(team: string, change: Change, config: Config | null): Finding[] {
+export function findEditsBeyondTeam(team: string, change: Change, config: Config | null): Finding[] {
   const findings: Finding[] = []
   if (change.whole !== undefined)
     findings.push({ place: '/whole', what: `team ${team} changes its own lanes by edits` })
--- a/packages/operator/src/decide.ts
+++ b/packages/operator/src/decide.ts
@@ -1,8 +1,8 @@
 import { encode, REGISTER_VALUE_LIMIT_BYTES, type Finding } from '@claynotch/base'
 import { applyEdits, readConfig, type Body, type Config, type Decision, type Move, type Order } from './config.js'
-import { beyondTeam } from './credentials.js'
+import { findEditsBeyondTeam } from './credentials.js'
 import { epochMadeBy, findDecision, recordDecision, recordNamedChange, mayBeForgotten, withDigest } from './kept.js'
-import { checkMoves, editMoves, SYSTEM_STREAM } from './moves.js'
+import { checkOpenMoves, editMoves, SYSTEM_STREAM } from './moves.js'
 
 /**
  * Result of evaluating one change against the current value of the configuration register.
@@ -100,7 +100,7 @@
 
 /** Checks the sender's permission, the epochs, and what currently prevents the fleet from carrying out the change. */
 function checkRequest(body: Body, { change, team, hindered = [] }: Order): RefusalReason | undefined {
-  const foreignEdits = team === undefined ? [] : beyondTeam(team, change, body.config)
+  const foreignEdits = team === undefined ? [] : findEditsBeyondTeam(team, change, body.config)
   if (foreignEdits.length > 0) return makeRefusal("not this team's to change", foreignEdits)
   const epoch = epochMadeBy(change)
   // Refused whatever the current epoch is: it would be refused also when the expected epoch is the current one.
@@ -147,7 +147,7 @@
   const moveResult = editMoves(body, config, change.edits ?? [], staged, epochMadeBy(change))
   if (moveResult.err) return makeRefusal('invalid move', moveResult.val)
   const moves = moveResult.val
-  const conflicts = checkMoves(moves, config)
+  const conflicts = checkOpenMoves(moves, config)
   if (moves.length > 0 && Array.isArray(change.stage))
     conflicts.push({ place: '/stage', what: 'a move is under way, and a stage would leave areas out of it' })
   if (conflicts.length > 0) return makeRefusal('a move is under way', conflicts)
--- a/packages/operator/src/edge.ts
+++ b/packages/operator/src/edge.ts
@@ -21,11 +21,11 @@
   type Body,
   type Edit,
   type Order,
-  type Unclear,
+  type UnclearAnswer,
   type Verdict,
 } from './config.js'
 import type { CoreStatus } from './cores.js'
-import { identify, stopCaller, type Credential } from './credentials.js'
+import { identifyOperator, checkPermission, type Credential } from './credentials.js'
 import { decide } from './decide.js'
 import { allDecisions, digestOf } from './kept.js'
 import type { TenantLine } from './tenants.js'
@@ -54,7 +54,7 @@
 const NO_MAJORITY = 'no majority of cores settled it in time; send the same number again'
 
 /** The answer 'unclear' to a change. */
-export function unclear(request: Order, why: string): Unclear {
+export function unclear(request: Order, why: string): UnclearAnswer {
   return { stream: request.stream, number: request.change.number, decision: 'unclear', why, findings: [] }
 }
 
@@ -163,8 +163,8 @@
     return lookup.done ? ((lookup.value?.body as Body | undefined) ?? emptyBody()) : undefined
   }
   async function handleRequest(request: HttpRequest): Promise<HttpResponse | undefined> {
-    const operator = identify(credentials(), request.header('authorization'))
-    const refusal = stopCaller(operator, request)
+    const operator = identifyOperator(credentials(), request.header('authorization'))
+    const refusal = checkPermission(operator, request)
     if (refusal) {
       metrics.add('claynotch_operators_refused_total')
       if (!isStreamPath(request.path)) return refusal
--- a/packages/operator/src/kept.ts
+++ b/packages/operator/src/kept.ts
@@ -7,7 +7,7 @@
   MIN_NAMED_CHANGES,
   MAX_OPERATOR_STREAMS,
 } from '@claynotch/base'
-import type { Body, Change, Config, Decision, Made } from './config.js'
+import type { Body, Change, Config, Decision, HistoryEntry } from './config.js'
 
 // The history in the configuration register: decisions on changes, the epochs that they made, and from which epoch on
 // this history is complete.
@@ -22,7 +22,7 @@
     if (entry.stream === stream && entry.number === number) return acceptedDecision(entry)
   return undefined
 }
-function acceptedDecision(entry: Made): Decision {
+function acceptedDecision(entry: HistoryEntry): Decision {
   const { stream, number, epoch, digest } = entry
   return { stream, number, decision: 'accepted', epoch, why: '', findings: [], ...withDigest(digest) }
 }
@@ -85,14 +85,14 @@
   const { stream, number, epoch, digest } = decision
   const streams = putDecision(body.streams, decision)
   if (!config) return { ...body, streams }
-  const entry: Made = { epoch, stream, number, ...withDigest(digest), config }
+  const entry: HistoryEntry = { epoch, stream, number, ...withDigest(digest), config }
   const history = [...keepLatest(dropOldConfigurations(body.history), false, MAX_HISTORY_ENTRIES - 1), entry]
   return { ...body, epoch, config, streams, history }
 }
 /** The body with an accepted change that names its epoch. */
 export function recordNamedChange(body: Body, decision: Decision, config: Config): Body {
   const { stream, number, epoch, digest } = decision
-  const entry: Made = { epoch, stream, number, ...withDigest(digest), named: true }
+  const entry: HistoryEntry = { epoch, stream, number, ...withDigest(digest), named: true }
   const history = [...keepLatest(body.history, true, MAX_NAMED_CHANGES - 1), entry]
   return { ...body, epoch, config, history }
 }
@@ -116,25 +116,25 @@
   return a.used - b.used
 }
 /** Drops the configurations of all but the latest few entries, counting the entry to be added as one of these. */
-function dropOldConfigurations(history: Made[]): Made[] {
+function dropOldConfigurations(history: HistoryEntry[]): HistoryEntry[] {
   const firstWithConfig = countEntries(history, false) + 1 - MAX_KEPT_CONFIGURATIONS
-  const result: Made[] = []
+  const result: HistoryEntry[] = []
   let k = 0
   for (const entry of history) result.push(entry.named || k++ >= firstWithConfig ? entry : withoutConfig(entry))
   return result
 }
-function withoutConfig(entry: Made): Made {
+function withoutConfig(entry: HistoryEntry): HistoryEntry {
   return { epoch: entry.epoch, stream: entry.stream, number: entry.number, ...withDigest(entry.digest) }
 }
-function countEntries(history: Made[], named: boolean): number {
+function countEntries(history: HistoryEntry[], named: boolean): number {
   let count = 0
   for (const entry of history) if ((entry.named === true) === named) count++
   return count
 }
 /** Keeps all entries of the other kind, and the latest `maxCount` entries of this kind. */
-function keepLatest(history: Made[], named: boolean, maxCount: number): Made[] {
+function keepLatest(history: HistoryEntry[], named: boolean, maxCount: number): HistoryEntry[] {
   let excess = countEntries(history, named) - maxCount
-  const remaining: Made[] = []
+  const remaining: HistoryEntry[] = []
   for (const entry of history) if ((entry.named === true) !== named || excess-- <= 0) remaining.push(entry)
   return remaining
 }
--- a/packages/operator/src/moves.ts
+++ b/packages/operator/src/moves.ts
@@ -99,7 +99,7 @@
 }
 
 /** Checks that a changed configuration leaves the lanes and groups of open moves unchanged. */
-export function checkMoves(moves: Move[], config: Config): Finding[] {
+export function checkOpenMoves(moves: Move[], config: Config): Finding[] {
   const findings: Finding[] = []
   const groupNames = new Set<string>()
   for (const group of config.groups) groupNames.add(group.name)
