--- a/packages/agent/src/adapter.ts
+++ b/packages/agent/src/adapter.ts
@@ -17,12 +17,12 @@
 export type ControlService = {
   metrics: Metrics
   // An instance's word of itself; false: not kept, as too many are known.
-  heardInstance: (a: Announcement) => boolean
+  recordAnnouncement: (a: Announcement) => boolean
   // An instance's last word, where it tells its name alone; false: not known here.
-  instanceLeft: (name: string) => boolean
+  recordSignOff: (name: string) => boolean
   // Why an instance's word that was heard here can't be acknowledged; undefined, within CHANGE_ANSWER: a majority of the
   // cores has it.
-  reportFailure: (name: string) => Promise<string | undefined>
+  awaitAcknowledgement: (name: string) => Promise<string | undefined>
   // One numbered change, decided at the cores, or unclear, after CHANGE_ANSWER at most. stream: a digest of all that it is, so
   // that under one number there is one change alone.
   change: (stream: string, change: Change) => Promise<Verdict>
@@ -50,7 +50,7 @@
 
 function httpControl(world: World, addr: Address, desk: ControlService): Promise<HttpListener> {
   async function announced(a: Announcement): Promise<string | undefined> {
-    return desk.heardInstance(a) ? await desk.reportFailure(a.name) : 'too many instances are known'
+    return desk.recordAnnouncement(a) ? await desk.awaitAcknowledgement(a.name) : 'too many instances are known'
   }
   async function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
     const first = takeProbe(ask, desk) ?? answerSeeds(ask, desk.coreSet())
@@ -61,4 +61,4 @@
   return serveHttp(world, addr, handle, { raw: desk.operator.raw, limit: OPERATOR_BODY_LIMIT_BYTES })
 }
 
-export const ownAdapters: AgentAdapters = { instance: httpInstanceAdapter, promotion: promote, control: httpControl }
+export const defaultAdapters: AgentAdapters = { instance: httpInstanceAdapter, promotion: promote, control: httpControl }
--- a/packages/agent/src/control-service.ts
+++ b/packages/agent/src/control-service.ts
@@ -48,7 +48,7 @@
     }
     // The proxy is told at once of what changed, and of all else with the next renewal.
     if (heard.isChanged) {
-      parts.failover.ring()
+      parts.failover.notify()
       parts.proxy.feed()
     }
     return heard.isKept
@@ -82,9 +82,9 @@
   const configuration = makeConfigurationService(world, parts.proposer, isCutOff, metrics)
   return {
     metrics,
-    heardInstance,
-    instanceLeft,
-    reportFailure,
+    recordAnnouncement: heardInstance,
+    recordSignOff: instanceLeft,
+    awaitAcknowledgement: reportFailure,
     change: configuration.change,
     read: configuration.read,
     body: parts.body,
--- a/packages/claynotch/src/daemons.ts
+++ b/packages/claynotch/src/daemons.ts
@@ -1,4 +1,4 @@
-import { serveHttp, type HttpRequest, type Flags, type HttpResponse, type World } from '@claynotch/base'
+import { serveHttp, type HttpRequest, type CommandLineFlags, type HttpResponse, type World } from '@claynotch/base'
 import { startAgent } from '@claynotch/agent'
 import { takeProbe } from '@claynotch/host'
 import { startProxy } from '@claynotch/proxy'
@@ -8,7 +8,7 @@
 import { AgentSettings, checkAgentSettings, checkCoreSettings, CoreSettings, ProxySettings } from './settings.js'
 
 /** Runs a core with its HTTP endpoint for probes and seeds. */
-export async function runCore(settingsPath: string | undefined, flags: Flags): Promise<void> {
+export async function runCore(settingsPath: string | undefined, flags: CommandLineFlags): Promise<void> {
   async function start(world: World, settings: CoreSettings): Promise<Running<CoreSettings>> {
     const core = await startCore(world, settings)
     function ready(): string | undefined {
@@ -37,7 +37,7 @@
 }
 
 /** Runs the agent of a front machine. */
-export async function runAgent(settingsPath: string | undefined, flags: Flags): Promise<void> {
+export async function runAgent(settingsPath: string | undefined, flags: CommandLineFlags): Promise<void> {
   async function start(world: World, settings: AgentSettings): Promise<Running<AgentSettings>> {
     const agent = await startAgent(world, { ...settings, build: BUILD })
     function apply(next: AgentSettings): void {
@@ -61,7 +61,7 @@
 }
 
 /** Runs the proxy of a front machine. */
-export async function runProxy(settingsPath: string | undefined, flags: Flags): Promise<void> {
+export async function runProxy(settingsPath: string | undefined, flags: CommandLineFlags): Promise<void> {
   async function start(world: World, settings: ProxySettings): Promise<Running<ProxySettings>> {
     const proxy = await startProxy(world, settings)
     function apply(next: ProxySettings): void {
--- a/packages/claynotch/src/machine.ts
+++ b/packages/claynotch/src/machine.ts
@@ -1,6 +1,6 @@
 import { parseAddr, type Address, type World } from '@claynotch/base'
 import {
-  ownAdapters,
+  defaultAdapters,
   startAgent,
   type Agent,
   type AgentAdapters,
@@ -44,7 +44,7 @@
 export async function startCoreMachine(
   world: World,
   settings: CoreMachineSettings,
-  adapters: AgentAdapters = ownAdapters,
+  adapters: AgentAdapters = defaultAdapters,
 ): Promise<CoreMachine> {
   let { seeds } = settings
   function currentSeeds(): Address[] {
@@ -99,7 +99,7 @@
 export async function startFrontAgent(
   world: World,
   settings: FrontAgentSettings,
-  adapters: AgentAdapters = ownAdapters,
+  adapters: AgentAdapters = defaultAdapters,
 ): Promise<Agent> {
   const { corePort, first, ...agentSettings } = settings
   const founders = first ? foundersFromSeeds(settings.seeds, corePort) : []
--- a/packages/claynotch/src/main.ts
+++ b/packages/claynotch/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 import { defineCommand, runMain } from 'citty'
-import type { Flags } from '@claynotch/base'
+import type { CommandLineFlags } from '@claynotch/base'
 import { BUILD } from './build.js'
 import { runAgent, runCore, runProxy } from './daemons.js'
 import { apply, check, credential, move, replace, show } from './verbs.js'
@@ -11,8 +11,8 @@
 const toArg = { type: 'string', description: 'http address of any agent', required: true } as const
 
 /** The command-line options of these names that were given, as flags that override the settings file. */
-function selectFlags(args: object, names: string[]): Flags {
-  const flags: Flags = []
+function selectFlags(args: object, names: string[]): CommandLineFlags {
+  const flags: CommandLineFlags = []
   const values = new Map(argEntries(args))
   for (const name of names) {
     const value = values.get(name)
--- a/packages/claynotch/src/run.ts
+++ b/packages/claynotch/src/run.ts
@@ -5,9 +5,9 @@
   makeLog,
   readSettings,
   realWorld,
-  showFindings,
+  formatFindings,
   watchSettings,
-  type Source,
+  type SettingsSource,
   type World,
 } from '@claynotch/base'
 
@@ -21,7 +21,7 @@
 export async function runDaemon<T>(
   programName: string,
   codec: t.Type<T, unknown, unknown>,
-  source: Source<T>,
+  source: SettingsSource<T>,
   start: (world: World, settings: T) => Promise<Running<T>>,
 ): Promise<void> {
   // The handlers are installed first, so that a signal during the start is neither lost nor kills the process.
@@ -33,7 +33,7 @@
   const world = realWorld(makeLog({ program: programName }))
   const initial = await readSettings(world, codec, source)
   if (initial.err) {
-    process.stderr.write(showFindings(initial.val))
+    process.stderr.write(formatFindings(initial.val))
     process.exit(2)
   }
   let running: Running<T>
--- a/packages/claynotch/src/verbs.ts
+++ b/packages/claynotch/src/verbs.ts
@@ -13,7 +13,7 @@
   type Edit,
   type Fleet,
 } from '@claynotch/operator'
-import { AddressCodec, requestOnce, realWorld, showFindings, type HttpAnswer, type Finding } from '@claynotch/base'
+import { AddressCodec, requestOnce, realWorld, formatFindings, type HttpAnswer, type Finding } from '@claynotch/base'
 
 // The command-line verbs for operators. Exit codes: 0 done, 1 refused, 2 bad input, 3 unclear or no answer.
 
@@ -73,7 +73,7 @@
     findings.push({ place: '--whole, --edits', what: 'one of them is needed, or --stage to go on with an open stage' })
   if (args.expect !== undefined && !Number.isInteger(Number(args.expect)))
     findings.push({ place: '--expect', what: 'expected an epoch' })
-  if (findings.length > 0) exitWith(2, showFindings(findings))
+  if (findings.length > 0) exitWith(2, formatFindings(findings))
   let expect = Number(args.expect)
   if (args.expect === undefined)
     expect = ((await callAgent(args.to, 'GET', '/configuration')).body as { epoch: number }).epoch
@@ -129,7 +129,7 @@
   }
   if (findings.length === 0 && edits.length !== 1)
     findings.push({ place: '--group, --confirm, --calloff', what: 'exactly one of them is needed' })
-  if (findings.length > 0) exitWith(2, showFindings(findings))
+  if (findings.length > 0) exitWith(2, formatFindings(findings))
   const current = (await callAgent(args.to, 'GET', '/configuration')).body as { epoch: number }
   await sendChange(args, { number, expect: current.epoch, edits })
 }
@@ -204,7 +204,7 @@
     process.stdout.write(`${JSON.stringify({ epoch: current.epoch, valid: !invalid, findings, changes }, null, 2)}\n`)
   else {
     process.stdout.write(`present epoch ${current.epoch}; the configuration is ${invalid ? 'invalid' : 'valid'}\n`)
-    process.stdout.write(showFindings(findings))
+    process.stdout.write(formatFindings(findings))
     for (const change of changes) process.stdout.write(`would change ${change}\n`)
   }
   process.exit(invalid ? 2 : findings.length > 0 ? 1 : 0)
--- a/packages/failover/src/failover-view.ts
+++ b/packages/failover/src/failover-view.ts
@@ -10,7 +10,7 @@
   /** The name of this node. */
   node: string
   /** Time in ms without a good answer after which a leader is suspected. */
-  suspect: number
+  suspicionTimeoutMs: number
   instance: InstanceAdapter
   promotion: PromotionEdge
   /** The address that receives promotion calls. */
@@ -29,7 +29,7 @@
   /** The last known status of each of the group's instances. */
   instancesOf: (group: string) => InstanceStatus[]
   /** The latest observations of the nodes that run a proxy. */
-  reports: () => InstanceObservations[]
+  observations: () => InstanceObservations[]
   /** Reads the members from a quorum; undefined if no majority answers. */
   askMembers: () => Promise<{ members: Member[]; isComplete: boolean } | undefined>
   /** The configuration as this node knows it. */
--- a/packages/failover/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -3,7 +3,7 @@
   FAILOVER_INTERVAL_MS,
   loop,
   makeSignal,
-  MOVE_NEAR_LAG_MS,
+  MOVE_CUTOVER_LAG_MS,
   MOVE_PAUSE_LIMIT_MS,
   SAMPLE_TIMEOUT_MS,
   type Signal,
@@ -135,7 +135,7 @@
     const now = world.now()
     const [sourceLeader, targetLeader] = await Promise.all([queryLeader(move.from), queryLeader(move.to)])
     if (sourceLeader) memory.sourcePositions.push({ at: now, mark: sourceLeader.mark })
-    while (memory.sourcePositions.length > 0 && memory.sourcePositions[0].at < now - MOVE_NEAR_LAG_MS)
+    while (memory.sourcePositions.length > 0 && memory.sourcePositions[0].at < now - MOVE_CUTOVER_LAG_MS)
       memory.sourcePositions.shift()
     if (targetLeader?.source?.group !== move.from) return false
     for (const sourcePosition of memory.sourcePositions)
@@ -225,5 +225,5 @@
     if (isAnyRouteStopped) world.later(FAILOVER_INTERVAL_MS / 8, signal.notify)
   }
   void loop(world, 'move', FAILOVER_INTERVAL_MS, stop, runAndReschedule, signal)
-  return { ring: signal.notify }
+  return { notify: signal.notify }
 }
--- a/packages/fleet/src/test/changes.test.ts
+++ b/packages/fleet/src/test/changes.test.ts
@@ -13,7 +13,7 @@
   type Decision,
   type Edit,
 } from '@claynotch/operator'
-import { compile } from '@claynotch/proxy'
+import { compileRules } from '@claynotch/proxy'
 import { laterStatus, type InstanceStatus } from '@claynotch/register'
 import { makeRandom } from '../sim.js'
 
@@ -257,11 +257,11 @@
     [8, 8],
     'a number is a number',
   )
-  const rules = compile({ ...base, lanes: [lane('a', { limit: 700, aim: 200, sends: 2 }), lane('b')] }, 4, [], 0)
+  const rules = compileRules({ ...base, lanes: [lane('a', { limit: 700, aim: 200, sends: 2 }), lane('b')] }, 4, [], 0)
   const a = rules.lanes.get('a')!
-  c.strictSame([a.limit, a.aim, a.sends, rules.transactionIdle], [700, 200, 2, 3000])
+  c.strictSame([a.statementTimeoutMs, a.targetLatencyMs, a.maxAttempts, rules.transactionIdleMs], [700, 200, 2, 3000])
   const b = rules.lanes.get('b')!
-  c.strictSame([b.limit, b.aim, b.sends], [undefined, undefined, undefined])
+  c.strictSame([b.statementTimeoutMs, b.targetLatencyMs, b.maxAttempts], [undefined, undefined, undefined])
 }
 
 // --- the order of an instance's words ---
--- a/packages/fleet/src/test/cutoff.test.ts
+++ b/packages/fleet/src/test/cutoff.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
-import { ownAdapters, startAgent, type Agent, type AgentAdapters } from '@claynotch/agent'
+import { defaultAdapters, startAgent, type Agent, type AgentAdapters } from '@claynotch/agent'
 import { makeInstanceReports, type InstanceReports } from '@claynotch/agent/dist/instance-reports.js'
 import {
   decode,
@@ -47,9 +47,9 @@
   async function promotion(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
     called.push({ holder: what.holder, at: f.sim.now() })
     run(what)
-    return await ownAdapters.promotion(world, at, what)
+    return await defaultAdapters.promotion(world, at, what)
   }
-  const edges: AgentAdapters = { ...ownAdapters, promotion }
+  const edges: AgentAdapters = { ...defaultAdapters, promotion }
   const shape = { ...smallShape(), requesters: 4 }
   const groups = shape.config.groups.map(unsynced)
   const f = makeSimFleet(seed, { ...shape, fronts: 4, config: { ...shape.config, groups } }, { agentEdges: edges })
@@ -243,7 +243,7 @@
       const got = readAs(Summary, decode(bytes))
       if (got.ok && got.val.node === f.fronts[0].node) heard.push({ at: f.sim.now(), sum: got.val })
     }
-    await world.wire(`${peer.machine.ip}:7200`, take)
+    await world.bindDatagrams(`${peer.machine.ip}:7200`, take)
   }
   f.sim.spawn(peer.machine, 'listener', listen)
   await wait(f, 1000)
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -1,5 +1,5 @@
 import t, { type Test } from 'tap'
-import { ownAdapters as ownAgentEdges, type AgentAdapters } from '@claynotch/agent'
+import { defaultAdapters as ownAgentEdges, type AgentAdapters } from '@claynotch/agent'
 import { pause, type Address, type World } from '@claynotch/base'
 import { weighEvidence, type InstanceObservations } from '@claynotch/failover'
 import type { Promotion, PromotionEnd } from '@claynotch/host'
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import {
-  CONNECTION_SHAPES_LIMIT,
+  MAX_CONNECTION_PREPARED_STATEMENTS,
   makeSignal,
   makeFlag,
   makeMetrics,
@@ -203,7 +203,7 @@
     const lines: Line[] = []
     const pool = makePool(world, modelEdge(lines, 3), makeFlag(), makeMetrics())
     let most = 0
-    for (let k = 0; k < 4 * CONNECTION_SHAPES_LIMIT; k++) {
+    for (let k = 0; k < 4 * MAX_CONNECTION_PREPARED_STATEMENTS; k++) {
       const text = `READ q${k}`
       const need = { database: 'd', settings: [], shapes: new Map([['s', text]]), team: '', share: 1 }
       const got = await pool.borrow(who, 1, need, { free: 200, dial: 100 }, makeFlag())
@@ -214,7 +214,7 @@
       got.val.end(true)
     }
     c.equal(lines.length, 1, 'the same connection throughout')
-    c.equal(most, CONNECTION_SHAPES_LIMIT + 1)
+    c.equal(most, MAX_CONNECTION_PREPARED_STATEMENTS + 1)
   }
   await inWorld(run)
 }
--- a/packages/fleet/src/test/replicated-group.ts
+++ b/packages/fleet/src/test/replicated-group.ts
@@ -260,7 +260,7 @@
   const proposer: Proposer = { change, read: done, look: done }
   const view: FailoverView = {
     node: NODE,
-    suspect: 2500,
+    suspicionTimeoutMs: 2500,
     instance,
     promotion,
     platform,
@@ -271,7 +271,7 @@
     register,
     learn,
     instancesOf,
-    reports,
+    observations: reports,
     askMembers,
     body,
     metrics: makeMetrics(),
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -1,11 +1,11 @@
 import * as t from 'io-ts'
 import {
   Count,
-  Ms,
+  DurationMs,
   Name,
   POLICY_LIMIT_BYTES,
   readStrict,
-  Whole,
+  WholeNumber,
   type Finding,
   Ok,
   Err,
@@ -18,7 +18,10 @@
  * Where reads of a lane go. 'leader': every read goes to the leader. Otherwise followers may serve reads that are at
  * most `within` ms stale; with `own`, a session reads its own writes.
  */
-const Reads = t.union([t.literal('leader'), t.intersection([t.type({ within: Ms }), t.partial({ own: t.boolean })])])
+const Reads = t.union([
+  t.literal('leader'),
+  t.intersection([t.type({ within: DurationMs }), t.partial({ own: t.boolean })]),
+])
 /**
  * A lane: a named route from clients to a database in a group.
  * - `path`: distinguishes lanes of one database; no two lanes may have the same database and path.
@@ -34,10 +37,10 @@
     team: Name,
     pending: Count,
     path: t.string,
-    limit: Ms,
-    aim: Ms,
+    limit: DurationMs,
+    aim: DurationMs,
     sends: Count,
-    rank: Whole,
+    rank: WholeNumber,
     public: t.boolean,
     label: t.unknown,
   }),
@@ -52,7 +55,7 @@
  */
 const Group = t.intersection([
   t.type({ name: Name, connections: Count }),
-  t.partial({ guard: Ms, home: t.array(Name), sync: t.union([t.literal(0), t.literal(1)]), label: t.unknown }),
+  t.partial({ guard: DurationMs, home: t.array(Name), sync: t.union([t.literal(0), t.literal(1)]), label: t.unknown }),
 ])
 /**
  * A team. `share`: its weight when connections are short. `sessions`, `pending`: maximum open sessions, and maximum
@@ -64,7 +67,7 @@
   // proxies: how many proxies share each instance's connections; 'live': the current number of members with a proxy.
   t.type({ proxies: t.union([Count, t.literal('live')]), groups: t.array(Group), lanes: t.array(Lane) }),
   // transactionIdle: ms; an open transaction that is idle for longer may be ended.
-  t.partial({ transactionIdle: Ms, label: t.unknown }),
+  t.partial({ transactionIdle: DurationMs, label: t.unknown }),
   // policy: a Lua script that selects a lane for calls to the lane 'auto'; fallback: the lane used when it fails.
   // tenants: clients' keys are checked against them on lanes that aren't public; without tenants no key is needed.
   t.partial({ teams: t.array(Team), tenants: t.array(Tenant), policy: t.type({ lua: t.string, fallback: Name }) }),
@@ -209,7 +212,7 @@
 export const Change = t.intersection([
   t.type({ number: Count, expect: t.number }),
   // epoch: the epoch that the change makes, which must be above the current one; by default the next one.
-  t.partial({ epoch: Whole }),
+  t.partial({ epoch: WholeNumber }),
   // stage: areas that use the new configuration; the others keep the prior one until a later change says 'all'.
   t.partial({ whole: t.unknown, edits: t.array(Edit), stage: t.union([t.literal('all'), t.array(Name)]) }),
 ])
--- a/packages/operator/src/edge.ts
+++ b/packages/operator/src/edge.ts
@@ -1,7 +1,7 @@
 import { createInterface } from 'node:readline'
 import {
-  badInput,
-  FOLLOW_INTERVAL_MS,
+  invalidRequest,
+  DECISION_READER_CHECK_INTERVAL_MS,
   Name,
   OPERATOR_BODY_LIMIT_BYTES,
   readStrict,
@@ -154,7 +154,7 @@
           res.write(`${JSON.stringify(decision)}\n`)
         }
       }
-      await queries.news.wait(world, FOLLOW_INTERVAL_MS, request.gone)
+      await queries.news.wait(world, DECISION_READER_CHECK_INTERVAL_MS, request.gone)
     }
     return undefined
   }
@@ -176,7 +176,7 @@
     if (request.method === 'POST' && segments[0] === 'streams' && segments.length === 2) {
       if (!Name.is(segments[1])) {
         request.raw.req.resume()
-        return badInput(400, 'a stream needs a name', [{ place: '/streams/', what: 'expected a name' }])
+        return invalidRequest(400, 'a stream needs a name', [{ place: '/streams/', what: 'expected a name' }])
       }
       return await decideStream(request, segments[1], operator?.team)
     }
@@ -188,11 +188,11 @@
     ) {
       const targetInstance = (request.body as { to?: unknown } | undefined)?.to
       if (targetInstance !== undefined && !Name.is(targetInstance))
-        return badInput(400, 'not understood', [{ place: '/to', what: 'expected a name' }])
+        return invalidRequest(400, 'not understood', [{ place: '/to', what: 'expected a name' }])
       const replacement = await queries.replace(segments[1], targetInstance as string | undefined)
       return { status: replacement.ok ? 202 : 409, body: replacement }
     }
-    if (request.method !== 'GET') return badInput(404, `no such path: ${request.method} ${request.path}`)
+    if (request.method !== 'GET') return invalidRequest(404, `no such path: ${request.method} ${request.path}`)
     switch (segments[0]) {
       case 'configuration': {
         const current = await readBody()
@@ -236,7 +236,7 @@
       case 'groups':
         return { status: 200, body: queries.groups() }
     }
-    return badInput(404, `no such path: ${request.method} ${request.path}`)
+    return invalidRequest(404, `no such path: ${request.method} ${request.path}`)
   }
   function noMajorityResponse(): HttpResponse {
     return {
--- a/packages/proxy/src/adapter.ts
+++ b/packages/proxy/src/adapter.ts
@@ -1,5 +1,5 @@
 import {
-  badInput,
+  invalidRequest,
   serveHttp,
   type Address,
   type HttpRequest,
@@ -30,9 +30,9 @@
 function httpRequester(world: World, options: ClientListenOptions, sessions: Sessions): Promise<HttpListener> {
   async function handle(ask: HttpRequest): Promise<HttpResponse> {
     const word = readWord(ask)
-    if (word.err) return badInput(word.val.status, word.val.why, word.val.findings)
+    if (word.err) return invalidRequest(word.val.status, word.val.why, word.val.findings)
     const ms = readDeadline(ask)
-    if (ms.err) return badInput(400, 'not understood', ms.val)
+    if (ms.err) return invalidRequest(400, 'not understood', ms.val)
     return writeVerdict(await sessions.run(word.val, ms.val, ask.gone))
   }
   return serveHttp(world, options.addr, handle, { lines: options.connections })
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto'
 import {
-  CONNECTION_SHAPES_LIMIT,
+  MAX_CONNECTION_PREPARED_STATEMENTS,
   IDLE_CONNECTION_SETTINGS_LIMIT_BYTES,
   loop,
   makeFlag,
@@ -180,7 +180,7 @@
     need: ConnectionRequirements,
     want: Map<string, string>,
   ): Promise<RequestError | undefined> {
-    let isResetDue = c.shapes.size > CONNECTION_SHAPES_LIMIT
+    let isResetDue = c.shapes.size > MAX_CONNECTION_PREPARED_STATEMENTS
     for (const name of c.set.keys()) if (!want.has(name)) isResetDue = true
     if (isResetDue) {
       const clear = await c.port.reset(RESET_TIMEOUT_MS)
--- a/packages/proxy/src/target-selection.ts
+++ b/packages/proxy/src/target-selection.ts
@@ -2,7 +2,7 @@
 import type { InstanceAdapter, LogPosition } from '@claynotch/instance'
 import { guardOf } from '@claynotch/operator'
 import type { Call } from './call.js'
-import { floorOf, isFresh, needOf, provedWithin, type Token } from './freshness.js'
+import { freshnessFloor, isFresh, requiredPositionOf, provedStalenessMs, type Token } from './freshness.js'
 import type { Known, State } from './state.js'
 import type { Instance, Watch } from './watch.js'
 
@@ -50,14 +50,14 @@
     const writes = call.kind === 'write' || call.kind === 'begin write'
     if (writes && !guarded(call.lane.group, rec.leader, rec.epoch)) return undefined
     // A leaving leader still leads until its successor does, but not for ever.
-    if (state.goneFor(rec.leader) > LEAVING_GRACE_MS) return undefined
+    if (state.leavingForMs(rec.leader) > LEAVING_GRACE_MS) return undefined
     watch.usable(instance, true)
     return { instance, epoch: rec.epoch }
   }
   // A lane under move takes no writes and no transactions, and in its last phase no reads either.
   function stopsHere(call: Call): boolean {
-    if (call.lane.move === 'ease') return call.kind === 'begin read'
-    return call.lane.move === 'held' || (call.lane.move !== undefined && call.kind !== 'read')
+    if (call.lane.movePhase === 'ease') return call.kind === 'begin read'
+    return call.lane.movePhase === 'held' || (call.lane.movePhase !== undefined && call.kind !== 'read')
   }
   // Whether some follower is proved to hold what the leader had within the group's guard, where it has one.
   function guarded(group: string, leader: string, epoch: number): boolean {
@@ -66,7 +66,7 @@
     const samples = watch.get(leader)?.samples ?? []
     for (const one of watch.all().values()) {
       if (one.group !== group || one.name === leader || !one.mark || one.doubt) continue
-      const age = provedWithin(samples, epoch, one.mark, world.now())
+      const age = provedStalenessMs(samples, epoch, one.mark, world.now())
       if (age !== undefined && age <= guard) return true
     }
     metrics.add('claynotch_guard_waits_total', [['group', group]])
@@ -121,10 +121,10 @@
     const rec = state.group(group)?.record
     const head = rec?.leader !== undefined ? watch.get(rec.leader) : undefined
     if (!rec || !head) return undefined
-    return needOf(
-      floorOf(head.samples, rec.epoch, fresh.within, world.now(), groupSince),
+    return requiredPositionOf(
+      freshnessFloor(head.samples, rec.epoch, fresh.within, world.now(), groupSince),
       rec.epoch,
-      fresh.own && token?.group === group ? token.mark : undefined,
+      fresh.own && token?.group === group ? token.position : undefined,
     )
   }
   return { leaderFor, followerFor, requiredPosition }
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -4,7 +4,7 @@
   makeFlag,
   pause,
   SAMPLE_INTERVAL_MS,
-  FAILURES_BEFORE_DOUBT,
+  FAILURES_BEFORE_SUSPICION,
   SAMPLE_TIMEOUT_MS,
   MIN_TRIAL_DELAY_MS,
   MAX_TRIAL_DELAY_MS,
@@ -66,10 +66,10 @@
   function wantedNow(): Map<string, { group: string; addr: string; area: string }> {
     const out = new Map<string, { group: string; addr: string; area: string }>()
     // Samples take connections too, of a share.
-    if (!state.share()) return out
+    if (!state.hasConnectionShare()) return out
     const groups = new Set<string>()
     for (const g of state.config()?.groups ?? []) groups.add(g.name)
-    for (const s of state.sights().values())
+    for (const s of state.instanceStatuses().values())
       if (groups.has(s.group)) out.set(s.name, { group: s.group, addr: s.addr, area: s.area })
     // A leader by record is watched even while its announcements are not heard.
     for (const g of groups) {
@@ -115,7 +115,7 @@
       all.delete(name)
     }
   }
-  void loop(world, 'watch', SAMPLE_INTERVAL_MS, stop, tend, state.bell)
+  void loop(world, 'watch', SAMPLE_INTERVAL_MS, stop, tend, state.changed)
 
   // One task for each instance: asks its STATUS on a connection of its own, beat by beat.
   async function sample(one: Instance, end: Flag, ask: NonNullable<InstanceAdapter['sampler']>): Promise<void> {
@@ -156,8 +156,8 @@
     const lead = reign !== undefined
     if (!one.mark || mark.epoch !== one.mark.epoch || mark.position > one.mark.position || !lead) one.mark = mark
     if (lead) {
-      one.samples.push({ asked, reign, mark })
-      while (one.samples.length > 0 && one.samples[0].asked < now - SAMPLES_LIFE) one.samples.shift()
+      one.samples.push({ askedAt: asked, epoch: reign, position: mark })
+      while (one.samples.length > 0 && one.samples[0].askedAt < now - SAMPLES_LIFE) one.samples.shift()
     }
     const rec = state.group(one.group)?.record
     const fits = rec?.leader === name ? lead && reign === rec.epoch : true
@@ -181,7 +181,7 @@
       one.failing = Math.max(asked, one.lastOk)
       trouble.notify()
     }
-    if (!edge.sampler && !sure && ++one.row < FAILURES_BEFORE_DOUBT) return
+    if (!edge.sampler && !sure && ++one.row < FAILURES_BEFORE_SUSPICION) return
     one.pause = Math.min(MAX_TRIAL_DELAY_MS, one.pause === 0 ? MIN_TRIAL_DELAY_MS : one.pause * 2)
     one.again = world.now() + one.pause
     if (one.doubt) return
