--- a/packages/claynotch/src/run.ts
+++ b/packages/claynotch/src/run.ts
@@ -12,7 +12,7 @@
 } from '@claynotch/base'
 
 /** A started daemon. `apply` takes over settings that were read again. */
-export type Running<T> = { stop: () => Promise<void>; apply: (next: T) => void }
+export type RunningDaemon<T> = { stop: () => Promise<void>; apply: (next: T) => void }
 
 /**
  * Runs a daemon until it receives SIGTERM or SIGINT, which drain it and exit with code 0. SIGHUP reloads the settings.
@@ -22,7 +22,7 @@
   programName: string,
   codec: t.Type<T, unknown, unknown>,
   source: SettingsSource<T>,
-  start: (world: World, settings: T) => Promise<Running<T>>,
+  start: (world: World, settings: T) => Promise<RunningDaemon<T>>,
 ): Promise<void> {
   // The handlers are installed first, so that a signal during the start is neither lost nor kills the process.
   const stop = makeFlag()
@@ -36,7 +36,7 @@
     process.stderr.write(formatFindings(initial.val))
     process.exit(2)
   }
-  let running: Running<T>
+  let running: RunningDaemon<T>
   try {
     running = await start(world, initial.val)
   } catch (e) {
@@ -51,7 +51,7 @@
 }
 
 /** Logs each field that differs in the new settings but takes effect only after a restart. */
-export function needsRestart(world: World, fields: [string, unknown, unknown][]): void {
+export function warnRestartNeeded(world: World, fields: [string, unknown, unknown][]): void {
   for (const [fieldName, current, next] of fields)
     if (JSON.stringify(current) !== JSON.stringify(next)) world.log.warn('settings-need-restart', { field: fieldName })
 }
--- a/packages/claynotch/src/verbs.ts
+++ b/packages/claynotch/src/verbs.ts
@@ -1,17 +1,17 @@
 import { readFile } from 'node:fs/promises'
 import {
-  checkAgainst,
+  checkAgainstFleet,
   checkCores,
-  differences,
+  describeChanges,
   makeCredential,
   readConfig,
   applyEdits,
-  showCores,
+  formatCoreSetStatus,
   type Config,
-  type CoreStatus,
+  type CoreSetStatus,
   type Credential,
   type Edit,
-  type Fleet,
+  type FleetState,
 } from '@claynotch/operator'
 import { AddressCodec, requestOnce, realWorld, formatFindings, type HttpAnswer, type Finding } from '@claynotch/base'
 
@@ -140,7 +140,7 @@
   if (!views.includes(args.what)) exitWith(2, `what: expected one of ${views.join(', ')}`)
   const answer = await callAgent(args.to, 'GET', `/${args.what}`)
   if (args.what === 'cores' && answer.status === 200 && args.json !== true) {
-    process.stdout.write(showCores(answer.body as CoreStatus))
+    process.stdout.write(formatCoreSetStatus(answer.body as CoreSetStatus))
     process.exit(0)
   }
   process.stdout.write(typeof answer.body === 'string' ? answer.body : `${JSON.stringify(answer.body, null, 2)}\n`)
@@ -162,7 +162,7 @@
 /** Findings about the core set; none if the agent is an older version without GET /cores. */
 async function findCoreFaults(agentAddr: string): Promise<Finding[]> {
   const answer = await callAgent(agentAddr, 'GET', '/cores')
-  return answer.status === 200 ? checkCores(answer.body as CoreStatus) : []
+  return answer.status === 200 ? checkCores(answer.body as CoreSetStatus) : []
 }
 
 /**
@@ -183,7 +183,7 @@
     moves: await readView('/moves'),
     members: await readView('/members'),
     groups: await readView('/groups'),
-  } as Fleet
+  } as FleetState
   let next: unknown = current.config
   let findings: Finding[] = []
   if (args.whole !== undefined) next = await readJson(args.whole, 'whole')
@@ -197,8 +197,8 @@
   const parsed = findings.length > 0 ? undefined : readConfig(next)
   if (parsed?.err) findings = parsed.val
   const invalid = findings.length > 0
-  const changes = parsed?.ok ? differences(current.config, parsed.val) : []
-  if (parsed?.ok) findings = checkAgainst(parsed.val, fleetState)
+  const changes = parsed?.ok ? describeChanges(current.config, parsed.val) : []
+  if (parsed?.ok) findings = checkAgainstFleet(parsed.val, fleetState)
   if (parsed?.ok) findings.push(...(await findCoreFaults(args.to)))
   if (args.json === true)
     process.stdout.write(`${JSON.stringify({ epoch: current.epoch, valid: !invalid, findings, changes }, null, 2)}\n`)
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -16,7 +16,7 @@
   RequestError,
   InstanceAddress,
 } from '@claynotch/instance'
-import { isShareBelowOne, lendable, type Config } from '@claynotch/operator'
+import { isShareBelowOne, usableConnectionsPerProxy, type Config } from '@claynotch/operator'
 import { makePool, startWatch, type Instance, type ConnectionRequirements, type State } from '@claynotch/proxy'
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
@@ -340,16 +340,19 @@
 
 function shares(c: Test): void {
   const config: Config = { proxies: 'live', groups: [{ name: 'g', connections: 92 }], lanes: [] }
-  c.equal(lendable(config, 'g', 9), 9, 'a ninth, less the one that is kept back')
-  c.equal(lendable(config, 'g', 1), 91)
-  c.ok(lendable(config, 'g', 200) >= 1, 'never none')
+  c.equal(usableConnectionsPerProxy(config, 'g', 9), 9, 'a ninth, less the one that is kept back')
+  c.equal(usableConnectionsPerProxy(config, 'g', 1), 91)
+  c.ok(usableConnectionsPerProxy(config, 'g', 200) >= 1, 'never none')
   c.strictSame(
     [isShareBelowOne(config, 'g', 92), isShareBelowOne(config, 'g', 93), isShareBelowOne(config, 'none', 93)],
     [false, true, false],
     'more proxies than connections',
   )
   for (let live = 1; live <= 40; live++)
-    c.ok(live * lendable(config, 'g', live) <= 92, `${live} live proxies together stay under the limit`)
+    c.ok(
+      live * usableConnectionsPerProxy(config, 'g', live) <= 92,
+      `${live} live proxies together stay under the limit`,
+    )
   c.end()
 }
 void t.test('shares by live proxies', shares)
--- a/packages/host/src/index.ts
+++ b/packages/host/src/index.ts
@@ -15,7 +15,7 @@
  *   holder.
  * - `may`: called when the connection is established, right before the call is written; on false the call is dropped.
  */
-export type Promotion = {
+export type PromotionRequest = {
   group: string
   instance: string
   addr: Address
@@ -25,9 +25,13 @@
   may?: () => boolean
 }
 /** 'done': it was or will be carried out. 'refused': it was not. 'unclear': only the instance's status can tell. */
-export type PromotionEnd = { end: 'done' | 'refused' | 'unclear'; why: string }
+export type PromotionResult = { end: 'done' | 'refused' | 'unclear'; why: string }
 /** Sends the promotion call to the platform that manages the machines or, without one, directly to the instance. */
-export type PromotionEdge = (world: World, platform: Address | undefined, promotion: Promotion) => Promise<PromotionEnd>
+export type PromotionAdapter = (
+  world: World,
+  platform: Address | undefined,
+  promotion: PromotionRequest,
+) => Promise<PromotionResult>
 
 // The interface to the platform that manages the machines: it sends probes and receives the promotion call.
 
@@ -35,7 +39,7 @@
 export type Probes = { ready: () => string | undefined; metrics: Metrics }
 
 /** Answers GET /live, /ready and /metrics; undefined for any other path. */
-export function takeProbe(request: HttpRequest, probes: Probes): HttpResponse | undefined {
+export function answerProbe(request: HttpRequest, probes: Probes): HttpResponse | undefined {
   if (request.path === '/live') return { status: 200, body: { live: true } }
   if (request.path === '/ready') {
     const reason = probes.ready()
@@ -52,8 +56,8 @@
 export async function promote(
   world: World,
   platform: Address | undefined,
-  promotion: Promotion,
-): Promise<PromotionEnd> {
+  promotion: PromotionRequest,
+): Promise<PromotionResult> {
   const { group, instance, epoch } = promotion
   const body = { group, instance, epoch }
   const answer = await requestOnce(
--- a/packages/operator/src/against.ts
+++ b/packages/operator/src/against.ts
@@ -1,12 +1,12 @@
 import type { Finding } from '@claynotch/base'
-import { lendable, type Config, type Move } from './config.js'
+import { usableConnectionsPerProxy, type Config, type Move } from './config.js'
 import { withoutLabels } from './tenants.js'
 
 /**
  * The current state of the fleet, against which a configuration is checked, as any agent answers it on
  * GET /configuration, /moves, /members and /groups.
  */
-export type Fleet = {
+export type FleetState = {
   epoch: number
   config: Config | null
   moves?: Move[]
@@ -25,7 +25,7 @@
 }
 
 /** Describes what the next configuration would change, one line per change. */
-export function differences(current: Config | null, next: Config): string[] {
+export function describeChanges(current: Config | null, next: Config): string[] {
   const lines: string[] = []
   if (current?.proxies !== next.proxies) lines.push(`proxies: ${current?.proxies ?? 'none'} -> ${next.proxies}`)
   if (JSON.stringify(current?.policy) !== JSON.stringify(next.policy))
@@ -50,9 +50,9 @@
 }
 
 /** Findings for a valid configuration in view of the current state of the fleet: what would not work, or work badly. */
-export function checkAgainst(next: Config, fleet: Fleet): Finding[] {
+export function checkAgainstFleet(next: Config, fleet: FleetState): Finding[] {
   const findings: Finding[] = []
-  const groups = new Map<string, Fleet['groups'][number]>()
+  const groups = new Map<string, FleetState['groups'][number]>()
   for (const group of fleet.groups) groups.set(group.name, group)
   if (next.proxies !== 'live' && fleet.members.length > next.proxies)
     findings.push({
@@ -118,7 +118,10 @@
     let usableConnections = 0
     for (const lane of next.lanes)
       if (lane.team === team.name)
-        usableConnections = Math.max(usableConnections, lendable(next, lane.group, fleet.members.length))
+        usableConnections = Math.max(
+          usableConnections,
+          usableConnectionsPerProxy(next, lane.group, fleet.members.length),
+        )
     if (team.pending !== undefined && usableConnections > 0 && team.pending > usableConnections * 8)
       findings.push({
         place: `/teams/${index}/pending`,
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -91,7 +91,7 @@
  * members with a proxy, used when the configuration shares by live members; while it is unknown, each proxy may use a
  * single one.
  */
-export function lendable(config: Config, groupName: string, liveProxies?: number): number {
+export function usableConnectionsPerProxy(config: Config, groupName: string, liveProxies?: number): number {
   for (const group of config.groups) {
     if (group.name !== groupName) continue
     if (config.proxies !== 'live')
@@ -114,7 +114,7 @@
 }
 
 /** The replication guard of a group, in ms; see Group. */
-export function guardOf(config: Config | undefined, groupName: string): number | undefined {
+export function replicationGuardMsOf(config: Config | undefined, groupName: string): number | undefined {
   for (const group of config?.groups ?? []) if (group.name === groupName) return group.guard
   return undefined
 }
@@ -178,7 +178,7 @@
     }
   }
   for (const [index, group] of config.groups.entries()) {
-    if (lendable(config, group.name) < 1)
+    if (usableConnectionsPerProxy(config, group.name) < 1)
       findings.push({
         place: `/groups/${index}/connections`,
         what: `${group.connections} connections over ${config.proxies} proxies leave none to lend (each proxy keeps ${RESERVED_CONNECTIONS} back)`,
@@ -299,13 +299,13 @@
  * The answer to the sender of a change. Invariants: an accepted change is never refused afterwards; a refused change
  * that names its epoch is never accepted afterwards; each answer is based on a chosen value.
  */
-export type Verdict = Decision | UnclearAnswer
+export type ChangeAnswer = Decision | UnclearAnswer
 
 /**
  * A change as it was received. `digest`: see Decision. `team`: set if the caller may change only that team's lanes.
  * `hindered`: what in the current state of the fleet prevents the change.
  */
-export type Order = { stream: string; change: Change; digest?: string; team?: string; hindered?: Finding[] }
+export type ChangeRequest = { stream: string; change: Change; digest?: string; team?: string; hindered?: Finding[] }
 
 /**
  * A move of lanes from one group to another that is in progress. `id`: the epoch that opened it.
@@ -349,7 +349,7 @@
  *
  * `stage`: set while only some areas use `config`; the others use `prior`, the configuration of epoch `priorEpoch`.
  */
-export type Body = {
+export type ConfigurationBody = {
   epoch: number
   config: Config | null
   stage?: { areas: string[]; prior: Config; priorEpoch: number }
@@ -368,14 +368,17 @@
 }
 
 /** The configuration that an area uses, its epoch, and the moves in progress (there are none while a stage is open). */
-export function configFor(body: Body, area: string): { config: Config | null; epoch: number; moves: Move[] } {
+export function configurationForArea(
+  body: ConfigurationBody,
+  area: string,
+): { config: Config | null; epoch: number; moves: Move[] } {
   if (body.stage && !body.stage.areas.includes(area))
     return { config: body.stage.prior, epoch: body.stage.priorEpoch, moves: [] }
   return { config: body.config, epoch: body.epoch, moves: body.moves ?? [] }
 }
 
 /** The body without past changes and decisions, for readers that only use the configuration. */
-export function inForce(body: Body): Body {
+export function withoutHistory(body: ConfigurationBody): ConfigurationBody {
   return { ...body, streams: [], history: [] }
 }
 
@@ -383,7 +386,7 @@
   return config?.tenants ? { ...config, tenants: withoutLabels(config.tenants) } : config
 }
 /** The body without the tenants' labels, which contain their keys in plain text. */
-export function withoutTenantLabels(body: Body): Body {
+export function withoutTenantLabels(body: ConfigurationBody): ConfigurationBody {
   const { stage } = body
   return {
     ...body,
@@ -394,6 +397,6 @@
 
 /** Key of the register that holds the configuration. */
 export const CONFIG_KEY = 'configuration'
-export function emptyBody(): Body {
+export function emptyBody(): ConfigurationBody {
   return { epoch: 0, config: null, streams: [], history: [] }
 }
--- a/packages/operator/src/cores.ts
+++ b/packages/operator/src/cores.ts
@@ -9,7 +9,7 @@
  *   (`epoch`); 'silent', it didn't answer within LEASE_RENEWAL_TIMEOUT_MS.
  * - `heard`: ms since this agent last received something from it.
  */
-export type CoreLine = {
+export type CoreStatusEntry = {
   id: string
   addr: string
   part: 'votes' | 'stays' | 'joins' | 'leaves'
@@ -24,12 +24,12 @@
  * - `lossesBorne`: how many of these may fail, whichever they are, with a quorum remaining; 0 if there is no quorum.
  * - `spares`: core machines that are available and don't vote.
  */
-export type CoreStatus = {
+export type CoreSetStatus = {
   epoch: number
   changing: boolean
   quorum: boolean
   lossesBorne: number
-  cores: CoreLine[]
+  cores: CoreStatusEntry[]
   spares: string[]
 }
 
@@ -37,7 +37,7 @@
 const MIN_CORES_FOR_ONE_LOSS = 3
 
 /** Findings about the core set: its size, cores that don't vote, and the losses that it tolerates. */
-export function checkCores(status: CoreStatus): Finding[] {
+export function checkCores(status: CoreSetStatus): Finding[] {
   const findings: Finding[] = []
   let size = 0
   for (const core of status.cores) if (core.part !== 'joins') size++
@@ -59,7 +59,7 @@
 }
 
 /** Formats the status for people, with one line per core. */
-export function showCores(status: CoreStatus): string {
+export function formatCoreSetStatus(status: CoreSetStatus): string {
   const { epoch, changing, quorum, lossesBorne, cores, spares } = status
   const summaryLines = [
     `core set of epoch ${epoch}${changing ? ', being changed' : ''}`,
@@ -70,7 +70,7 @@
   if (spares.length > 0) coreLines.push(`spares: ${spares.join(', ')}`)
   return `${[...summaryLines, ...coreLines].join('\n')}\n`
 }
-function formatCore(core: CoreLine, epoch: number): string {
+function formatCore(core: CoreStatusEntry, epoch: number): string {
   const columns = [core.id, core.addr, core.part, core.state]
   if (core.epoch !== undefined && core.epoch !== epoch) columns.push(`epoch ${core.epoch}`)
   if (core.heard !== undefined && core.state !== 'voting') columns.push(`heard ${core.heard} ms ago`)
--- a/packages/operator/src/credentials.ts
+++ b/packages/operator/src/credentials.ts
@@ -73,7 +73,7 @@
   return found
 }
 
-/** The response that rejects the request; undefined if it is permitted. decide() checks what a change touches. */
+/** The response that rejects the request; undefined if it is permitted. evaluateChange() checks what a change touches. */
 export function checkPermission(credential: Credential | undefined, request: HttpRequest): HttpResponse | undefined {
   if (!credential)
     return {
--- a/packages/operator/src/decide.ts
+++ b/packages/operator/src/decide.ts
@@ -1,5 +1,13 @@
 import { encode, REGISTER_VALUE_LIMIT_BYTES, type Finding } from '@claynotch/base'
-import { applyEdits, readConfig, type Body, type Config, type Decision, type Move, type Order } from './config.js'
+import {
+  applyEdits,
+  readConfig,
+  type ConfigurationBody,
+  type Config,
+  type Decision,
+  type Move,
+  type ChangeRequest,
+} from './config.js'
 import { findEditsBeyondTeam } from './credentials.js'
 import { epochMadeBy, findDecision, recordDecision, recordNamedChange, mayBeForgotten, withDigest } from './kept.js'
 import { checkOpenMoves, editMoves, SYSTEM_STREAM } from './moves.js'
@@ -11,15 +19,15 @@
  * - `unclear`: nothing is written and the outcome is unknown: the change may have been accepted, or may still be.
  * - `body`: the new value to propose, with the decision that it records.
  */
-export type Evaluation = { known: Decision } | { unclear: string } | { body: Body; decision: Decision }
+export type Evaluation = { known: Decision } | { unclear: string } | { body: ConfigurationBody; decision: Decision }
 
 /** The configuration that a change produces, with the stage and the moves that are open beside it. */
-type Outcome = { config: Config; stage?: Body['stage']; moves?: Move[] }
+type Outcome = { config: Config; stage?: ConfigurationBody['stage']; moves?: Move[] }
 /** Why a check refuses the change. Checks return undefined when they find nothing wrong. */
 type RefusalReason = { why: string; findings: Finding[] }
 
 /** Evaluates a change. Pure, because the register calls it again, on the value of that time, in each round. */
-export function decide(body: Body, request: Order): Evaluation {
+export function evaluateChange(body: ConfigurationBody, request: ChangeRequest): Evaluation {
   const earlierDecision = findEarlierDecision(body, request)
   if (earlierDecision) return { known: earlierDecision }
   const unclearReason = findUnclearReason(body, request)
@@ -37,7 +45,7 @@
  * The first decision on a number stands. A different change under the same number is refused, and so is any change in
  * the system's stream, which operators may not write to.
  */
-function findEarlierDecision(body: Body, request: Order): Decision | undefined {
+function findEarlierDecision(body: ConfigurationBody, request: ChangeRequest): Decision | undefined {
   const { stream, change, digest } = request
   if (stream === SYSTEM_STREAM)
     return refusedDecision(body, request, makeRefusal(`the stream ${SYSTEM_STREAM} is the system's own`))
@@ -54,7 +62,7 @@
 }
 
 /** Why the outcome is unknown: the expected epoch is older than the history that is kept, or is still to come. */
-function findUnclearReason(body: Body, { change }: Order): string | undefined {
+function findUnclearReason(body: ConfigurationBody, { change }: ChangeRequest): string | undefined {
   const epoch = epochMadeBy(change)
   // Such a change can't have been accepted at any time.
   if (epoch <= change.expect) return undefined
@@ -68,7 +76,7 @@
 }
 
 /** Refuses a number that is lower than the latest one decided in its stream: its own decision is not known any more. */
-function refuseSkippedNumber(body: Body, { stream, change }: Order): RefusalReason | undefined {
+function refuseSkippedNumber(body: ConfigurationBody, { stream, change }: ChangeRequest): RefusalReason | undefined {
   const storedStream = body.streams.find(isStreamOfRequest)
   function isStreamOfRequest(stored: { name: string }): boolean {
     return stored.name === stream
@@ -85,7 +93,7 @@
 function makeRefusal(why: string, findings: Finding[] = []): RefusalReason {
   return { why, findings }
 }
-function refusedDecision(body: Body, request: Order, { why, findings }: RefusalReason): Decision {
+function refusedDecision(body: ConfigurationBody, request: ChangeRequest, { why, findings }: RefusalReason): Decision {
   const { stream, change, digest } = request
   return {
     stream,
@@ -99,7 +107,10 @@
 }
 
 /** Checks the sender's permission, the epochs, and what currently prevents the fleet from carrying out the change. */
-function checkRequest(body: Body, { change, team, hindered = [] }: Order): RefusalReason | undefined {
+function checkRequest(
+  body: ConfigurationBody,
+  { change, team, hindered = [] }: ChangeRequest,
+): RefusalReason | undefined {
   const foreignEdits = team === undefined ? [] : findEditsBeyondTeam(team, change, body.config)
   if (foreignEdits.length > 0) return makeRefusal("not this team's to change", foreignEdits)
   const epoch = epochMadeBy(change)
@@ -116,7 +127,7 @@
 
 // --- the new configuration ---
 
-function applyChange(body: Body, { change }: Order): Outcome | RefusalReason {
+function applyChange(body: ConfigurationBody, { change }: ChangeRequest): Outcome | RefusalReason {
   const { stage } = body
   // The open stage is extended to more areas, or to all, and nothing else changes.
   if (stage && change.stage !== undefined && change.whole === undefined && change.edits === undefined) {
@@ -142,7 +153,11 @@
 }
 
 /** Adds moves and a stage to a configuration that is valid by itself, and checks that they are compatible. */
-function applyMovesAndStage(body: Body, change: Order['change'], config: Config): Outcome | RefusalReason {
+function applyMovesAndStage(
+  body: ConfigurationBody,
+  change: ChangeRequest['change'],
+  config: Config,
+): Outcome | RefusalReason {
   const staged = body.stage !== undefined || change.stage !== undefined
   const moveResult = editMoves(body, config, change.edits ?? [], staged, epochMadeBy(change))
   if (moveResult.err) return makeRefusal('invalid move', moveResult.val)
@@ -178,14 +193,14 @@
 // --- recording the decision ---
 
 /** Records the refusal, unless the change names its epoch: such refusals are not stored. */
-function recordRefusal(body: Body, request: Order, refusal: RefusalReason): Evaluation {
+function recordRefusal(body: ConfigurationBody, request: ChangeRequest, refusal: RefusalReason): Evaluation {
   const decision = refusedDecision(body, request, refusal)
   if (request.change.epoch !== undefined) return { known: decision }
   return { body: recordDecision(body, decision), decision }
 }
 
 /** Records the accepted change, or refuses it where the register's value would become too large. */
-function recordAcceptance(body: Body, request: Order, outcome: Outcome): Evaluation {
+function recordAcceptance(body: ConfigurationBody, request: ChangeRequest, outcome: Outcome): Evaluation {
   const { stream, change, digest } = request
   const { config, stage, moves } = outcome
   const namesEpoch = change.epoch !== undefined
@@ -198,7 +213,7 @@
     findings: [],
     ...withDigest(digest),
   }
-  const next: Body = { ...body }
+  const next: ConfigurationBody = { ...body }
   delete next.stage
   delete next.moves
   if (stage) next.stage = stage
--- a/packages/operator/src/edge.ts
+++ b/packages/operator/src/edge.ts
@@ -18,17 +18,17 @@
   Change,
   CONFIG_KEY,
   emptyBody,
-  type Body,
+  type ConfigurationBody,
   type Edit,
-  type Order,
+  type ChangeRequest,
   type UnclearAnswer,
-  type Verdict,
+  type ChangeAnswer,
 } from './config.js'
-import type { CoreStatus } from './cores.js'
+import type { CoreSetStatus } from './cores.js'
 import { identifyOperator, checkPermission, type Credential } from './credentials.js'
-import { decide } from './decide.js'
+import { evaluateChange } from './decide.js'
 import { allDecisions, digestOf } from './kept.js'
-import type { TenantLine } from './tenants.js'
+import type { TenantStatus } from './tenants.js'
 
 // HTTP API for operators: accepts numbered changes, answers with decisions, and serves the views below.
 // The decision is 'unclear' if no majority settled the change in time, or if the kept history doesn't tell whether it
@@ -39,14 +39,14 @@
   /** undefined: no majority of cores answered. */
   members: () => Promise<unknown>
   /** undefined: no core set is known yet. Answered also without a majority. */
-  cores: () => Promise<CoreStatus | undefined>
+  cores: () => Promise<CoreSetStatus | undefined>
   groups: () => unknown
-  tenants: () => Promise<TenantLine[]>
+  tenants: () => Promise<TenantStatus[]>
   replace: (group: string, to: string | undefined) => Promise<{ ok: boolean; why: string }>
   /** What in the current state of the fleet prevents the moves that the edits request. */
   hinders: (edits: Edit[]) => Promise<Finding[]>
   /** The configuration as this agent knows it. */
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   /** Notified when the configuration that this agent knows changes. */
   news: Signal
 }
@@ -54,7 +54,7 @@
 const NO_MAJORITY = 'no majority of cores settled it in time; send the same number again'
 
 /** The answer 'unclear' to a change. */
-export function unclear(request: Order, why: string): UnclearAnswer {
+export function unclearAnswer(request: ChangeRequest, why: string): UnclearAnswer {
   return { stream: request.stream, number: request.change.number, decision: 'unclear', why, findings: [] }
 }
 
@@ -63,13 +63,17 @@
  * which it was made ended with the value that it read, or the value that it produced, as the chosen one. Each round
  * evaluates the change again.
  */
-export async function makeDecision(proposer: Proposer, request: Order, timeoutMs?: number): Promise<Verdict> {
+export async function submitChange(
+  proposer: Proposer,
+  request: ChangeRequest,
+  timeoutMs?: number,
+): Promise<ChangeAnswer> {
   const tag = `${request.stream}#${request.change.number}`
-  let answer: Verdict = unclear(request, NO_MAJORITY)
+  let answer: ChangeAnswer = unclearAnswer(request, NO_MAJORITY)
   function edit(current: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
-    const evaluation = decide((current?.body as Body | undefined) ?? emptyBody(), request)
+    const evaluation = evaluateChange((current?.body as ConfigurationBody | undefined) ?? emptyBody(), request)
     if ('unclear' in evaluation) {
-      answer = unclear(request, evaluation.unclear)
+      answer = unclearAnswer(request, evaluation.unclear)
       return undefined
     }
     if ('known' in evaluation) {
@@ -80,7 +84,7 @@
     return { body: evaluation.body, tag }
   }
   const proposal = await proposer.change(CONFIG_KEY, edit, timeoutMs)
-  return proposal.done ? answer : unclear(request, NO_MAJORITY)
+  return proposal.done ? answer : unclearAnswer(request, NO_MAJORITY)
 }
 
 /**
@@ -88,7 +92,7 @@
  * response itself; `raw` tells whether requests to a path stream their body. Without credentials the API is open to
  * all.
  */
-export function makeOperatorEdge(
+export function makeOperatorApi(
   world: World,
   proposer: Proposer,
   queries: OperatorQueries,
@@ -116,7 +120,7 @@
       }
     const change = parsed.val
     const hindered = await queries.hinders(change.edits ?? [])
-    const answer = await makeDecision(proposer, { stream, change, digest: digestOf(change), team, hindered })
+    const answer = await submitChange(proposer, { stream, change, digest: digestOf(change), team, hindered })
     metrics.add('claynotch_decisions_total', [['decision', answer.decision]])
     return answer
   }
@@ -158,9 +162,9 @@
     }
     return undefined
   }
-  async function readBody(): Promise<Body | undefined> {
+  async function readBody(): Promise<ConfigurationBody | undefined> {
     const lookup = await proposer.look(CONFIG_KEY)
-    return lookup.done ? ((lookup.value?.body as Body | undefined) ?? emptyBody()) : undefined
+    return lookup.done ? ((lookup.value?.body as ConfigurationBody | undefined) ?? emptyBody()) : undefined
   }
   async function handleRequest(request: HttpRequest): Promise<HttpResponse | undefined> {
     const operator = identifyOperator(credentials(), request.header('authorization'))
--- a/packages/operator/src/kept.ts
+++ b/packages/operator/src/kept.ts
@@ -7,7 +7,7 @@
   MIN_NAMED_CHANGES,
   MAX_OPERATOR_STREAMS,
 } from '@claynotch/base'
-import type { Body, Change, Config, Decision, HistoryEntry } from './config.js'
+import type { ConfigurationBody, Change, Config, Decision, HistoryEntry } from './config.js'
 
 // The history in the configuration register: decisions on changes, the epochs that they made, and from which epoch on
 // this history is complete.
@@ -15,7 +15,7 @@
 // --- reading ---
 
 /** The stored decision on a number of a stream. */
-export function findDecision(body: Body, stream: string, number: number): Decision | undefined {
+export function findDecision(body: ConfigurationBody, stream: string, number: number): Decision | undefined {
   for (const stored of body.streams)
     if (stored.name === stream) for (const decision of stored.decisions) if (decision.number === number) return decision
   for (const entry of body.history)
@@ -32,7 +32,7 @@
 }
 
 /** All stored decisions, or those of one stream, ordered by stream and number. */
-export function allDecisions(body: Body, stream?: string): Decision[] {
+export function allDecisions(body: ConfigurationBody, stream?: string): Decision[] {
   const decisions = new Map<string, Decision>()
   for (const entry of body.history) decisions.set(`${entry.stream} ${entry.number}`, acceptedDecision(entry))
   for (const stored of body.streams)
@@ -65,7 +65,7 @@
  * Whether the change may have been accepted although no stored entry shows it. This can be ruled out only if all
  * changes of its kind from its epoch on are still stored.
  */
-export function mayBeForgotten(body: Body, change: Change): boolean {
+export function mayBeForgotten(body: ConfigurationBody, change: Change): boolean {
   const namesEpoch = change.epoch !== undefined
   let oldestEpoch: number | undefined
   let count = 0
@@ -81,7 +81,7 @@
 // --- writing ---
 
 /** The body with one more decision and, if the change was accepted, the new configuration. */
-export function recordDecision(body: Body, decision: Decision, config?: Config): Body {
+export function recordDecision(body: ConfigurationBody, decision: Decision, config?: Config): ConfigurationBody {
   const { stream, number, epoch, digest } = decision
   const streams = putDecision(body.streams, decision)
   if (!config) return { ...body, streams }
@@ -90,17 +90,17 @@
   return { ...body, epoch, config, streams, history }
 }
 /** The body with an accepted change that names its epoch. */
-export function recordNamedChange(body: Body, decision: Decision, config: Config): Body {
+export function recordNamedChange(body: ConfigurationBody, decision: Decision, config: Config): ConfigurationBody {
   const { stream, number, epoch, digest } = decision
   const entry: HistoryEntry = { epoch, stream, number, ...withDigest(digest), named: true }
   const history = [...keepLatest(body.history, true, MAX_NAMED_CHANGES - 1), entry]
   return { ...body, epoch, config, history }
 }
 /** Adds a decision to its stream, which becomes the most recently used one; drops the least recently used streams. */
-function putDecision(current: Body['streams'], decision: Decision): Body['streams'] {
+function putDecision(current: ConfigurationBody['streams'], decision: Decision): ConfigurationBody['streams'] {
   let lastUse = 0
-  let decisionStream: Body['streams'][number] | undefined
-  const streams: Body['streams'] = []
+  let decisionStream: ConfigurationBody['streams'][number] | undefined
+  const streams: ConfigurationBody['streams'] = []
   for (const stored of current) {
     lastUse = Math.max(lastUse, stored.used)
     if (stored.name === decision.stream) decisionStream = stored
--- a/packages/operator/src/moves.ts
+++ b/packages/operator/src/moves.ts
@@ -1,5 +1,5 @@
 import { Ok, Err, type Finding, type Result } from '@claynotch/base'
-import type { Body, Config, Edit, Move } from './config.js'
+import type { ConfigurationBody, Config, Edit, Move } from './config.js'
 import { recordDecision } from './kept.js'
 
 // Moves of lanes between groups, stored in the configuration register. All functions here are pure, because the
@@ -9,13 +9,13 @@
 export const SYSTEM_STREAM = 'system'
 
 /** The open move that includes the lane. */
-export function moveOf(moves: Move[] | undefined, lane: string): Move | undefined {
+export function findOpenMove(moves: Move[] | undefined, lane: string): Move | undefined {
   for (const move of moves ?? []) if (move.lanes.includes(lane)) return move
   return undefined
 }
 
 /** The existing lanes that an edit selects for a move. */
-export function meantBy(edit: Extract<Edit, { op: 'move' }>, config: Config | null | undefined): Config['lanes'] {
+export function lanesToMove(edit: Extract<Edit, { op: 'move' }>, config: Config | null | undefined): Config['lanes'] {
   const lanes: Config['lanes'] = []
   for (const lane of config?.lanes ?? [])
     if (edit.lanes ? edit.lanes.includes(lane.name) : lane.group === edit.group) lanes.push(lane)
@@ -27,7 +27,7 @@
  * epoch that the change makes. `staged`: a stage is open or requested, which excludes new moves.
  */
 export function editMoves(
-  body: Body,
+  body: ConfigurationBody,
   config: Config,
   edits: Edit[],
   staged: boolean,
@@ -38,7 +38,7 @@
   for (const [index, edit] of edits.entries()) {
     if (edit.op === 'move') {
       const lanes: string[] = []
-      for (const lane of meantBy(edit, config)) lanes.push(lane.name)
+      for (const lane of lanesToMove(edit, config)) lanes.push(lane.name)
       const editFindings: Finding[] = []
       if ((edit.lanes === undefined) === (edit.group === undefined))
         editFindings.push({ place: `/edits/${index}`, what: 'exactly one of lanes and group is needed' })
@@ -70,7 +70,7 @@
             what: `the lane ${lane.name} is to the same database ${lane.database} and has to go along`,
           })
       for (const name of lanes)
-        if (moveOf(moves, name))
+        if (findOpenMove(moves, name))
           editFindings.push({ place: `/edits/${index}`, what: `the lane ${name} is being moved already` })
       findings.push(...editFindings)
       if (editFindings.length === 0)
@@ -79,7 +79,7 @@
           { id: epoch, lanes, from: [...sourceGroups][0], to: edit.to, proof: edit.proof ?? 'reported', phase: 'copy' },
         ]
     } else if (edit.op === 'confirm' || edit.op === 'calloff') {
-      const move = moveOf(moves, edit.lane)
+      const move = findOpenMove(moves, edit.lane)
       if (!move) findings.push({ place: `/edits/${index}/lane`, what: `no move of the lane ${edit.lane} is under way` })
       else if (edit.op === 'calloff') moves = withoutMove(moves, move)
       else if (move.proof !== 'confirmed')
@@ -128,18 +128,18 @@
   for (const move of moves) result.push(move.id === replacement.id ? replacement : move)
   return result
 }
-function findMoveInPhase(body: Body, id: number, phase: Move['phase']): Move | undefined {
+function findMoveInPhase(body: ConfigurationBody, id: number, phase: Move['phase']): Move | undefined {
   for (const move of body.moves ?? []) if (move.id === id && move.phase === phase) return move
   return undefined
 }
 
 /** Advances a move by one phase; undefined if it is no longer in the given phase. */
-export function stepMove(
-  body: Body,
+export function advanceMove(
+  body: ConfigurationBody,
   id: number,
   phase: Move['phase'],
   next: Pick<Move, 'phase' | 'mark'>,
-): Body | undefined {
+): ConfigurationBody | undefined {
   const move = findMoveInPhase(body, id, phase)
   return move ? { ...body, moves: replaceMove(body.moves ?? [], { ...move, ...next }) } : undefined
 }
@@ -147,7 +147,7 @@
  * Completes a move in a single register value: the lanes belong to the target group and the move is removed. Until then
  * it can be called off.
  */
-export function switchMove(body: Body, id: number): Body | undefined {
+export function completeMove(body: ConfigurationBody, id: number): ConfigurationBody | undefined {
   const move = findMoveInPhase(body, id, 'held')
   if (!move || !body.config) return undefined
   const lanes: Config['lanes'] = []
@@ -158,7 +158,12 @@
   })
 }
 /** Cancels a move that is in the given phase; the lanes stay in their group. */
-export function callOff(body: Body, id: number, phase: Move['phase'], why: string): Body | undefined {
+export function callOffMove(
+  body: ConfigurationBody,
+  id: number,
+  phase: Move['phase'],
+  why: string,
+): ConfigurationBody | undefined {
   const move = findMoveInPhase(body, id, phase)
   return move
     ? endMove(
@@ -170,7 +175,13 @@
     : undefined
 }
 /** Removes the move and records its end in the system's stream. The epoch changes only with the configuration. */
-function endMove(body: Body, move: Move, decision: 'accepted' | 'refused', why: string, config?: Config): Body {
+function endMove(
+  body: ConfigurationBody,
+  move: Move,
+  decision: 'accepted' | 'refused',
+  why: string,
+  config?: Config,
+): ConfigurationBody {
   const moves = withoutMove(body.moves ?? [], move)
   let number = 1
   for (const stored of body.streams)
--- a/packages/operator/src/tenants.ts
+++ b/packages/operator/src/tenants.ts
@@ -37,7 +37,7 @@
  * tenant's operations, and the holder's term. `out`: operations that all proxies together may run in one window, as far
  * as the holder knows; undefined if it didn't answer.
  */
-export type TenantLine = {
+export type TenantStatus = {
   name: string
   rate: number | undefined
   burst: number | undefined
--- a/packages/operator/src/test/orders.test.ts
+++ b/packages/operator/src/test/orders.test.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
 import { MAX_NAMED_CHANGES, MIN_NAMED_CHANGES } from '@claynotch/base'
-import type { Config, Change, Decision, Order } from '../config.js'
-import { emptyBody, type Body } from '../config.js'
-import { decide } from '../decide.js'
+import type { Config, Change, Decision, ChangeRequest } from '../config.js'
+import { emptyBody, type ConfigurationBody } from '../config.js'
+import { evaluateChange } from '../decide.js'
 import { digestOf } from '../kept.js'
 import { SYSTEM_STREAM } from '../moves.js'
 
 t.setTimeout(600000)
 
-// Compares decide() with a simple model that keeps the complete history: docs/design/control-safety.md, section 2.
+// Compares evaluateChange() with a simple model that keeps the complete history: docs/design/control-safety.md, section 2.
 
 function configOf(name: string, valid: boolean): Config {
   return {
@@ -24,22 +24,22 @@
 type AcceptedRequest = { key: string; content: string; epoch: number }
 type Model = { epoch: number; accepted: AcceptedRequest[]; refused: Map<string, string> }
 
-function keyOf(request: Order): string {
+function keyOf(request: ChangeRequest): string {
   return `${request.stream} ${request.change.number}`
 }
-function contentOf(request: Order): string {
+function contentOf(request: ChangeRequest): string {
   return JSON.stringify([request.change.epoch, request.change.whole])
 }
-function isValid(request: Order): boolean {
+function isValid(request: ChangeRequest): boolean {
   return (request.change.whole as Config).lanes[0].group === 'g'
 }
-function epochMadeBy(request: Order): number {
+function epochMadeBy(request: ChangeRequest): number {
   return request.change.epoch ?? request.change.expect + 1
 }
 /** The expected outcome of a request. `forgettable`: 'unclear' is allowed as well, if history has been dropped. */
 type Expected = { outcome: 'accepted' | 'refused' | 'unclear'; epoch?: number; writes: boolean; forgettable: boolean }
 
-function expectedOf(model: Model, request: Order): Expected {
+function expectedOf(model: Model, request: ChangeRequest): Expected {
   const namesEpoch = request.change.epoch !== undefined
   const acceptedBefore = model.accepted.find(hasSameKey)
   function hasSameKey(accepted: AcceptedRequest): boolean {
@@ -58,7 +58,7 @@
     return { outcome: 'refused', writes: !namesEpoch, forgettable: behind }
   return { outcome: 'accepted', epoch: epochMadeBy(request), writes: true, forgettable: false }
 }
-function recordInModel(model: Model, request: Order, decision: Decision): void {
+function recordInModel(model: Model, request: ChangeRequest, decision: Decision): void {
   if (decision.decision === 'accepted') {
     model.accepted.push({ key: keyOf(request), content: contentOf(request), epoch: decision.epoch })
     model.epoch = decision.epoch
@@ -67,14 +67,14 @@
 
 /** Decides one request with the real code and with the model, and returns the body afterwards. */
 function decideAndCompare(
-  body: Body,
+  body: ConfigurationBody,
   model: Model,
-  request: Order,
+  request: ChangeRequest,
   mayForget: boolean,
   counts: Map<string, number>,
-): Body {
+): ConfigurationBody {
   const expected = expectedOf(model, request)
-  const evaluation = decide(body, request)
+  const evaluation = evaluateChange(body, request)
   const outcome =
     'unclear' in evaluation
       ? 'unclear'
@@ -120,7 +120,7 @@
   up: fc.integer({ min: 0, max: 3 }),
   valid: fc.boolean(),
 })
-function newRequest(generated: RequestDraw, namesEpoch: boolean, epoch: number, count: number): Order {
+function newRequest(generated: RequestDraw, namesEpoch: boolean, epoch: number, count: number): ChangeRequest {
   const expect = Math.max(0, generated.base <= 0 && generated.base > -2 ? epoch : epoch + generated.base)
   const whole = configOf(`w${count}`, generated.valid || generated.back > 10)
   const change: Change = { number: 1, expect, whole, ...(namesEpoch ? { epoch: expect + generated.up } : {}) }
@@ -128,12 +128,12 @@
   change.number = count + 1
   return { stream: `s${generated.stream}`, change, digest: digestOf(change) }
 }
-function rivalOf(request: Order, count: number): Order {
+function rivalOf(request: ChangeRequest, count: number): ChangeRequest {
   const change: Change = { ...request.change, whole: configOf(`r${count}`, true) }
   if (request.change.epoch !== undefined) return { stream: `rival${count}`, change }
   return { ...request, change, digest: digestOf(change) }
 }
-function requestOf(generated: RequestDraw, namesEpoch: boolean, epoch: number, sent: Order[]): Order {
+function requestOf(generated: RequestDraw, namesEpoch: boolean, epoch: number, sent: ChangeRequest[]): ChangeRequest {
   const earlier = sent[sent.length - 1 - generated.back]
   if (generated.kind === 'again' && earlier) return earlier
   if (generated.kind === 'rival' && earlier) return rivalOf(earlier, sent.length)
@@ -145,7 +145,7 @@
   function replay(namesEpoch: boolean, draws: RequestDraw[]): void {
     let body = emptyBody()
     const model: Model = { epoch: 0, accepted: [], refused: new Map() }
-    const sent: Order[] = []
+    const sent: ChangeRequest[] = []
     for (const generated of draws) {
       const request = requestOf(generated, namesEpoch, body.epoch, sent)
       sent.push(request)
@@ -160,7 +160,7 @@
 // --- dropped history ---
 
 /** The body as an older version writes it, which kept MIN_NAMED_CHANGES changes and had no digests. */
-function trimmedByOlderVersion(body: Body): Body {
+function trimmedByOlderVersion(body: ConfigurationBody): ConfigurationBody {
   return { ...body, history: body.history.slice(-MIN_NAMED_CHANGES) }
 }
 /**
@@ -175,7 +175,7 @@
   ] as const) {
     let body = emptyBody()
     const model: Model = { epoch: 0, accepted: [], refused: new Map() }
-    const sent: Order[] = []
+    const sent: ChangeRequest[] = []
     for (let k = 0; k < count; k++) {
       const change: Change = { number: 1, expect: body.epoch, epoch: body.epoch + 2, whole: configOf(`n${k}`, true) }
       const request = { stream: `digest${k}`, change }
@@ -203,8 +203,11 @@
   let body = emptyBody()
   const model: Model = { epoch: 0, accepted: [], refused: new Map() }
   const counts = new Map<string, number>()
-  const first: Order = { stream: 'a', change: { number: 1, expect: 0, epoch: 3, whole: configOf('a', true) } }
-  const lowerEpoch: Order = { stream: 'b', change: { number: 1, expect: 0, epoch: 1, whole: configOf('b', true) } }
+  const first: ChangeRequest = { stream: 'a', change: { number: 1, expect: 0, epoch: 3, whole: configOf('a', true) } }
+  const lowerEpoch: ChangeRequest = {
+    stream: 'b',
+    change: { number: 1, expect: 0, epoch: 1, whole: configOf('b', true) },
+  }
   body = decideAndCompare(body, model, first, false, counts)
   decideAndCompare(body, model, lowerEpoch, false, counts)
   test.equal(counts.get('refused'), 1, 'epoch below the first accepted change')
@@ -212,35 +215,35 @@
 
 /** A change that is sent again with a newer expected epoch is the same change. The system's stream is not writable. */
 function reusedNumbers(test: Test): void {
-  function requestNumber7(expect: number, name: string): Order {
+  function requestNumber7(expect: number, name: string): ChangeRequest {
     const change: Change = { number: 7, expect, whole: configOf(name, true) }
     return { stream: 'desk', change, digest: digestOf(change) }
   }
-  const evaluation = decide(emptyBody(), requestNumber7(0, 'a'))
+  const evaluation = evaluateChange(emptyBody(), requestNumber7(0, 'a'))
   if (!('body' in evaluation)) throw new Error('the first change was not accepted')
   const { body } = evaluation
-  test.match(decide(body, requestNumber7(0, 'a')), { known: { decision: 'accepted', epoch: 1 } })
+  test.match(evaluateChange(body, requestNumber7(0, 'a')), { known: { decision: 'accepted', epoch: 1 } })
   test.match(
-    decide(body, requestNumber7(1, 'a')),
+    evaluateChange(body, requestNumber7(1, 'a')),
     { known: { decision: 'accepted', epoch: 1 } },
     'sent again with the current epoch',
   )
-  test.match(decide(body, requestNumber7(0, 'b')), {
+  test.match(evaluateChange(body, requestNumber7(0, 'b')), {
     known: { decision: 'refused', why: /another change's, which was accepted/ },
   })
-  test.match(decide(body, requestNumber7(1, 'b')), { known: { decision: 'refused' } })
+  test.match(evaluateChange(body, requestNumber7(1, 'b')), { known: { decision: 'refused' } })
   // A version without digests wrote it, so only the number identifies the change.
-  const bodyWithoutDigests: Body = JSON.parse(JSON.stringify(body, dropDigest)) as Body
+  const bodyWithoutDigests: ConfigurationBody = JSON.parse(JSON.stringify(body, dropDigest)) as ConfigurationBody
   function dropDigest(key: string, value: unknown): unknown {
     return key === 'digest' ? undefined : value
   }
   test.match(
-    decide(bodyWithoutDigests, requestNumber7(1, 'b')),
+    evaluateChange(bodyWithoutDigests, requestNumber7(1, 'b')),
     { known: { decision: 'accepted', epoch: 1 } },
     'as the older version decided',
   )
   const system = { ...requestNumber7(1, 'c'), stream: SYSTEM_STREAM }
-  test.match(decide(body, system), { known: { decision: 'refused', why: /system's own/ } })
+  test.match(evaluateChange(body, system), { known: { decision: 'refused', why: /system's own/ } })
 }
 
 function asyncTest(run: (test: Test) => void): (test: Test) => Promise<void> {
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -24,7 +24,7 @@
   type HttpResponse,
   type World,
 } from '@claynotch/base'
-import { CONFIG_KEY, lendable } from '@claynotch/operator'
+import { CONFIG_KEY, usableConnectionsPerProxy } from '@claynotch/operator'
 import { AgentFeed, groupOf, type ProxyReport } from '@claynotch/register'
 import { provedStalenessMs } from './freshness.js'
 import { makeClientMemory } from './client-memory.js'
@@ -106,7 +106,8 @@
       const config = state.config()
       let whole = true
       if (config && config.proxies !== 'live')
-        for (const [name, one] of watch.all()) if (!pool.shrink(name, lendable(config, one.group))) whole = false
+        for (const [name, one] of watch.all())
+          if (!pool.shrink(name, usableConnectionsPerProxy(config, one.group))) whole = false
       // A lane whose move eases or drains has done so once what was to end has ended.
       for (const lane of state.rules()?.lanes.values() ?? []) {
         if (
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -142,7 +142,9 @@
     rule: 'an invalid configuration takes effect',
     scenario: 'operators-race',
     seeds: [1, 4],
-    edits: [['operator/dist/config.js', 'return out.length > 0 ? Err(out) : Ok(config);', 'return Ok(config);']],
+    edits: [
+      ['operator/dist/config.js', 'return findings.length > 0 ? Err(findings) : Ok(config);', 'return Ok(config);'],
+    ],
   },
   {
     name: 'no-sync',
@@ -723,7 +725,9 @@
     rule: 'a proxy is fed keys in plain',
     test: 'platform/dist/test/tenant-keys.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/proxy-link.js', 'withoutTenantLabels(inForce(value.body))', 'inForce(value.body)']],
+    edits: [
+      ['agent/dist/proxy-link.js', 'withoutTenantLabels(withoutHistory(value.body))', 'withoutHistory(value.body)'],
+    ],
   },
   {
     on: 'platform',
@@ -784,7 +788,9 @@
     rule: 'CONFIG: an invalid one is taken',
     scenario: 'invalid',
     seeds: [1, 2],
-    edits: [['operator/dist/config.js', 'return out.length > 0 ? Err(out) : Ok(config);', 'return Ok(config);']],
+    edits: [
+      ['operator/dist/config.js', 'return findings.length > 0 ? Err(findings) : Ok(config);', 'return Ok(config);'],
+    ],
   },
   {
     on: 'platform',
@@ -1061,7 +1067,9 @@
     rule: 'a decision is told only of a round that settled',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['operator/dist/edge.js', 'return got.done ? out : unclear(order, NO_MAJORITY);', 'return out;']],
+    edits: [
+      ['operator/dist/edge.js', 'return proposal.done ? answer : unclearAnswer(request, NO_MAJORITY);', 'return out;'],
+    ],
   },
   {
     on: 'platform',
@@ -1072,7 +1080,7 @@
     edits: [
       [
         'agent/dist/configuration-service.js',
-        "isCutOff() ? unclear(order, 'this machine reaches no majority of cores') : await decide(order)",
+        "isCutOff() ? unclearAnswer(order, 'this machine reaches no majority of cores') : await decide(order)",
         'await decide(order)',
       ],
     ],
@@ -1122,7 +1130,7 @@
     edits: [
       [
         'operator/dist/decide.js',
-        'first?.digest === undefined || digest === undefined || first.digest === digest',
+        'earlierDecision?.digest === undefined || digest === undefined || earlierDecision.digest === digest',
         'true',
       ],
     ],
@@ -1132,7 +1140,14 @@
     rule: 'an order that was taken is refused when it is sent again',
     test: 'packages/fleet/dist/test/orders.test.js',
     seeds: [1, 1],
-    edits: [['operator/dist/decide.js', 'if (first) return { known: first };', '']],
+    edits: [
+      [
+        'operator/dist/decide.js',
+        `if (earlierDecision)
+        return { known: earlierDecision };`,
+        '',
+      ],
+    ],
   },
   {
     name: 'forgotten-refused',
@@ -1146,7 +1161,7 @@
     rule: 'an order that an earlier program dropped is refused when it is sent again',
     test: 'packages/operator/dist/test/orders.test.js',
     seeds: [1, 1],
-    edits: [['operator/dist/kept.js', 'named ? MIN_NAMED_CHANGES : MAX_HISTORY_ENTRIES', '1024']],
+    edits: [['operator/dist/kept.js', 'namesEpoch ? MIN_NAMED_CHANGES : MAX_HISTORY_ENTRIES', '1024']],
   },
   {
     name: 'coming-refused',
@@ -1167,7 +1182,9 @@
     rule: 'a decision is told from a round that did not end',
     test: 'orders.test.js',
     seeds: [1, 1],
-    edits: [['operator/dist/edge.js', 'return got.done ? out : unclear(order, NO_MAJORITY);', 'return out;']],
+    edits: [
+      ['operator/dist/edge.js', 'return proposal.done ? answer : unclearAnswer(request, NO_MAJORITY);', 'return out;'],
+    ],
   },
   {
     name: 'stream-without-content',
@@ -1184,7 +1201,11 @@
     test: 'platform/dist/test/orders.test.js',
     seeds: [1, 1],
     edits: [
-      ['operator/dist/kept.js', 'lastOf(body.history, true, MAX_NAMED_CHANGES - 1)', 'lastOf(body.history, true, 200)'],
+      [
+        'operator/dist/kept.js',
+        'keepLatest(body.history, true, MAX_NAMED_CHANGES - 1)',
+        'keepLatest(body.history, true, 200)',
+      ],
     ],
   },
   {
