--- a/packages/proxy/src/adapter.ts
+++ b/packages/proxy/src/adapter.ts
@@ -9,32 +9,34 @@
 } from '@claynotch/base'
 import { takeProbe, type Probes } from '@claynotch/host'
 import { httpInstanceAdapter, type InstanceAdapter } from '@claynotch/instance'
-import { readDeadline, readWord, writeVerdict } from '@claynotch/requester'
+import { parseDeadline, parseRequest, formatVerdict } from '@claynotch/requester'
 import type { ClientMemory } from './client-memory.js'
 import type { Sessions } from './sessions.js'
 
-/** connections: held at most; further ones are closed at once. */
+/** Where to listen for clients. connections: maximum number of open connections; further ones are closed at once. */
 export type ClientListenOptions = { addr: Address; connections: number }
 
-// How a proxy speaks with its peers, chosen when the process starts.
+/** Serves clients over one wire protocol; chosen when the process starts. */
 export type ClientAdapter = (
   world: World,
   options: ClientListenOptions,
   sessions: Sessions,
   memory: ClientMemory,
 ) => Promise<HttpListener>
-// Answers who asks whether this process is well; undefined: no such path.
-export type HealthCheckAdapter = (ask: HttpRequest, probes: Probes) => HttpResponse | undefined
+/** Answers health check requests; undefined: no such path. */
+export type HealthCheckAdapter = (request: HttpRequest, probes: Probes) => HttpResponse | undefined
+/** The protocols that a proxy speaks: with instances, with clients and for health checks. */
 export type ProxyAdapters = { instance: InstanceAdapter; requester: ClientAdapter; probes: HealthCheckAdapter }
 
 function httpRequester(world: World, options: ClientListenOptions, sessions: Sessions): Promise<HttpListener> {
-  async function handle(ask: HttpRequest): Promise<HttpResponse> {
-    const word = readWord(ask)
-    if (word.err) return badInput(word.val.status, word.val.why, word.val.findings)
-    const ms = readDeadline(ask)
-    if (ms.err) return badInput(400, 'not understood', ms.val)
-    return writeVerdict(await sessions.run(word.val, ms.val, ask.gone))
+  async function handle(request: HttpRequest): Promise<HttpResponse> {
+    const clientRequest = parseRequest(request)
+    if (clientRequest.err) return badInput(clientRequest.val.status, clientRequest.val.why, clientRequest.val.findings)
+    const timeoutMs = parseDeadline(request)
+    if (timeoutMs.err) return badInput(400, 'not understood', timeoutMs.val)
+    return formatVerdict(await sessions.run(clientRequest.val, timeoutMs.val, request.gone))
   }
   return serveHttp(world, options.addr, handle, { lines: options.connections })
 }
+/** The adapters of the project's own HTTP protocol. */
 export const ownAdapters: ProxyAdapters = { instance: httpInstanceAdapter, requester: httpRequester, probes: takeProbe }
--- a/packages/proxy/src/client-memory.ts
+++ b/packages/proxy/src/client-memory.ts
@@ -6,49 +6,53 @@
   type Metrics,
 } from '@claynotch/base'
 
+/** The memory of one client connection. */
 export type ClientAccount = {
   /**
-   * Says what the connection holds now: whole questions that are not answered yet, the bytes of these and of the beginning of a
-   * further one, and the bytes of answers that the client has not read. false: all connections together hold too much, and this
-   * one is to be ended.
+   * Sets what the connection holds now: the number of complete requests that are not answered yet, the bytes of these
+   * and of a further, incomplete one, and the bytes of answers that the client hasn't read. false: all connections
+   * together exceed their limit, and this one must be closed.
+   */
+  set: (pendingRequests: number, pendingBytes: number, unreadBytes: number) => boolean
+  /**
+   * Whether to read more from the connection. A single request may be as long as the wire protocol allows, and is read
+   * to its end.
    */
-  set: (questions: number, questionBytes: number, unreadBytes: number) => boolean
-  /** Whether more is to be read from the connection. A single question may be as long as the wire allows, and is read to its end. */
   mayRead: () => boolean
-  /** Whether its next question may be taken up. */
+  /** Whether processing of the connection's next request may begin. */
   mayAnswer: () => boolean
   close: () => void
 }
 
 /**
- * The memory that client connections hold: questions not answered yet, and answers not read yet.
+ * Accounts for the memory of client connections: requests not answered yet, and answers not read yet.
  *
- * Invariants: the total is the sum over all open accounts; a connection is read on only while it holds few questions, and its
- * questions are taken up only while it reads its answers.
+ * Invariants: the total is the sum over all open accounts; a connection is read only while it holds few unanswered
+ * requests, and its requests are processed only while the client reads its answers.
  */
 export type ClientMemory = { open: () => ClientAccount; totalBytes: () => number }
 
 export function makeClientMemory(metrics: Metrics): ClientMemory {
-  let total = 0
+  let totalHeld = 0
 
   function open(): ClientAccount {
-    let questions = 0
-    let questionBytes = 0
+    let pendingRequests = 0
+    let pendingBytes = 0
     let unreadBytes = 0
 
-    function set(nextQuestions: number, nextQuestionBytes: number, nextUnreadBytes: number): boolean {
-      const growth = nextQuestionBytes + nextUnreadBytes - questionBytes - unreadBytes
-      questions = nextQuestions
-      questionBytes = nextQuestionBytes
+    function set(nextPendingRequests: number, nextPendingBytes: number, nextUnreadBytes: number): boolean {
+      const growth = nextPendingBytes + nextUnreadBytes - pendingBytes - unreadBytes
+      pendingRequests = nextPendingRequests
+      pendingBytes = nextPendingBytes
       unreadBytes = nextUnreadBytes
-      total += growth
-      if (growth <= 0 || total <= ALL_CLIENTS_MEMORY_LIMIT_BYTES) return true
+      totalHeld += growth
+      if (growth <= 0 || totalHeld <= ALL_CLIENTS_MEMORY_LIMIT_BYTES) return true
       metrics.add('claynotch_clients_over_memory_total')
       return false
     }
     function mayRead(): boolean {
-      if (questions === 0) return true
-      return questions <= CLIENT_QUESTIONS_LIMIT && questionBytes <= CLIENT_QUESTIONS_LIMIT_BYTES
+      if (pendingRequests === 0) return true
+      return pendingRequests <= CLIENT_QUESTIONS_LIMIT && pendingBytes <= CLIENT_QUESTIONS_LIMIT_BYTES
     }
     function mayAnswer(): boolean {
       return unreadBytes <= CLIENT_UNREAD_ANSWERS_LIMIT_BYTES
@@ -59,7 +63,7 @@
     return { set, mayRead, mayAnswer, close }
   }
   function totalBytes(): number {
-    return total
+    return totalHeld
   }
   return { open, totalBytes }
 }
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -14,86 +14,110 @@
 } from '@claynotch/base'
 import type { InstanceAdapter, InstanceConnection, RequestError, InstanceAddress } from '@claynotch/instance'
 
-// What a borrower needs in force on its connection.
+/**
+ * What a connection must have: its database, settings, prepared shapes and tenant; and whose share it counts against.
+ */
 export type ConnectionRequirements = {
   database: string
   settings: [string, string][]
   shapes: Map<string, string>
+  /** Waiters are served in the order of their team's checked-out connections divided by share. */
   team: string
   share: number
-  /** In whose name the connection must have been opened. */
+  /** The tenant that the connection must have been opened for. */
   tenant?: string
-  /** The connection isn't kept idle, as there are fewer of them than proxies: who gives it back closes it. */
+  /**
+   * Close the connection at check-in unless another call waits for one: the instance has fewer connections than there
+   * are proxies, so none is kept idle.
+   */
   closesAfterUse?: boolean
 }
 
-// Invariants:
-// - a connection has at most one borrower, from lend() to back() or drop();
-// - lent + idle + opening never passes the limit given by the configuration for this node;
-// - a connection is lent to the tenant alone in whose name it was opened;
-// - only a connection known to be clean is lent again; whatever ended unclear is closed;
-// - set holds exactly the settings, and shapes the shapes, that were put in force and answered for.
-type Conn = {
-  port: InstanceConnection
+/**
+ * An open connection of the pool.
+ *
+ * Invariants:
+ * - a connection has at most one user, from checkOut() to the check-in;
+ * - checked-out, idle and opening connections together never exceed this node's limit for the instance, as configured;
+ * - a connection is used only by the tenant that it was opened for;
+ * - only a connection known to be clean is reused; one whose last use ended in an unknown state is closed;
+ * - settings and shapes hold exactly what the instance has acknowledged on this connection.
+ */
+type PooledConnection = {
+  instanceConnection: InstanceConnection
   tenant: string | undefined
-  set: Map<string, string>
+  settings: Map<string, string>
   shapes: Set<string>
   idleSince: number
 }
 
+/** A connection in use by one caller, until it is checked in. */
 export type CheckedOutConnection = {
   port: InstanceConnection
   instance: string
+  /** The name under which a shape of this text is registered on the connection. */
   shapeId: (text: string) => string
-  // Puts a shape, or one more setting, in force on the connection as it is, also within a transaction.
-  shape: (text: string) => Promise<RequestError | undefined>
+  /** Registers a shape on the connection, without a reset; allowed within a transaction. */
+  prepareShape: (text: string) => Promise<RequestError | undefined>
+  /** Applies one more setting to the connection, without a reset; allowed within a transaction. */
   setting: (name: string, value: string) => Promise<RequestError | undefined>
-  // Gives the connection back; clean is false where its state isn't known for sure.
-  end: (clean: boolean) => void
+  /** Checks the connection in; isClean: its state is known for certain, so it may be reused. */
+  end: (isClean: boolean) => void
 }
 
-type Waiter = { need: ConnectionRequirements; wake: Flag }
-type Place = {
+/** A caller that waits for a free connection. */
+type Waiter = { requirements: ConnectionRequirements; wake: Flag }
+/** The connections to one instance at one address. */
+type InstancePool = {
   addr: string
   limit: number
-  idle: Conn[]
-  lent: number
-  opening: number
+  idle: PooledConnection[]
+  checkedOutCount: number
+  openingCount: number
   waiters: Waiter[]
-  usage: Map<string, number>
+  checkedOutByTeam: Map<string, number>
 }
 
+/** The connections of this proxy to the instances. */
 export type Pool = {
+  /**
+   * Checks out a connection with the requirements applied: an idle one or a new one, or the next to be checked in.
+   * timeouts in ms: free, to wait for a connection; dial, to open one.
+   */
   borrow: (
-    who: InstanceAddress,
+    address: InstanceAddress,
     limit: number,
-    need: ConnectionRequirements,
-    waits: { free: number; dial: number },
-    gone: Flag,
+    requirements: ConnectionRequirements,
+    timeouts: { free: number; dial: number },
+    callerGone: Flag,
   ) => Promise<Result<CheckedOutConnection, RequestError>>
+  /** Number of connections to the instance that are idle, in use or being opened. */
   open: (instance: string) => number
-  // Closes what is idle over the limit; true once no more than that are open.
-  shrink: (instance: string, limit: number) => boolean
+  /** Closes idle connections over the limit; true once no more than the limit are open. */
+  closeIdleOverLimit: (instance: string, limit: number) => boolean
+  /** Closes the idle connections, at shutdown. */
   close: () => void
 }
 
-// The settings that must be in force, and no others. A connection that must be told its database takes it as one.
-function wantedOf(need: ConnectionRequirements, named: boolean): Map<string, string> {
-  const out = new Map<string, string>(named ? [[BASE, need.database]] : [])
-  for (const [name, value] of need.settings) out.set(name, value)
-  return out
+/**
+ * The settings that must be applied, and no others. Where a connection must be given its database, it is one of them.
+ */
+function settingsFor(requirements: ConnectionRequirements, needsDatabase: boolean): Map<string, string> {
+  const settings = new Map<string, string>(needsDatabase ? [[DATABASE_SETTING, requirements.database]] : [])
+  for (const [name, value] of requirements.settings) settings.set(name, value)
+  return settings
 }
-const BASE = 'database'
+const DATABASE_SETTING = 'database'
 function sameSettings(a: Map<string, string>, b: Map<string, string>): boolean {
   if (a.size !== b.size) return false
   for (const [name, value] of a) if (b.get(name) !== value) return false
   return true
 }
 
-/** Whether the settings in force on it are short enough to be kept in memory while nobody uses it. */
-function isWorthKeeping({ set }: Conn): boolean {
+/** Whether the connection's settings are short enough to be kept in memory while it is idle. */
+function isWorthKeeping({ settings }: PooledConnection): boolean {
   let bytes = 0
-  for (const [name, value] of set) bytes += name.length + value.length
+  for (const [name, value] of settings) bytes += name.length + value.length
   return bytes <= IDLE_CONNECTION_SETTINGS_LIMIT_BYTES
 }
 
@@ -101,162 +125,194 @@
   return `s${createHash('sha1').update(text).digest('hex').slice(0, 20)}`
 }
 
-export function makePool(world: World, edge: InstanceAdapter, stop: Flag, metrics: Metrics): Pool {
-  const places = new Map<string, Place>()
+export function makePool(world: World, adapter: InstanceAdapter, stop: Flag, metrics: Metrics): Pool {
+  const poolByInstance = new Map<string, InstancePool>()
 
-  function place(instance: string, addr: string): Place {
-    const old = places.get(instance)
-    if (old && old.addr === addr) return old
-    for (const c of old?.idle ?? []) c.port.close()
-    const fresh: Place = { addr, limit: 0, idle: [], lent: 0, opening: 0, waiters: [], usage: new Map() }
-    places.set(instance, fresh)
-    return fresh
+  function poolOf(instance: string, addr: string): InstancePool {
+    const existing = poolByInstance.get(instance)
+    if (existing && existing.addr === addr) return existing
+    for (const connection of existing?.idle ?? []) connection.instanceConnection.close()
+    const created: InstancePool = {
+      addr,
+      limit: 0,
+      idle: [],
+      checkedOutCount: 0,
+      openingCount: 0,
+      waiters: [],
+      checkedOutByTeam: new Map(),
+    }
+    poolByInstance.set(instance, created)
+    return created
   }
   function sweep(): void {
     const now = world.now()
-    for (const p of places.values()) {
-      const keep: Conn[] = []
-      for (const c of p.idle) {
-        // Closed before the instance's own keep-alive would, so that a stale connection is not written to.
-        if (!c.port.alive() || now - c.idleSince > edge.idle) c.port.close()
-        else keep.push(c)
+    for (const pool of poolByInstance.values()) {
+      const kept: PooledConnection[] = []
+      for (const connection of pool.idle) {
+        // Closed before the instance's own idle timeout, so that no request is written to a connection that it closed.
+        if (!connection.instanceConnection.alive() || now - connection.idleSince > adapter.idle)
+          connection.instanceConnection.close()
+        else kept.push(connection)
       }
-      p.idle = keep
+      pool.idle = kept
     }
   }
-  void loop(world, 'pool', edge.idle / 6, stop, sweep)
+  void loop(world, 'pool', adapter.idle / 6, stop, sweep)
 
-  function count(p: Place): number {
-    return p.idle.length + p.lent + p.opening
+  function countOpen(pool: InstancePool): number {
+    return pool.idle.length + pool.checkedOutCount + pool.openingCount
   }
-  // The waiter whose team holds the least for its share goes first; within a team, who came first.
-  function wakeNext(p: Place): void {
-    let best: Waiter | undefined
-    let least = Infinity
-    for (const w of p.waiters) {
-      const held = (p.usage.get(w.need.team) ?? 0) / w.need.share
-      if (held < least) {
-        least = held
-        best = w
+  /**
+   * Wakes the waiter whose team uses the fewest connections for its share; within a team, the one that waits longest.
+   */
+  function wakeNext(pool: InstancePool): void {
+    let nextWaiter: Waiter | undefined
+    let lowestUsage = Infinity
+    for (const waiter of pool.waiters) {
+      const usage = (pool.checkedOutByTeam.get(waiter.requirements.team) ?? 0) / waiter.requirements.share
+      if (usage < lowestUsage) {
+        lowestUsage = usage
+        nextWaiter = waiter
       }
     }
-    if (!best) return
-    p.waiters.splice(p.waiters.indexOf(best), 1)
-    best.wake.fire()
+    if (!nextWaiter) return
+    pool.waiters.splice(pool.waiters.indexOf(nextWaiter), 1)
+    nextWaiter.wake.fire()
   }
-  // Of the tenant's, first one that has just what is wanted, then one with nothing to take back, then any.
-  function pick(p: Place, want: Map<string, string>, tenant: string | undefined): Conn | undefined {
-    let any = -1
-    let bare = -1
-    for (let k = p.idle.length - 1; k >= 0; k--) {
-      const c = p.idle[k]
-      if (!c.port.alive()) {
-        p.idle.splice(k, 1)
-        if (any > k) any--
-        if (bare > k) bare--
+  /**
+   * Takes one of the tenant's idle connections: preferably one with exactly the required settings, else one without
+   * settings (it needs no reset), else any.
+   */
+  function takeBestIdle(
+    pool: InstancePool,
+    requiredSettings: Map<string, string>,
+    tenant: string | undefined,
+  ): PooledConnection | undefined {
+    let anyIndex = -1
+    let unconfiguredIndex = -1
+    for (let index = pool.idle.length - 1; index >= 0; index--) {
+      const connection = pool.idle[index]
+      if (!connection.instanceConnection.alive()) {
+        pool.idle.splice(index, 1)
+        if (anyIndex > index) anyIndex--
+        if (unconfiguredIndex > index) unconfiguredIndex--
         continue
       }
-      if (c.tenant !== tenant) continue
-      if (sameSettings(c.set, want)) return p.idle.splice(k, 1)[0]
-      if (c.set.size === 0) bare = k
-      any = k
+      if (connection.tenant !== tenant) continue
+      if (sameSettings(connection.settings, requiredSettings)) return pool.idle.splice(index, 1)[0]
+      if (connection.settings.size === 0) unconfiguredIndex = index
+      anyIndex = index
     }
-    const at = bare >= 0 ? bare : any
-    return at >= 0 ? p.idle.splice(at, 1)[0] : undefined
+    const bestIndex = unconfiguredIndex >= 0 ? unconfiguredIndex : anyIndex
+    return bestIndex >= 0 ? pool.idle.splice(bestIndex, 1)[0] : undefined
   }
-  /** One to lend; 'open': a new one may be opened, in place of another tenant's idle one where there is no room for more. */
-  function takeIdle(p: Place, want: Map<string, string>, need: ConnectionRequirements): Conn | 'open' | undefined {
-    const found = pick(p, want, need.tenant)
+  /**
+   * An idle connection of the tenant; or 'open': a new one may be opened, and at the limit an idle connection of
+   * another tenant was closed for it.
+   */
+  function takeIdle(
+    pool: InstancePool,
+    requiredSettings: Map<string, string>,
+    requirements: ConnectionRequirements,
+  ): PooledConnection | 'open' | undefined {
+    const found = takeBestIdle(pool, requiredSettings, requirements.tenant)
     if (found) return found
-    if (count(p) >= p.limit && p.idle.length > 0) {
-      p.idle.shift()?.port.close()
+    if (countOpen(pool) >= pool.limit && pool.idle.length > 0) {
+      pool.idle.shift()?.instanceConnection.close()
       metrics.add('claynotch_pool_tenant_changes_total')
     }
-    return count(p) < p.limit ? 'open' : undefined
+    return countOpen(pool) < pool.limit ? 'open' : undefined
   }
-  // Puts the settings in force. false: unclear, the connection must go.
+  /** Applies the settings and shapes. After an error, the connection's state is unknown and it must be closed. */
   async function prepare(
-    c: Conn,
-    need: ConnectionRequirements,
-    want: Map<string, string>,
+    connection: PooledConnection,
+    requirements: ConnectionRequirements,
+    requiredSettings: Map<string, string>,
   ): Promise<RequestError | undefined> {
-    let isResetDue = c.shapes.size > CONNECTION_SHAPES_LIMIT
-    for (const name of c.set.keys()) if (!want.has(name)) isResetDue = true
+    let isResetDue = connection.shapes.size > CONNECTION_SHAPES_LIMIT
+    for (const name of connection.settings.keys()) if (!requiredSettings.has(name)) isResetDue = true
     if (isResetDue) {
-      const clear = await c.port.reset(RESET_TIMEOUT_MS)
-      if (clear.err) return { ...clear.val, reach: 'none' }
-      c.set.clear()
-      c.shapes.clear()
+      const resetResult = await connection.instanceConnection.reset(RESET_TIMEOUT_MS)
+      if (resetResult.err) return { ...resetResult.val, reach: 'none' }
+      connection.settings.clear()
+      connection.shapes.clear()
     }
     const pairs: [string, string][] = []
-    for (const [name, value] of want) if (c.set.get(name) !== value) pairs.push([name, value])
+    for (const [name, value] of requiredSettings) if (connection.settings.get(name) !== value) pairs.push([name, value])
     if (pairs.length > 0) {
-      const put = await c.port.settings(pairs, RESET_TIMEOUT_MS)
-      // The instance's own refusal of a setting is final; reach speaks of the try, which has not begun.
-      if (put.err) return put.val.reach === 'answered' ? put.val : { ...put.val, reach: 'none' }
-      for (const [name, value] of pairs) c.set.set(name, value)
+      const result = await connection.instanceConnection.settings(pairs, RESET_TIMEOUT_MS)
+      // If the instance itself rejects a setting, that is final. Otherwise reach is 'none', as it describes the
+      // caller's attempt, of which nothing was sent yet.
+      if (result.err) return result.val.reach === 'answered' ? result.val : { ...result.val, reach: 'none' }
+      for (const [name, value] of pairs) connection.settings.set(name, value)
     }
-    for (const text of need.shapes.values()) {
-      const bad = await putShape(c, text)
-      if (bad) return bad
+    for (const text of requirements.shapes.values()) {
+      const error = await registerShape(connection, text)
+      if (error) return error
     }
     return undefined
   }
-  async function putShape(c: Conn, text: string): Promise<RequestError | undefined> {
+  async function registerShape(connection: PooledConnection, text: string): Promise<RequestError | undefined> {
     const id = shapeId(text)
-    if (c.shapes.has(id)) return undefined
-    const put = await c.port.shape(id, text, RESET_TIMEOUT_MS)
-    if (put.err) return put.val.reach === 'answered' ? put.val : { ...put.val, reach: 'none' }
-    c.shapes.add(id)
+    if (connection.shapes.has(id)) return undefined
+    const result = await connection.instanceConnection.shape(id, text, RESET_TIMEOUT_MS)
+    if (result.err) return result.val.reach === 'answered' ? result.val : { ...result.val, reach: 'none' }
+    connection.shapes.add(id)
     return undefined
   }
-  function usageOf(p: Place, team: string, by: number): void {
-    p.usage.set(team, (p.usage.get(team) ?? 0) + by)
+  function addUsage(pool: InstancePool, team: string, delta: number): void {
+    pool.checkedOutByTeam.set(team, (pool.checkedOutByTeam.get(team) ?? 0) + delta)
   }
 
-  async function borrow(
-    who: InstanceAddress,
+  async function checkOut(
+    address: InstanceAddress,
     limit: number,
-    need: ConnectionRequirements,
-    waits: { free: number; dial: number },
-    gone: Flag,
+    requirements: ConnectionRequirements,
+    timeouts: { free: number; dial: number },
+    callerGone: Flag,
   ): Promise<Result<CheckedOutConnection, RequestError>> {
-    const { name: instance, addr } = who
-    const p = place(instance, addr)
-    const want = wantedOf(need, edge.named)
-    p.limit = limit
-    const end = world.now() + waits.free
-    const asTenant = need.tenant === undefined ? who : { ...who, tenant: need.tenant }
-    let c: Conn | undefined
+    const { name: instance, addr } = address
+    const pool = poolOf(instance, addr)
+    const requiredSettings = settingsFor(requirements, adapter.named)
+    pool.limit = limit
+    const waitDeadline = world.now() + timeouts.free
+    const tenantAddress = requirements.tenant === undefined ? address : { ...address, tenant: requirements.tenant }
+    let idleOrNew: PooledConnection | undefined
     let isWoken = false
     for (;;) {
-      // Those who wait already are not overtaken by one who just came.
-      const mayTake = isWoken || p.waiters.length === 0 || p.idle.length > p.waiters.length
+      // A new caller doesn't overtake those that already wait.
+      const mayTake = isWoken || pool.waiters.length === 0 || pool.idle.length > pool.waiters.length
       isWoken = false
-      const found = mayTake ? takeIdle(p, want, need) : undefined
+      const found = mayTake ? takeIdle(pool, requiredSettings, requirements) : undefined
       if (found !== undefined && found !== 'open') {
-        c = found
-        p.lent++
+        idleOrNew = found
+        pool.checkedOutCount++
         break
       }
-      if (count(p) < limit) {
-        p.opening++
-        const got = await edge.open(world, asTenant, waits.dial)
-        p.opening--
-        if (got.err) {
+      if (countOpen(pool) < limit) {
+        pool.openingCount++
+        const opened = await adapter.open(world, tenantAddress, timeouts.dial)
+        pool.openingCount--
+        if (opened.err) {
           metrics.add('claynotch_pool_dials_failed_total', [['instance', instance]])
-          wakeNext(p)
-          return got
+          wakeNext(pool)
+          return opened
         }
         metrics.add('claynotch_pool_dials_total', [['instance', instance]])
-        c = { port: got.val, tenant: need.tenant, set: new Map(), shapes: new Set(), idleSince: 0 }
-        p.lent++
+        idleOrNew = {
+          instanceConnection: opened.val,
+          tenant: requirements.tenant,
+          settings: new Map(),
+          shapes: new Set(),
+          idleSince: 0,
+        }
+        pool.checkedOutCount++
         break
       }
-      const left = end - world.now()
-      if (left <= 0 || gone.fired() || limit < 1) {
-        // A wake that this one can't use any more goes on to the next.
-        if (p.idle.length > 0) wakeNext(p)
+      const remainingMs = waitDeadline - world.now()
+      if (remainingMs <= 0 || callerGone.fired() || limit < 1) {
+        // This caller gives up; if it was woken for an idle connection, the next waiter gets the wake-up.
+        if (pool.idle.length > 0) wakeNext(pool)
         return Err({
           reach: 'none',
           class: 'RESOURCE_EXHAUSTED',
@@ -265,62 +321,77 @@
         })
       }
       const wake = makeFlag()
-      const mine: Waiter = { need, wake }
-      p.waiters.push(mine)
-      const cancel = world.later(left, wake.fire)
-      const unwatch = gone.watch(wake.fire)
+      const waiter: Waiter = { requirements, wake }
+      pool.waiters.push(waiter)
+      const cancel = world.later(remainingMs, wake.fire)
+      const unwatch = callerGone.watch(wake.fire)
       await wake.wait()
       cancel()
       unwatch()
-      const at = p.waiters.indexOf(mine)
-      if (at >= 0) p.waiters.splice(at, 1)
-      else isWoken = p.idle.length > 0
+      const waiterIndex = pool.waiters.indexOf(waiter)
+      if (waiterIndex >= 0) pool.waiters.splice(waiterIndex, 1)
+      else isWoken = pool.idle.length > 0
     }
-    usageOf(p, need.team, 1)
-    const conn = c
-    let over = false
-    function finish(clean: boolean): void {
-      if (over) return
-      over = true
-      p.lent--
-      usageOf(p, need.team, -1)
-      const isKept = need.closesAfterUse !== true || p.waiters.length > 0
-      const hasRoom = places.get(instance) === p && count(p) < p.limit
-      if (clean && conn.port.alive() && hasRoom && isKept && isWorthKeeping(conn) && !stop.fired()) {
-        conn.idleSince = world.now()
-        p.idle.push(conn)
-      } else conn.port.close()
-      wakeNext(p)
+    addUsage(pool, requirements.team, 1)
+    const connection = idleOrNew
+    let isCheckedIn = false
+    function checkIn(isClean: boolean): void {
+      if (isCheckedIn) return
+      isCheckedIn = true
+      pool.checkedOutCount--
+      addUsage(pool, requirements.team, -1)
+      const mayKeepIdle = requirements.closesAfterUse !== true || pool.waiters.length > 0
+      const hasRoom = poolByInstance.get(instance) === pool && countOpen(pool) < pool.limit
+      if (
+        isClean &&
+        connection.instanceConnection.alive() &&
+        hasRoom &&
+        mayKeepIdle &&
+        isWorthKeeping(connection) &&
+        !stop.fired()
+      ) {
+        connection.idleSince = world.now()
+        pool.idle.push(connection)
+      } else connection.instanceConnection.close()
+      wakeNext(pool)
     }
-    const bad = await prepare(conn, need, want)
-    if (bad) {
-      finish(false)
-      return Err(bad)
+    const error = await prepare(connection, requirements, requiredSettings)
+    if (error) {
+      checkIn(false)
+      return Err(error)
     }
-    function shape(text: string): Promise<RequestError | undefined> {
-      return putShape(conn, text)
+    function prepareShape(text: string): Promise<RequestError | undefined> {
+      return registerShape(connection, text)
     }
-    async function setting(name: string, value: string): Promise<RequestError | undefined> {
-      const put = await conn.port.settings([[name, value]], RESET_TIMEOUT_MS)
-      if (put.err) return put.val
-      conn.set.set(name, value)
+    async function applySetting(name: string, value: string): Promise<RequestError | undefined> {
+      const result = await connection.instanceConnection.settings([[name, value]], RESET_TIMEOUT_MS)
+      if (result.err) return result.val
+      connection.settings.set(name, value)
       return undefined
     }
-    return Ok({ port: conn.port, instance, shapeId, shape, setting, end: finish })
+    return Ok({
+      port: connection.instanceConnection,
+      instance,
+      shapeId,
+      prepareShape,
+      setting: applySetting,
+      end: checkIn,
+    })
   }
-  function shrink(instance: string, limit: number): boolean {
-    const p = places.get(instance)
-    if (!p) return true
-    p.limit = limit
-    while (count(p) > limit && p.idle.length > 0) p.idle.pop()?.port.close()
-    return count(p) <= limit
+  function closeIdleOverLimit(instance: string, limit: number): boolean {
+    const pool = poolByInstance.get(instance)
+    if (!pool) return true
+    pool.limit = limit
+    while (countOpen(pool) > limit && pool.idle.length > 0) pool.idle.pop()?.instanceConnection.close()
+    return countOpen(pool) <= limit
   }
-  function open(instance: string): number {
-    const p = places.get(instance)
-    return p ? count(p) : 0
+  function openConnections(instance: string): number {
+    const pool = poolByInstance.get(instance)
+    return pool ? countOpen(pool) : 0
   }
   function close(): void {
-    for (const p of places.values()) for (const c of p.idle) c.port.close()
+    for (const pool of poolByInstance.values())
+      for (const connection of pool.idle) connection.instanceConnection.close()
   }
-  return { borrow, open, shrink, close }
+  return { borrow: checkOut, open: openConnections, closeIdleOverLimit, close }
 }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -36,12 +36,16 @@
 import { makeState, type State } from './state.js'
 import { startWatch, type Watch } from './watch.js'
 
-// listen: requesters. admin: the platform's probes. agent: the agent's link on this machine.
-// grace: ms that it is given from being told to stop, open transactions half of them.
-// descriptors: that the process may have open.
+/**
+ * Settings of a proxy process. listen: address for clients; admin: address for health checks and metrics; agent:
+ * address of this machine's agent; grace: ms that the process has for a planned stop, of which open transactions get
+ * half; descriptors: number of file descriptors that the process may have open.
+ */
 export type ProxySettings = { listen: Address; admin: Address; agent: Address; grace?: number; descriptors?: number }
 
+/** A running proxy. */
 export type Proxy = {
+  /** Drains and stops the proxy. */
   stop: () => Promise<void>
   metrics: Metrics
   state: State
@@ -51,215 +55,247 @@
   pool: Pool
 }
 
-export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = ownAdapters): Promise<Proxy> {
+/** Starts a proxy: routes clients' requests to database instances, by the rules and leases that its agent feeds it. */
+export async function startProxy(
+  world: World,
+  settings: ProxySettings,
+  adapters: ProxyAdapters = ownAdapters,
+): Promise<Proxy> {
   const stop = makeFlag()
   const metrics = makeMetrics()
-  const life = Math.floor(world.random() * 2 ** 40).toString(36)
+  const processId = Math.floor(world.random() * 2 ** 40).toString(36)
   const state = makeState(world)
-  // leaving: not ready any more, what is open is served on. draining: nothing new is begun either.
-  let leaving = false
-  let draining = false
-  function stopping(): boolean {
-    return draining
+  /** The proxy reports that it isn't ready, and still serves everything. */
+  let isLeaving = false
+  /** Nothing new is begun any more. */
+  let isDraining = false
+  function isStopping(): boolean {
+    return isDraining
   }
-  const watch = startWatch(world, state, edges.instance, stop, metrics)
-  const pool = makePool(world, edges.instance, stop, metrics)
+  const watch = startWatch(world, state, adapters.instance, stop, metrics)
+  const pool = makePool(world, adapters.instance, stop, metrics)
   function askAgent(message: unknown, ms: number): Promise<unknown> {
     return agent.ask(message, ms)
   }
-  const quota = makeQuotaStep(world, state, askAgent, life, metrics, stop)
-  const runner = makeRunner(world, state, watch, pool, edges.instance, quota, metrics, stopping)
-  const sessions = makeSessions(world, state, runner, edges.instance, metrics, stop, stopping)
-  // acked: turns applied in full; a drain counts only once no transaction and no write is left open.
-  const acked = new Map<string, number>()
+  const quota = makeQuotaStep(world, state, askAgent, processId, metrics, stop)
+  const runner = makeRunner(world, state, watch, pool, adapters.instance, quota, metrics, isStopping)
+  const sessions = makeSessions(world, state, runner, adapters.instance, metrics, stop, isStopping)
+  /**
+   * By record key, the version last applied in full. A version that drains a group or a lane is applied only once no
+   * transaction and no write is left open there.
+   */
+  const ackedVersions = new Map<string, number>()
 
-  function ready(): string | undefined {
-    if (leaving) return 'draining'
+  /** The reason why the proxy isn't ready; undefined if it is. */
+  function whyNotReady(): string | undefined {
+    if (isLeaving) return 'draining'
     if (!state.hasValidLease()) return 'no valid term'
     if (!state.hasConnectionShare()) return 'no share of the connections'
     return undefined
   }
-  // The requester's address is bound before the agent is dialled: a second proxy of this machine fails
-  // here, so an agent never feeds one while another may still work.
+  // The clients' address is bound before the agent is dialled: a second proxy on this machine fails here, so an agent
+  // never feeds one proxy while another may still be working.
   const clientMemory = makeClientMemory(metrics)
-  const connections =
-    set.descriptors === undefined ? MAX_EDGE_CONNECTIONS : Math.floor(set.descriptors * CLIENT_DESCRIPTORS_SHARE)
-  const listen = { addr: set.listen, connections }
-  const http = await edges.requester(world, listen, sessions, clientMemory)
-  function admin(ask: HttpRequest): HttpResponse {
-    return edges.probes(ask, { ready, metrics: metrics }) ?? { status: 404, body: { why: 'no such path' } }
+  const maxConnections =
+    settings.descriptors === undefined
+      ? MAX_EDGE_CONNECTIONS
+      : Math.floor(settings.descriptors * CLIENT_DESCRIPTORS_SHARE)
+  const listenOptions = { addr: settings.listen, connections: maxConnections }
+  const clientListener = await adapters.requester(world, listenOptions, sessions, clientMemory)
+  function handleAdminRequest(request: HttpRequest): HttpResponse {
+    return (
+      adapters.probes(request, { ready: whyNotReady, metrics }) ?? {
+        status: 404,
+        body: { why: 'no such path' },
+      }
+    )
   }
-  const probes = await serveHttp(world, set.admin, admin)
+  const adminListener = await serveHttp(world, settings.admin, handleAdminRequest)
 
-  // Open transactions, and those whose begin has gone out.
-  function transactions(group: string, lane?: string): number {
+  /** Number of open transactions, and of those whose begin has been sent. */
+  function countTransactions(group: string, lane?: string): number {
     return (
       runner.beginsInFlight(group, lane, 'begin read') +
       runner.beginsInFlight(group, lane, 'begin write') +
-      sessions.transactions(group, lane)
+      sessions.transactionCount(group, lane)
     )
   }
-  function applied(key: string, version: number): boolean {
+  /** Whether the record's version is applied in full. */
+  function isApplied(key: string, version: number): boolean {
     const group = groupOf(key)
     if (key === CONFIG_KEY) {
-      // A configuration with smaller shares is applied once no more is open than it allows.
+      // A configuration with smaller connection shares is applied once no more connections are open than it allows.
       const config = state.config()
-      let whole = true
+      let isComplete = true
       if (config && config.proxies !== 'live')
-        for (const [name, one] of watch.all()) if (!pool.shrink(name, lendable(config, one.group))) whole = false
-      // A lane whose move eases or drains has done so once what was to end has ended.
+        for (const [name, instance] of watch.all())
+          if (!pool.closeIdleOverLimit(name, lendable(config, instance.group))) isComplete = false
+      // The phases ease and drain of a lane's move are applied once the transactions and writes that they end have
+      // ended.
       for (const lane of state.rules()?.lanes.values() ?? []) {
         if (
           lane.movePhase === 'ease' &&
           (runner.beginsInFlight(lane.group, lane.name, 'begin read') > 0 ||
-            sessions.transactions(lane.group, lane.name, 'read') > 0)
+            sessions.transactionCount(lane.group, lane.name, 'read') > 0)
         )
-          whole = false
+          isComplete = false
         if (
           lane.movePhase === 'drain' &&
-          (runner.writesInFlight(lane.group, lane.name) > 0 || transactions(lane.group, lane.name) > 0)
+          (runner.writesInFlight(lane.group, lane.name) > 0 || countTransactions(lane.group, lane.name) > 0)
         )
-          whole = false
+          isComplete = false
       }
-      return whole
+      return isComplete
     }
     if (group === undefined) return true
     const known = state.group(group)
     if (known?.record.phase !== 'drain' || known.version !== version) return true
-    return runner.writesInFlight(group) === 0 && transactions(group) === 0
+    return runner.writesInFlight(group) === 0 && countTransactions(group) === 0
   }
-  // waits: since when calls to an instance have waited there without one good answer.
-  const waits = new Map<string, number>()
-  function badNow(now: number): [string, number][] {
-    const out: [string, number][] = []
-    for (const [name, one] of watch.all()) {
-      if (one.usage === 0) waits.delete(name)
-      else waits.set(name, Math.max(waits.get(name) ?? now, one.lastOk))
-      const from = Math.min(
-        one.failing ?? now,
-        now - (waits.get(name) ?? now) > STALL_TIMEOUT_MS ? (waits.get(name) as number) : now,
+  /** By instance, since when calls there have waited without a successful answer. */
+  const waitingSince = new Map<string, number>()
+  /** The instances that fail, or whose calls have stalled; each with the time in ms for which it has. */
+  function failingInstances(now: number): [string, number][] {
+    const failures: [string, number][] = []
+    for (const [name, instance] of watch.all()) {
+      if (instance.usage === 0) waitingSince.delete(name)
+      else waitingSince.set(name, Math.max(waitingSince.get(name) ?? now, instance.lastAnswerAt))
+      const failingFrom = Math.min(
+        instance.failingSince ?? now,
+        now - (waitingSince.get(name) ?? now) > STALL_TIMEOUT_MS ? (waitingSince.get(name) as number) : now,
       )
-      if (from < now || one.failing !== undefined) out.push([name, now - from])
+      if (failingFrom < now || instance.failingSince !== undefined) failures.push([name, now - failingFrom])
     }
-    for (const name of waits.keys()) if (!watch.get(name)) waits.delete(name)
-    return out
+    for (const name of waitingSince.keys()) if (!watch.get(name)) waitingSince.delete(name)
+    return failures
   }
-  // isAckAwaited: a turn is known here that is not applied in full yet.
+  /** Whether some record's version is known here that isn't applied in full yet. */
   let isAckAwaited = false
-  // Whether a turn was acknowledged that was not before.
+  /** Acknowledges the versions that are applied by now; returns whether there is a new one. */
   function acknowledge(): boolean {
     let isNew = false
     isAckAwaited = false
     for (const [key, version] of state.versions()) {
-      if ((acked.get(key) ?? 0) >= version) continue
-      if (applied(key, version)) {
-        acked.set(key, version)
+      if ((ackedVersions.get(key) ?? 0) >= version) continue
+      if (isApplied(key, version)) {
+        ackedVersions.set(key, version)
         isNew = true
       } else isAckAwaited = true
     }
     return isNew
   }
-  function note(): void {
+  /** Reports this proxy's state to the agent, and sets the metrics of it. */
+  function sendReport(): void {
     acknowledge()
     const highs: [string, number, number][] = []
-    for (const [g, m] of runner.lastWritePositions()) highs.push([g, m.epoch, m.position])
+    for (const [group, position] of runner.lastWritePositions()) highs.push([group, position.epoch, position.position])
     const seen: [string, number][] = []
     const now = world.now()
     const lags: [string, number][] = []
-    for (const [name, one] of watch.all()) {
-      if (one.lastOk > 0) seen.push([name, now - one.lastOk])
-      const rec = state.group(one.group)?.record
-      const lag =
-        rec?.leader !== undefined && rec.leader !== name && one.mark
-          ? provedStalenessMs(watch.get(rec.leader)?.samples ?? [], rec.epoch, one.mark, now)
+    for (const [name, instance] of watch.all()) {
+      if (instance.lastAnswerAt > 0) seen.push([name, now - instance.lastAnswerAt])
+      const record = state.group(instance.group)?.record
+      const lagMs =
+        record?.leader !== undefined && record.leader !== name && instance.mark
+          ? provedStalenessMs(watch.get(record.leader)?.samples ?? [], record.epoch, instance.mark, now)
           : undefined
-      if (lag !== undefined) lags.push([name, lag])
+      if (lagMs !== undefined) lags.push([name, lagMs])
     }
     const moving: [string, number][] = []
     const tries: [string, number, number][] = []
-    for (const [g, tools] of runner.retryControlsByGroup()) {
-      const recent = tools.tokens.recentCounts()
-      tries.push([g, recent.firsts, recent.retries])
-      const rec = state.group(g)?.record
-      if (rec && rec.phase !== 'steady') moving.push([g, rec.epoch])
+    for (const [group, controls] of runner.retryControlsByGroup()) {
+      const recent = controls.tokens.recentCounts()
+      tries.push([group, recent.firsts, recent.retries])
+      const record = state.group(group)?.record
+      if (record && record.phase !== 'steady') moving.push([group, record.epoch])
     }
     metrics.set('claynotch_client_memory_bytes', [], clientMemory.totalBytes())
-    metrics.set('claynotch_ready', [], ready() === undefined ? 1 : 0)
-    for (const [g] of runner.retryControlsByGroup())
-      metrics.set('claynotch_transactions', [['group', g]], sessions.transactions(g))
-    const word: ProxyReport = {
+    metrics.set('claynotch_ready', [], whyNotReady() === undefined ? 1 : 0)
+    for (const [group] of runner.retryControlsByGroup())
+      metrics.set('claynotch_transactions', [['group', group]], sessions.transactionCount(group))
+    const report: ProxyReport = {
       t: 'note',
-      life,
-      acks: [...acked],
+      life: processId,
+      acks: [...ackedVersions],
       highs,
       seen,
       moving,
       tries,
-      open: sessions.open(),
-      leaving,
+      open: sessions.openCount(),
+      leaving: isLeaving,
       lags,
-      bad: badNow(now),
+      bad: failingInstances(now),
     }
-    agent.tell(word)
+    agent.tell(report)
   }
-  function take(msg: unknown): undefined {
-    const got = readAs(AgentFeed, msg)
-    if (got.err) {
+  function applyMessage(message: unknown): undefined {
+    const feed = readAs(AgentFeed, message)
+    if (feed.err) {
       metrics.add('claynotch_link_garbage_total')
-      throw new Error('unknown word from the agent')
+      throw new Error('message from the agent does not match the feed format')
     }
-    state.applyFeed(got.val)
-    if (acknowledge()) note()
+    state.applyFeed(feed.val)
+    if (acknowledge()) sendReport()
     return undefined
   }
-  const agent = makePersistentLink(world, set.agent, makeHello('proxy', life), take, stop, note)
-  // The end of a write or a transaction is worth a note only where an acknowledgement waits for it.
-  const mayAck = makeSignal()
-  runner.inFlightEnded.watch(ringIfAwaited)
-  function ringIfAwaited(): void {
-    if (isAckAwaited) mayAck.notify()
+  const agent = makePersistentLink(world, settings.agent, makeHello('proxy', processId), applyMessage, stop, sendReport)
+  // The end of a write or a transaction triggers a report only if an acknowledgement waits for it.
+  const acknowledgementDue = makeSignal()
+  runner.inFlightEnded.watch(notifyIfAwaited)
+  function notifyIfAwaited(): void {
+    if (isAckAwaited) acknowledgementDue.notify()
   }
-  void loop(world, 'note', PROXY_REPORT_INTERVAL_MS, stop, note, mayAck)
-  // That an instance begins to fail is told at once.
-  let failing = new Set<string>()
-  function tellTrouble(): void {
-    const now = new Set<string>()
-    for (const [name] of badNow(world.now())) now.add(name)
-    let fresh = false
-    for (const name of now) if (!failing.has(name)) fresh = true
-    failing = now
-    if (fresh) note()
+  void loop(world, 'note', PROXY_REPORT_INTERVAL_MS, stop, sendReport, acknowledgementDue)
+  // An instance that begins to fail is reported at once.
+  let reportedFailing = new Set<string>()
+  function reportNewFailures(): void {
+    const currentlyFailing = new Set<string>()
+    for (const [name] of failingInstances(world.now())) currentlyFailing.add(name)
+    let hasNewFailure = false
+    for (const name of currentlyFailing) if (!reportedFailing.has(name)) hasNewFailure = true
+    reportedFailing = currentlyFailing
+    if (hasNewFailure) sendReport()
   }
-  void loop(world, 'trouble', STALL_INTERVAL_MS, stop, tellTrouble, watch.trouble)
-  world.log.info('proxy-started', { listen: set.listen, admin: set.admin })
+  void loop(world, 'trouble', STALL_INTERVAL_MS, stop, reportNewFailures, watch.failureStarted)
+  world.log.info('proxy-started', { listen: settings.listen, admin: settings.admin })
 
-  // A planned stop: this node says that it isn't ready, and serves on for as long as others may not have noticed and
-  // transactions are open, DRAIN at most; then nothing new is begun, answers in flight go out, and it ends.
-  async function end(): Promise<void> {
-    leaving = true
-    note()
-    http.drain()
-    world.log.info('draining', { sessions: sessions.open(), transactions: sessions.transactions(), calls: http.busy() })
-    const from = world.now()
-    const half = set.grace === undefined ? DRAIN_TIMEOUT_MS : set.grace / 2
-    const until = from + half
-    // Connections leave as they are answered; one that says nothing for all of DRAIN is idle and may be ended.
+  /**
+   * A planned stop. The proxy reports that it isn't ready, and continues to serve for as long as others may not have
+   * noticed that yet, or transactions and client connections are open, up to DRAIN_TIMEOUT_MS or half of the grace
+   * period. Then it begins nothing new, finishes the answers in flight, and stops.
+   */
+  async function shutDown(): Promise<void> {
+    isLeaving = true
+    sendReport()
+    clientListener.drain()
+    world.log.info('draining', {
+      sessions: sessions.openCount(),
+      transactions: sessions.transactionCount(),
+      calls: clientListener.busy(),
+    })
+    const startedAt = world.now()
+    const drainMs = settings.grace === undefined ? DRAIN_TIMEOUT_MS : settings.grace / 2
+    const deadline = startedAt + drainMs
+    // Client connections close as they get their answers; one that sends nothing for the whole drain is idle and may be
+    // closed.
     while (
-      world.now() < until &&
-      (world.now() < from + NOT_READY_NOTICE_MS || sessions.transactions() > 0 || http.lines() > 0)
+      world.now() < deadline &&
+      (world.now() < startedAt + NOT_READY_NOTICE_MS || sessions.transactionCount() > 0 || clientListener.lines() > 0)
+    )
+      await runner.inFlightEnded.wait(world, Math.min(100, deadline - world.now()))
+    isDraining = true
+    sessions.cutTransactions('the node stops')
+    // From here on no new connections are accepted; the requests on the remaining ones are still answered.
+    await clientListener.close(
+      settings.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : drainMs - CONNECTION_GRACE_MS,
     )
-      await runner.inFlightEnded.wait(world, Math.min(100, until - world.now()))
-    draining = true
-    sessions.cut('the node stops')
-    // No new connections from here on; those that are left are answered to the end.
-    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : half - CONNECTION_GRACE_MS)
     state.expireLeases()
-    note()
+    sendReport()
     await pause(world, 20)
     stop.fire()
     pool.close()
-    await probes.close()
-    world.log.info('drained', { left: http.busy() })
+    await adminListener.close()
+    world.log.info('drained', { left: clientListener.busy() })
   }
-  return { stop: end, metrics: metrics, state, watch, runner, sessions, pool }
+  return { stop: shutDown, metrics, state, watch, runner, sessions, pool }
 }
--- a/packages/proxy/src/session-state.ts
+++ b/packages/proxy/src/session-state.ts
@@ -6,34 +6,40 @@
 } from '@claynotch/base'
 import type { Kind } from '@claynotch/requester'
 
-/** A prepared statement. kind undefined: each statement by it says its own. */
+/** A prepared statement. kind undefined: each execution states its own kind. */
 export type PreparedStatement = { text: string; kind: Kind | undefined }
 
-/** What a client set and prepared in its session. set and prepare answer false, and change nothing, where it would be too much. */
+/**
+ * The settings and prepared statements of one session. set and prepare return false, and change nothing, if a memory
+ * limit would be exceeded.
+ */
 export type SessionState = {
-  /** The values in the order in which they were set. */
+  /** The settings in the order in which they were last set. */
   settings: () => [string, string][]
   set: (name: string, value: string) => boolean
   value: (name: string) => string | undefined
-  /** Takes a set back: the value is what it was before, whatever the limits. */
+  /** Undoes a set by restoring the previous value, regardless of the limits. */
   restore: (name: string, value: string | undefined) => void
   prepared: (name: string) => PreparedStatement | undefined
   prepare: (name: string, statement: PreparedStatement) => boolean
   deallocate: (name: string) => boolean
-  /** The session has ended. */
+  /** Releases the session's memory, at its end. */
   close: () => void
 }
 
 /**
- * The memory that sessions hold for what their clients set and prepared.
+ * Accounts for the memory that settings and prepared statements take in all sessions.
  *
- * Invariants: a session holds at most SESSION_STATE_LIMIT_BYTES, all together at most ALL_SESSION_STATE_LIMIT_BYTES; the total is
- * the sum over the open ones.
+ * Invariants: set and prepare never take a session over SESSION_STATE_LIMIT_BYTES, nor all sessions together over
+ * ALL_SESSION_STATE_LIMIT_BYTES; the total is the sum over the open sessions.
  */
 export type SessionMemory = { open: () => SessionState; totalBytes: () => number }
 
-/** A copy by itself, where that is the same text: a part of a message would keep the whole message in memory. */
-function copyOf(text: string): string {
+/**
+ * A copy of the text that shares no memory with the message that it was cut from, which would otherwise stay in memory
+ * whole. A text that isn't Latin-1 is returned as it is.
+ */
+function detachedCopy(text: string): string {
   const copy = Buffer.from(text, 'latin1').toString('latin1')
   return copy === text ? copy : text
 }
@@ -43,70 +49,71 @@
 }
 
 export function makeSessionMemory(metrics: Metrics): SessionMemory {
-  let total = 0
+  let totalHeld = 0
 
   function open(): SessionState {
     const values = new Map<string, string>()
     const statements = new Map<string, PreparedStatement>()
-    let held = 0
+    let heldBytes = 0
 
     function reserve(bytes: number): boolean {
-      const isTooMuch = held + bytes > SESSION_STATE_LIMIT_BYTES || total + bytes > ALL_SESSION_STATE_LIMIT_BYTES
-      if (bytes > 0 && isTooMuch) {
+      const exceedsLimit =
+        heldBytes + bytes > SESSION_STATE_LIMIT_BYTES || totalHeld + bytes > ALL_SESSION_STATE_LIMIT_BYTES
+      if (bytes > 0 && exceedsLimit) {
         metrics.add('claynotch_session_state_refused_total')
         return false
       }
-      held += bytes
-      total += bytes
+      heldBytes += bytes
+      totalHeld += bytes
       return true
     }
-    function growth(name: string, text: string, before: string | undefined): number {
-      return entryBytes(name, text) - (before === undefined ? 0 : entryBytes(name, before))
+    function growthBytes(name: string, text: string, previous: string | undefined): number {
+      return entryBytes(name, text) - (previous === undefined ? 0 : entryBytes(name, previous))
     }
     function settings(): [string, string][] {
       return [...values]
     }
     function set(name: string, value: string): boolean {
-      if (!reserve(growth(name, value, values.get(name)))) return false
+      if (!reserve(growthBytes(name, value, values.get(name)))) return false
       values.delete(name)
-      values.set(copyOf(name), copyOf(value))
+      values.set(detachedCopy(name), detachedCopy(value))
       return true
     }
     function value(name: string): string | undefined {
       return values.get(name)
     }
-    function restore(name: string, before: string | undefined): void {
-      const now = values.get(name)
-      const nowBytes = now === undefined ? 0 : entryBytes(name, now)
-      const change = (before === undefined ? 0 : entryBytes(name, before)) - nowBytes
-      held += change
-      total += change
-      if (before === undefined) values.delete(name)
-      else values.set(name, before)
+    function restore(name: string, previous: string | undefined): void {
+      const current = values.get(name)
+      const currentBytes = current === undefined ? 0 : entryBytes(name, current)
+      const deltaBytes = (previous === undefined ? 0 : entryBytes(name, previous)) - currentBytes
+      heldBytes += deltaBytes
+      totalHeld += deltaBytes
+      if (previous === undefined) values.delete(name)
+      else values.set(name, previous)
     }
     function prepared(name: string): PreparedStatement | undefined {
       return statements.get(name)
     }
     function prepare(name: string, { text, kind }: PreparedStatement): boolean {
-      if (!reserve(growth(name, text, statements.get(name)?.text))) return false
-      statements.set(copyOf(name), { text: copyOf(text), kind })
+      if (!reserve(growthBytes(name, text, statements.get(name)?.text))) return false
+      statements.set(detachedCopy(name), { text: detachedCopy(text), kind })
       return true
     }
     function deallocate(name: string): boolean {
-      const before = statements.get(name)
-      if (!before) return false
+      const removed = statements.get(name)
+      if (!removed) return false
       statements.delete(name)
-      return reserve(-entryBytes(name, before.text))
+      return reserve(-entryBytes(name, removed.text))
     }
     function close(): void {
-      reserve(-held)
+      reserve(-heldBytes)
       values.clear()
       statements.clear()
     }
     return { settings, set, value, restore, prepared, prepare, deallocate, close }
   }
   function totalBytes(): number {
-    return total
+    return totalHeld
   }
   return { open, totalBytes }
 }
--- a/packages/proxy/src/session.ts
+++ b/packages/proxy/src/session.ts
@@ -4,15 +4,19 @@
 import type { LaneRules, Rules } from './rules.js'
 import type { SessionState } from './session-state.js'
 
-/** How old the data of a follower's answer may be (ms), and whether it must hold the session's own writes. */
+/**
+ * How fresh a follower's answer must be. within: maximum staleness in ms; own: it must include the session's own
+ * writes.
+ */
 export type Freshness = { within: number; own: boolean }
 
 /**
  * An open transaction.
  *
- * Invariants: its connection is its own until it ends, and its statements run on that connection alone; hasRun turns true with the
- * first statement handed over, and never back; freshness is set on a follower, where each statement is held to the route's bound
- * anew; disallowedSince is since when the route as configured would no longer begin it.
+ * Invariants: it has its connection to itself until it ends, and its statements run on no other; hasRun becomes true
+ * with the first statement that is sent, and stays true; freshness is set at a follower whose log position is polled,
+ * where each statement is checked against the lane's staleness bound; disallowedSince is since when the lane as
+ * configured would no longer begin this transaction.
  */
 export type Transaction = {
   connection: CheckedOutConnection
@@ -20,7 +24,7 @@
   lane: string
   database: string
   keyHash: string | undefined
-  /** For whom its connection was opened. */
+  /** The tenant that its connection was opened for. */
   tenant: string | undefined
   group: string
   epoch: number
@@ -35,17 +39,18 @@
 /**
  * A client's session.
  *
- * Invariants: one at rest holds no connection; isBusy while one call of it runs, and a second one is refused; token is the position
- * of its last write, in the group that took it; mustReadLeader from a write of unknown end until a read at the leader; ended is what
- * became of a transaction that this node ended by itself, until the client was told: till then nothing that it sends runs, as
- * it was meant for that transaction.
+ * Invariants: without an open transaction or a running call, it holds no connection; isBusy is true while a call of the
+ * session runs, and a second call is refused then; token is the log position of its last write, in the group that took
+ * it; mustReadLeader is true from a write of unknown outcome until a read at the leader; ended is the answer about a
+ * transaction that this node ended, until the client has received it: until then nothing that the client sends is
+ * executed, except preparing and removing shapes, as it was meant for that transaction.
  */
 export type Session = {
   id: string
-  /** undefined: matched by the database, anew for each call. */
+  /** undefined: each call looks up the lane of the database anew. */
   lane: string | undefined
   database: string
-  /** Hash of the key that it was opened with. Whose key that is, each operation looks up anew. */
+  /** Hash of the API key that the session was opened with. Each operation looks up anew whose key it is. */
   keyHash: string | undefined
   team: string
   state: SessionState
@@ -58,12 +63,12 @@
   isClosed: boolean
 }
 
-/** The route of that name, or else the first one of the database. */
+/** The lane of that name; without a name, the first lane of the database. */
 export function findLane(rules: Rules, name: string | undefined, database: string): LaneRules | undefined {
   return name === undefined ? rules.laneByDatabase.get(database) : rules.lanes.get(name)
 }
 
-/** What reads of the route are held to at a follower; undefined where they go to the leader. */
+/** The freshness that the lane's read transactions require of a follower; undefined if they go to the leader. */
 export function freshnessOf(lane: LaneRules): Freshness | undefined {
   for (const step of lane.programs.get('begin read') ?? [])
     if (step.op === 'aim' && step.at === 'fresh') return { within: step.within, own: step.own }
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -21,83 +21,94 @@
 import { makeSessionMemory, type PreparedStatement } from './session-state.js'
 import { findLane, freshnessOf, type Session } from './session.js'
 import type { State } from './state.js'
-import { makeTransactions, noSuchShape, tooMuchState, type StatementRequest } from './transactions.js'
+import { makeTransactions, shapeNotFound, stateLimitExceeded, type StatementRequest } from './transactions.js'
 
+/** The sessions of this proxy's clients, and calls without a session. */
 export type Sessions = {
-  /** One request of a client. ms: how long it will wait; gone: it went away. */
-  run: (request: Word, ms: number | undefined, gone: Flag) => Promise<Verdict>
-  open: () => number
-  /** Open transactions of a group, or of all. Reading ones count too: they get their time like any other. */
-  transactions: (group?: string, lane?: string, kind?: 'read' | 'write') => number
-  /** Ends the open transactions: those that no call is busy with at once, the others with their call. For good. */
-  cut: (why: string) => void
+  /** Runs one client request. callerTimeoutMs: how long the client waits; callerGone: fires when it disconnects. */
+  run: (request: Word, callerTimeoutMs: number | undefined, callerGone: Flag) => Promise<Verdict>
+  openCount: () => number
+  /**
+   * Number of open transactions, of one group, lane or kind where given. Read transactions count too: a drain gives
+   * them the same time as others.
+   */
+  transactionCount: (group?: string, lane?: string, kind?: 'read' | 'write') => number
+  /**
+   * Ends the open transactions, at shutdown: idle ones at once, the others when their current call ends. Not
+   * reversible.
+   */
+  cutTransactions: (reason: string) => void
 }
 
 type OpenRequest = Extract<Word, { w: 'open' }>
 type BeginRequest = Extract<Word, { w: 'begin' }>
 type SingleCallRequest = Extract<Word, { w: 'call' }>
 
-function pairsOf(list: { name: string; value: string }[] | undefined): [string, string][] {
-  const out: [string, string][] = []
-  for (const { name, value } of list ?? []) out.push([name, value])
-  return out
+function settingPairs(list: { name: string; value: string }[] | undefined): [string, string][] {
+  const pairs: [string, string][] = []
+  for (const { name, value } of list ?? []) pairs.push([name, value])
+  return pairs
 }
 
-/** What of the request goes to the instance. */
-function bodyOf(request: StatementRequest | BeginRequest): Call['body'] {
+/** The part of the request that is sent to the instance. */
+function callBody(request: StatementRequest | BeginRequest): Call['body'] {
   const id = request.id !== undefined ? { id: request.id } : {}
   if (request.w === 'begin') return { args: [], ...id }
   const { text, shape, args } = request.body
   return { ...id, ...(text !== undefined ? { text } : { shape: shape! }), args: args ?? [] }
 }
 
-function hashOf(key: string | undefined): string | undefined {
+function keyHashOf(key: string | undefined): string | undefined {
   return key === undefined ? undefined : hashKey(key)
 }
 
-/** Only the shape that a call uses is put in force for it; a transaction's statements carry their texts. */
+/**
+ * The shapes to register for a call: only the one that it uses. A transaction registers shapes statement by statement.
+ */
 function shapesFor(body: Call['body'], shape: PreparedStatement | undefined): Map<string, string> {
   return new Map(body.shape !== undefined && shape ? [[body.shape, shape.text]] : [])
 }
 
-/** The sessions of a proxy's clients: each request goes to its session's transaction, or out as a call of its own. */
+/** Each request runs on its session's open transaction, or else as a call of its own through the interpreter. */
 export function makeSessions(
   world: World,
   state: State,
   runner: Runner,
-  edge: InstanceAdapter,
+  adapter: InstanceAdapter,
   metrics: Metrics,
   stop: Flag,
-  stopping: () => boolean,
+  isStopping: () => boolean,
 ): Sessions {
-  const all = new Map<string, Session>()
-  // counts: open sessions by team, as of the configuration countedEpoch.
-  const counts = new Map<string, number>()
+  const sessionById = new Map<string, Session>()
+  /** Open sessions by team, under the configuration of countedEpoch. */
+  const sessionCountByTeam = new Map<string, number>()
   let countedEpoch = 0
   const memory = makeSessionMemory(metrics)
-  const transactions = makeTransactions(world, state, runner, edge, metrics)
-  const prefix = Math.floor(world.random() * 2 ** 40).toString(36)
+  const transactions = makeTransactions(world, state, runner, adapter, metrics)
+  const idPrefix = Math.floor(world.random() * 2 ** 40).toString(36)
   let lastNumber = 0
 
-  // --- routes ---
+  // --- lanes ---
 
   function laneOf(name: string | undefined, database: string): { rules: Rules; lane: LaneRules } | undefined {
     const rules = state.rules()
     const lane = rules ? findLane(rules, name, database) : undefined
     return rules && lane ? { rules, lane } : undefined
   }
-  /** The lane 'auto' is matched by the operator's policy; a policy that fails, or names no lane, by its fallback. */
+  /**
+   * The lane 'auto' is chosen by the operator's policy; if the policy fails or names no existing lane, by its fallback.
+   */
   function matchLane(name: string, kind: string, database: string, settings: [string, string][]): string {
     const policy = state.rules()?.policy
     if (name !== AUTO || !policy) return name
-    const got = policy.policy.match({ kind, database, area: state.area(), settings })
-    if (got.ok && state.rules()?.lanes.has(got.val)) return got.val
+    const match = policy.policy.match({ kind, database, area: state.area(), settings })
+    if (match.ok && state.rules()?.lanes.has(match.val)) return match.val
     metrics.add('claynotch_policy_failures_total')
-    world.log.warn('policy-failed', { why: got.ok ? `no lane is named ${got.val}` : got.val })
+    world.log.warn('policy-failed', { why: match.ok ? `no lane is named ${match.val}` : match.val })
     return policy.fallback
   }
-  /** That a lane isn't there is said under a valid lease alone: without one it may have been added since. */
-  function noLane(name: string): Verdict {
+  /** Answers NOT_FOUND only under a valid lease: without one, the lane may have been added since. */
+  function laneNotFound(name: string): Verdict {
     if (!state.rules())
       return refusal('UNAVAILABLE', 'no configuration is known here yet', true, RETRY_AFTER_PROMOTION_S)
     if (!state.hasValidLease())
@@ -105,80 +116,83 @@
     return { ...refusal('NOT_FOUND', `no lane is named ${name}`, false), lacks: 'lane' }
   }
 
-  // --- the table ---
+  // --- open sessions ---
 
-  function countTeam(team: string, by: number): void {
-    counts.set(team, (counts.get(team) ?? 0) + by)
+  function addToTeamCount(team: string, delta: number): void {
+    sessionCountByTeam.set(team, (sessionCountByTeam.get(team) ?? 0) + delta)
   }
-  /** Lanes may have gone to other teams; sessions are counted under the team of now. */
-  function recount(rules: Rules): void {
+  /** Counts sessions by team anew: under a new configuration, lanes may belong to other teams. */
+  function recountByTeam(rules: Rules): void {
     countedEpoch = rules.epoch
-    counts.clear()
-    for (const session of all.values()) {
+    sessionCountByTeam.clear()
+    for (const session of sessionById.values()) {
       session.team = findLane(rules, session.lane, session.database)?.team ?? session.team
-      countTeam(session.team, 1)
+      addToTeamCount(session.team, 1)
     }
   }
   function close(session: Session): void {
     if (session.isClosed) return
     session.isClosed = true
-    all.delete(session.id)
+    sessionById.delete(session.id)
     session.state.close()
-    countTeam(session.team, -1)
+    addToTeamCount(session.team, -1)
     if (session.transaction && !session.isBusy) void transactions.rollBack(session)
   }
   function sweep(): void {
     runner.keyRefusals.refresh()
-    for (const session of all.values()) {
-      transactions.endIfOver(session)
+    for (const session of sessionById.values()) {
+      transactions.terminateIfInvalid(session)
       if (!session.isBusy && world.now() - session.lastUsedAt > SESSION_IDLE_TIMEOUT_MS) close(session)
     }
     const rules = state.rules()
-    if (rules && rules.epoch !== countedEpoch) recount(rules)
-    metrics.set('claynotch_sessions', [], all.size)
+    if (rules && rules.epoch !== countedEpoch) recountByTeam(rules)
+    metrics.set('claynotch_sessions', [], sessionById.size)
   }
   void loop(world, 'sessions', SESSION_SWEEP_INTERVAL_MS, stop, sweep)
 
-  /** A token of another group is let in: its lane may have gone elsewhere since. One that was never ours is not. */
-  function tokenOf(text: string | undefined): Token | undefined | 'bad' {
+  /**
+   * Parses a freshness token. One of another group is accepted, as the lane may have moved since; 'bad' if it is
+   * malformed or its group was never known here.
+   */
+  function knownToken(text: string | undefined): Token | undefined | 'bad' {
     const token = parseToken(text ?? '')
     return token !== undefined && token !== 'bad' && !state.isGroupKnown(token.group) ? 'bad' : token
   }
-  function badToken(): Verdict {
+  function invalidToken(): Verdict {
     return refusal('INVALID_ARGUMENT', 'the token is none of ours', false)
   }
-  /** Why no further session of the team is taken, if so. */
-  function whyFull(team: string, limit: number | undefined): Verdict | undefined {
-    function full(why: string): Verdict {
-      return refusal('RESOURCE_EXHAUSTED', why, true, RETRY_AFTER_OVERLOAD_S)
+  /** A refusal if the node or the team has reached its limit of sessions. */
+  function sessionLimitRefusal(team: string, limit: number | undefined): Verdict | undefined {
+    function refuse(reason: string): Verdict {
+      return refusal('RESOURCE_EXHAUSTED', reason, true, RETRY_AFTER_OVERLOAD_S)
     }
-    if (all.size >= MAX_SESSIONS) return full(`this node holds ${all.size} sessions`)
-    if (limit !== undefined && (counts.get(team) ?? 0) >= limit)
-      return full(`the team ${team} has its ${limit} sessions on this node`)
+    if (sessionById.size >= MAX_SESSIONS) return refuse(`this node holds ${sessionById.size} sessions`)
+    if (limit !== undefined && (sessionCountByTeam.get(team) ?? 0) >= limit)
+      return refuse(`the team ${team} has its ${limit} sessions on this node`)
     return undefined
   }
   function open({ body }: OpenRequest): Verdict {
-    if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, RETRY_AFTER_OVERLOAD_S)
-    const settings = pairsOf(body.settings)
+    if (isStopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, RETRY_AFTER_OVERLOAD_S)
+    const settings = settingPairs(body.settings)
     const database = body.database ?? ''
     const name = body.lane === undefined ? undefined : matchLane(body.lane, 'session', database, settings)
     const found = laneOf(name, database)
-    if (!found) return noLane(name ?? database)
+    if (!found) return laneNotFound(name ?? database)
     const { lane, rules } = found
-    const keyHash = hashOf(body.key)
+    const keyHash = keyHashOf(body.key)
     if (!identify(rules, lane, keyHash).isAllowed) return runner.keyRefusals.refuse(lane, keyHash)
-    const token = tokenOf(body.token)
-    if (token === 'bad') return badToken()
-    const refused = whyFull(lane.team, rules.maxSessions.get(lane.team))
-    if (refused) return refused
+    const token = knownToken(body.token)
+    if (token === 'bad') return invalidToken()
+    const limitRefusal = sessionLimitRefusal(lane.team, rules.maxSessions.get(lane.team))
+    if (limitRefusal) return limitRefusal
     const sessionState = memory.open()
     for (const [setting, value] of settings) {
       if (sessionState.set(setting, value)) continue
       sessionState.close()
-      return tooMuchState()
+      return stateLimitExceeded()
     }
-    const id = `${prefix}-${++lastNumber}-${Math.floor(world.random() * 2 ** 40).toString(36)}`
-    all.set(id, {
+    const id = `${idPrefix}-${++lastNumber}-${Math.floor(world.random() * 2 ** 40).toString(36)}`
+    sessionById.set(id, {
       id,
       lane: name,
       database,
@@ -193,7 +207,7 @@
       ended: undefined,
       isClosed: false,
     })
-    countTeam(lane.team, 1)
+    addToTeamCount(lane.team, 1)
     return { outcome: 'done', session: id, token: formatToken(token) }
   }
 
@@ -201,17 +215,23 @@
 
   async function set(session: Session, name: string, value: string): Promise<Verdict> {
     if (session.transaction) return await transactions.set(session, session.transaction, name, value)
-    return session.state.set(name, value) ? { outcome: 'done' } : tooMuchState()
+    return session.state.set(name, value) ? { outcome: 'done' } : stateLimitExceeded()
   }
-  /** A transaction that has begun is the session's own from now on. */
-  function begun(session: Session, call: Call, settled: CallResult, kind: Kind, gone: Flag): Verdict | undefined {
-    if (session.isClosed || gone.fired()) {
-      settled.connection?.end(false)
+  /** Makes the session the owner of a begun transaction, or refuses it if the session or the client has gone. */
+  function adoptTransaction(
+    session: Session,
+    call: Call,
+    result: CallResult,
+    kind: Kind,
+    callerGone: Flag,
+  ): Verdict | undefined {
+    if (session.isClosed || callerGone.fired()) {
+      result.connection?.end(false)
       return refusal('ABORTED', 'the session was closed', false)
     }
     const isAtLeader = call.target?.floor === undefined
     session.transaction = {
-      connection: settled.connection!,
+      connection: result.connection!,
       kind,
       lane: call.lane.name,
       database: call.lane.database,
@@ -219,43 +239,43 @@
       tenant: call.requirements.tenant,
       disallowedSince: undefined,
       group: call.lane.group,
-      epoch: settled.epoch!,
+      epoch: result.epoch!,
       isAtLeader,
       hasRun: false,
       begunAt: call.sentAt,
       lastUsedAt: world.now(),
-      freshness: isAtLeader || !edge.sampler ? undefined : freshnessOf(call.lane),
+      freshness: isAtLeader || !adapter.sampler ? undefined : freshnessOf(call.lane),
     }
     return undefined
   }
-  /** What the answer of a single statement says of what the session's next reads are owed. */
-  function noteAnswer(session: Session, call: Call, settled: CallResult, kind: Kind): void {
+  /** Updates the session's token, which its next reads must satisfy, from the answer of a single statement. */
+  function updateSessionToken(session: Session, call: Call, result: CallResult, kind: Kind): void {
     const { group } = call.lane
     const isAtLeader = call.target?.floor === undefined
-    if (kind === 'write') session.token = { group, position: settled.position! }
+    if (kind === 'write') session.token = { group, position: result.position! }
     else if (isAtLeader && (session.mustReadLeader || isForOtherGroup(session.token, group))) {
-      // What the leader answered stands for all that this session may be owed.
+      // The leader's position covers every write that the session may have to see.
       session.mustReadLeader = false
-      session.token = { group, position: settled.position! }
+      session.token = { group, position: result.position! }
     }
   }
-  /** A single statement, or the beginning of a transaction: a call through the interpreter. */
-  async function callOut(
+  /** Runs a single statement, or the begin of a transaction, through the interpreter. */
+  async function runCall(
     session: Session,
     request: StatementRequest | BeginRequest,
-    ms: number | undefined,
-    gone: Flag,
+    callerTimeoutMs: number | undefined,
+    callerGone: Flag,
   ): Promise<Verdict> {
     const found = laneOf(session.lane, session.database)
-    if (!found) return noLane(session.lane ?? session.database)
+    if (!found) return laneNotFound(session.lane ?? session.database)
     const identity = identify(found.rules, found.lane, session.keyHash)
     if (!identity.isAllowed) return runner.keyRefusals.refuse(found.lane, session.keyHash)
     const shapeName = request.w === 'statement' ? request.body.shape : undefined
     const shape = shapeName !== undefined ? session.state.prepared(shapeName) : undefined
-    if (shapeName !== undefined && !shape) return noSuchShape(shapeName)
+    if (shapeName !== undefined && !shape) return shapeNotFound(shapeName)
     const kind = request.body.kind ?? shape?.kind ?? 'write'
-    const body = bodyOf(request)
-    function find(rules: Rules): LaneRules | undefined {
+    const body = callBody(request)
+    function findCallLane(rules: Rules): LaneRules | undefined {
       return findLane(rules, session.lane, session.database)
     }
     const call = makeCall(world, request.w === 'begin' ? `begin ${kind}` : kind, found.lane, found.rules, {
@@ -266,30 +286,35 @@
       keyHash: session.keyHash,
       tenant: identity.tenant,
       body,
-      find,
-      ms,
-      gone,
+      find: findCallLane,
+      ms: callerTimeoutMs,
+      gone: callerGone,
     })
-    const settled = await runner.run(call)
-    const { verdict, position: mark } = settled
-    let refused: Verdict | undefined
+    const result = await runner.run(call)
+    const { verdict, position } = result
+    let refusedBegin: Verdict | undefined
     if (verdict.outcome === 'unknown') session.mustReadLeader = true
-    else if (verdict.outcome === 'done' && mark) {
-      if (request.w === 'begin') refused = begun(session, call, settled, kind, gone)
-      else noteAnswer(session, call, settled, kind)
+    else if (verdict.outcome === 'done' && position) {
+      if (request.w === 'begin') refusedBegin = adoptTransaction(session, call, result, kind, callerGone)
+      else updateSessionToken(session, call, result, kind)
     }
     runner.releaseBegin(call)
-    return refused ?? { ...verdict, reads: kind === 'read', ...(mark ? { mark } : {}) }
+    return refusedBegin ?? { ...verdict, reads: kind === 'read', ...(position ? { mark: position } : {}) }
   }
-  async function rollBackAsked(session: Session, hadEnded: boolean): Promise<Verdict> {
-    if (!session.transaction && !hadEnded) return refusal('INVALID_ARGUMENT', 'no transaction is open', false)
+  async function rollBackOnRequest(session: Session, hadEndedEarly: boolean): Promise<Verdict> {
+    if (!session.transaction && !hadEndedEarly) return refusal('INVALID_ARGUMENT', 'no transaction is open', false)
     await transactions.rollBack(session)
     return { outcome: 'done', transaction: 'over' }
   }
-  async function onSession(session: Session, request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function dispatch(
+    session: Session,
+    request: Word,
+    callerTimeoutMs: number | undefined,
+    callerGone: Flag,
+  ): Promise<Verdict> {
     const tx = session.transaction
     const lane = state.rules()?.lanes.get(tx?.lane ?? '')
-    const left = Math.min(ms ?? ATTEMPT_TIMEOUT_MS, lane?.statementTimeoutMs ?? ATTEMPT_TIMEOUT_MS)
+    const timeoutMs = Math.min(callerTimeoutMs ?? ATTEMPT_TIMEOUT_MS, lane?.statementTimeoutMs ?? ATTEMPT_TIMEOUT_MS)
     const { ended } = session
     if (ended && request.w !== 'shape' && request.w !== 'unshape') {
       session.ended = undefined
@@ -298,41 +323,45 @@
     switch (request.w) {
       case 'shape': {
         const { name, text, kind } = request.body
-        return session.state.prepare(name, { text, kind }) ? { outcome: 'done' } : tooMuchState()
+        return session.state.prepare(name, { text, kind }) ? { outcome: 'done' } : stateLimitExceeded()
       }
       case 'unshape':
-        return session.state.deallocate(request.name) ? { outcome: 'done' } : noSuchShape(request.name)
+        return session.state.deallocate(request.name) ? { outcome: 'done' } : shapeNotFound(request.name)
       case 'set':
         return await set(session, request.name, request.value)
       case 'commit':
         if (!tx) return refusal('INVALID_ARGUMENT', 'no transaction is open', false)
-        return await transactions.commit(session, tx, left, request.id)
+        return await transactions.commit(session, tx, timeoutMs, request.id)
       case 'rollback':
-        return await rollBackAsked(session, ended !== undefined)
+        return await rollBackOnRequest(session, ended !== undefined)
       case 'statement':
-        if (tx) return await transactions.statement(session, tx, request, left, gone)
-        return await callOut(session, request, ms, gone)
+        if (tx) return await transactions.statement(session, tx, request, timeoutMs, callerGone)
+        return await runCall(session, request, callerTimeoutMs, callerGone)
       case 'begin':
         if (tx) return refusal('INVALID_ARGUMENT', 'a transaction is open already', false)
-        return await callOut(session, request, ms, gone)
+        return await runCall(session, request, callerTimeoutMs, callerGone)
       default:
         return refusal('INVALID_ARGUMENT', 'not a session call', false)
     }
   }
-  /** One statement without a session. */
-  async function callOnce({ body }: SingleCallRequest, ms: number | undefined, gone: Flag): Promise<Verdict> {
-    const settings = pairsOf(body.settings)
+  /** Runs one statement without a session. */
+  async function runSingleCall(
+    { body }: SingleCallRequest,
+    callerTimeoutMs: number | undefined,
+    callerGone: Flag,
+  ): Promise<Verdict> {
+    const settings = settingPairs(body.settings)
     const name = matchLane(body.lane, body.kind, body.database ?? '', settings)
     const found = laneOf(name, '')
-    if (!found) return noLane(name)
-    const keyHash = hashOf(body.key)
+    if (!found) return laneNotFound(name)
+    const keyHash = keyHashOf(body.key)
     const identity = identify(found.rules, found.lane, keyHash)
     if (!identity.isAllowed) return runner.keyRefusals.refuse(found.lane, keyHash)
-    function find(rules: Rules): LaneRules | undefined {
+    function findCallLane(rules: Rules): LaneRules | undefined {
       return rules.lanes.get(name)
     }
-    const token = tokenOf(body.token)
-    if (token === 'bad') return badToken()
+    const token = knownToken(body.token)
+    if (token === 'bad') return invalidToken()
     const call = makeCall(world, body.kind, found.lane, found.rules, {
       settings,
       shapes: new Map(),
@@ -341,34 +370,42 @@
       keyHash,
       tenant: identity.tenant,
       body: { text: body.text, args: body.args ?? [] },
-      find,
-      ms,
-      gone,
+      find: findCallLane,
+      ms: callerTimeoutMs,
+      gone: callerGone,
     })
-    const { verdict, position: mark } = await runner.run(call)
+    const { verdict, position } = await runner.run(call)
     if (verdict.outcome !== 'done') return verdict
     const isTokenNew = body.kind === 'write' || isForOtherGroup(token, call.lane.group)
-    return { ...verdict, token: formatToken(isTokenNew && mark ? { group: call.lane.group, position: mark } : token) }
+    return {
+      ...verdict,
+      token: formatToken(isTokenNew && position ? { group: call.lane.group, position } : token),
+    }
   }
-  async function runOn(session: Session, request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function runInSession(
+    session: Session,
+    request: Word,
+    callerTimeoutMs: number | undefined,
+    callerGone: Flag,
+  ): Promise<Verdict> {
     session.isBusy = true
     session.lastUsedAt = world.now()
     try {
-      const verdict = await onSession(session, request, ms, gone)
+      const verdict = await dispatch(session, request, callerTimeoutMs, callerGone)
       return verdict.outcome === 'done' ? { ...verdict, token: formatToken(session.token) } : verdict
     } finally {
       session.isBusy = false
       session.lastUsedAt = world.now()
       if (session.isClosed && session.transaction) void transactions.rollBack(session)
-      // A client that went away in the middle of its transaction won't end it.
-      else if (gone.fired() && session.transaction)
-        transactions.endUnasked(session, 'ABORTED', 'the requester went away')
+      // A client that disconnected won't end its open transaction.
+      else if (callerGone.fired() && session.transaction)
+        transactions.terminate(session, 'ABORTED', 'the requester went away')
     }
   }
-  async function run(request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function run(request: Word, callerTimeoutMs: number | undefined, callerGone: Flag): Promise<Verdict> {
     if (request.w === 'open') return open(request)
-    if (request.w === 'call') return await callOnce(request, ms, gone)
-    const session = all.get(request.session)
+    if (request.w === 'call') return await runSingleCall(request, callerTimeoutMs, callerGone)
+    const session = sessionById.get(request.session)
     if (!session) return refusal('NOT_FOUND', 'no such session on this node', false)
     if (request.w === 'close') {
       close(session)
@@ -376,31 +413,31 @@
     }
     if (session.isBusy)
       return refusal('INVALID_ARGUMENT', 'the session is busy with another call', true, RETRY_AFTER_OVERLOAD_S)
-    return await runOn(session, request, ms, gone)
+    return await runInSession(session, request, callerTimeoutMs, callerGone)
   }
 
-  function openNow(): number {
-    return all.size
+  function openCount(): number {
+    return sessionById.size
   }
   function countTransactions(group?: string, lane?: string, kind?: 'read' | 'write'): number {
-    let out = 0
-    for (const { transaction: tx } of all.values()) {
+    let count = 0
+    for (const { transaction: tx } of sessionById.values()) {
       if (!tx) continue
       const isWanted =
         (group === undefined || tx.group === group) &&
         (lane === undefined || tx.lane === lane) &&
         (kind === undefined || tx.kind === kind)
-      if (isWanted) out++
+      if (isWanted) count++
     }
-    return out
+    return count
   }
-  function cut(why: string): void {
-    transactions.cut(why)
-    for (const session of all.values()) {
+  function cutTransactions(reason: string): void {
+    transactions.stopSending(reason)
+    for (const session of sessionById.values()) {
       if (!session.transaction || session.isBusy) continue
-      world.log.info('transaction-cut', { group: session.transaction.group, why })
-      transactions.endUnasked(session, 'UNAVAILABLE', why)
+      world.log.info('transaction-cut', { group: session.transaction.group, why: reason })
+      transactions.terminate(session, 'UNAVAILABLE', reason)
     }
   }
-  return { run, open: openNow, transactions: countTransactions, cut }
+  return { run, openCount, transactionCount: countTransactions, cutTransactions }
 }
--- a/packages/proxy/src/transactions.ts
+++ b/packages/proxy/src/transactions.ts
@@ -29,99 +29,107 @@
     session: Session,
     transaction: Transaction,
     request: StatementRequest,
-    ms: number,
-    gone: Flag,
+    timeoutMs: number,
+    callerGone: Flag,
   ) => Promise<Verdict>
-  commit: (session: Session, transaction: Transaction, ms: number, id: string | undefined) => Promise<Verdict>
-  /** Puts a value in force at once, as the transaction's statements run on its connection alone. */
+  commit: (session: Session, transaction: Transaction, timeoutMs: number, id: string | undefined) => Promise<Verdict>
+  /**
+   * Applies a session setting to the transaction's connection at once, as its statements run on no other connection.
+   */
   set: (session: Session, transaction: Transaction, name: string, value: string) => Promise<Verdict>
-  /** Rolls back where the connection is kept; an answer that isn't clear closes it, and the instance rolls back. */
+  /**
+   * Rolls back and checks the connection in; on an error the connection is closed, which makes the instance roll back.
+   */
   rollBack: (session: Session) => Promise<void>
-  /** Ends it though the client didn't ask; the client is told with its next call. */
-  endUnasked: (session: Session, cls: string, why: string) => void
-  /** Ends it where it rested for too long, or where nothing more may go out on it. */
-  endIfOver: (session: Session) => void
-  /** From now on nothing more goes out on any. */
-  cut: (why: string) => void
+  /** Ends the transaction without a request of the client, which gets the error with its next call. */
+  terminate: (session: Session, errorClass: string, reason: string) => void
+  /** Ends the transaction if it was idle for too long, or if nothing more may be sent on it. */
+  terminateIfInvalid: (session: Session) => void
+  /** From now on nothing more is sent on any transaction. */
+  stopSending: (reason: string) => void
 }
 
-/** What a client is told of a transaction that ended before its time. */
-export function endedEarly(transaction: Transaction, cls: string, why: string): Verdict {
-  const isUnavailable = cls === 'UNAVAILABLE'
+/** The answer for a transaction that this node ended. */
+export function endedEarlyVerdict(transaction: Transaction, errorClass: string, reason: string): Verdict {
+  const isUnavailable = errorClass === 'UNAVAILABLE'
   return {
     outcome: transaction.hasRun ? 'failed' : 'refused',
-    class: cls,
+    class: errorClass,
     kept: transaction.hasRun ? 'unknown' : 'nothing',
     again: isUnavailable,
-    why,
+    why: reason,
     transaction: 'over',
     ...(isUnavailable ? { after: RETRY_AFTER_PROMOTION_S } : {}),
   }
 }
 
-/** What a client is told of a statement whose transaction ended while it ran. */
-function endedMeanwhile(): Verdict {
-  const why = 'the transaction was ended meanwhile'
-  return { outcome: 'failed', class: 'ABORTED', kept: 'unknown', again: true, why, transaction: 'over' }
+/** The answer for a statement whose transaction was ended while the statement ran. */
+function endedMeanwhileVerdict(): Verdict {
+  const reason = 'the transaction was ended meanwhile'
+  return { outcome: 'failed', class: 'ABORTED', kept: 'unknown', again: true, why: reason, transaction: 'over' }
 }
 
-export function noSuchShape(name: string): Verdict {
+/** The refusal of a request for a shape that the session hasn't prepared. */
+export function shapeNotFound(name: string): Verdict {
   return { ...refusal('NOT_FOUND', `no shape is named ${name}`, false), lacks: 'shape' }
 }
 
-export function tooMuchState(): Verdict {
+/** The refusal of a request that would exceed the memory limit for session state. */
+export function stateLimitExceeded(): Verdict {
   return refusal('RESOURCE_EXHAUSTED', 'the session holds too many values and prepared statements', false)
 }
 
-function proofOf({ stamp, mark }: StatementResult): { stamp?: string; mark: StatementResult['mark'] } {
+/** The fields of an answer that carry the instance's proof and log position. */
+function proofFields({ stamp, mark }: StatementResult): { stamp?: string; mark: StatementResult['mark'] } {
   return { mark, ...(stamp !== undefined ? { stamp } : {}) }
 }
 
-/** A statement that wasn't handed over, as its transaction may not go on. */
-function notSent(why: string): RequestError {
-  return { reach: 'none', class: 'UNAVAILABLE', transient: true, why }
+/** The error of a statement that was not sent, as its transaction may not continue. */
+function notSentError(reason: string): RequestError {
+  return { reach: 'none', class: 'UNAVAILABLE', transient: true, why: reason }
 }
 
 export function makeTransactions(
   world: World,
   state: State,
   runner: Runner,
-  edge: InstanceAdapter,
+  adapter: InstanceAdapter,
   metrics: Metrics,
 ): Transactions {
-  // Set once the node stops: a call that was busy then must not leave a transaction behind that goes on.
-  let whyCut: string | undefined
+  /** Set when the node stops, so that a transaction whose call was running then can't continue afterwards. */
+  let stopReason: string | undefined
 
   async function rollBack(session: Session): Promise<void> {
     const tx = session.transaction
     if (!tx) return
     session.transaction = undefined
-    const got = await tx.connection.port.rollback(ATTEMPT_TIMEOUT_MS)
-    tx.connection.end(got.ok)
+    const result = await tx.connection.port.rollback(ATTEMPT_TIMEOUT_MS)
+    tx.connection.end(result.ok)
     runner.inFlightEnded.notify()
   }
-  function endUnasked(session: Session, cls: string, why: string): void {
-    if (session.transaction) session.ended = endedEarly(session.transaction, cls, why)
+  function terminate(session: Session, errorClass: string, reason: string): void {
+    if (session.transaction) session.ended = endedEarlyVerdict(session.transaction, errorClass, reason)
     void rollBack(session)
   }
-  function end(session: Session, tx: Transaction): void {
+  /** Ends the transaction and closes its connection, which makes the instance roll back. */
+  function discard(session: Session, tx: Transaction): void {
     session.transaction = undefined
     tx.connection.end(false)
     runner.inFlightEnded.notify()
   }
-  function over(session: Session, tx: Transaction, cls: string, why: string): Verdict {
-    if (session.transaction === tx) end(session, tx)
-    return endedEarly(tx, cls, why)
+  function endEarly(session: Session, tx: Transaction, errorClass: string, reason: string): Verdict {
+    if (session.transaction === tx) discard(session, tx)
+    return endedEarlyVerdict(tx, errorClass, reason)
   }
-  function overByError(session: Session, tx: Transaction, error: RequestError): Verdict {
+  function endByError(session: Session, tx: Transaction, error: RequestError): Verdict {
     metrics.add('claynotch_error_classification_total', [
       ['class', error.class],
       ['retryable', 'no'],
     ])
-    return over(session, tx, error.class, error.why)
+    return endEarly(session, tx, error.class, error.why)
   }
 
-  /** Why the route as it is now would not have begun this transaction, if so. */
+  /** The reason why the lane as now configured would not begin this transaction; undefined if it would. */
   function whyDisallowed(tx: Transaction): string | undefined {
     const lane = state.rules()?.lanes.get(tx.lane)
     if (!lane) return `the lane ${tx.lane} was dropped`
@@ -134,60 +142,65 @@
     const identity = identify(rules, lane, tx.keyHash)
     return identity.isAllowed && identity.tenant === tx.tenant
   }
-  /** Why its client may not go on with it, if so: at once, as its connection is in the name of a tenant that the key had. */
-  function whyDenied(tx: Transaction): string | undefined {
+  /**
+   * The reason why the client's key no longer permits this transaction. It then ends at once, as its connection was
+   * opened for the tenant that the key belonged to.
+   */
+  function whyKeyInvalid(tx: Transaction): string | undefined {
     const rules = state.rules()
     const lane = rules?.lanes.get(tx.lane)
     if (!rules) return undefined
-    const isStillTheirs = lane ? isTenantOf(rules, lane, tx) : tenantOfKey(rules, tx.keyHash) === tx.tenant
-    return isStillTheirs ? undefined : "the key was taken away, or is another tenant's now"
+    const isKeyValid = lane ? isTenantOf(rules, lane, tx) : tenantOfKey(rules, tx.keyHash) === tx.tenant
+    return isKeyValid ? undefined : "the key was taken away, or is another tenant's now"
   }
-  /** Why the configuration ends this transaction, if so: it has had its time since the route changed. */
-  function whyOverByConfiguration(tx: Transaction): string | undefined {
-    const why = whyDisallowed(tx)
+  /** The reason why the configuration ends this transaction: the drain timeout has passed since the lane changed. */
+  function whyInvalidByConfiguration(tx: Transaction): string | undefined {
+    const reason = whyDisallowed(tx)
     const now = world.now()
-    tx.disallowedSince = why === undefined ? undefined : (tx.disallowedSince ?? state.rules()?.appliedAt ?? now)
+    tx.disallowedSince = reason === undefined ? undefined : (tx.disallowedSince ?? state.rules()?.appliedAt ?? now)
     if (tx.disallowedSince !== undefined && now - tx.disallowedSince > DRAIN_TIMEOUT_MS)
-      return `${why}; open transactions had their time`
+      return `${reason}; open transactions had their time`
     return undefined
   }
-  /** Why its group ends it, if so: the lease or the leader that it was begun under is gone. */
-  function whyOverByGroup(tx: Transaction): string | undefined {
-    const known = state.group(tx.group)
-    if (!known || world.now() >= known.leaseExpiresAt) return 'this node lost its term'
+  /**
+   * The reason why the group ends this transaction: the lease or the leader that it was begun under is no longer valid.
+   */
+  function whyInvalidByGroup(tx: Transaction): string | undefined {
+    const group = state.group(tx.group)
+    if (!group || world.now() >= group.leaseExpiresAt) return 'this node lost its term'
     if (tx.isAtLeader && !runner.isEpochCurrent(tx.group, tx.epoch)) return 'the leader is being replaced'
-    if (known.record.epoch !== tx.epoch) return 'the leader was replaced'
-    if (known.record.phase === 'drain' && world.now() - known.appliedAt > DRAIN_TIMEOUT_MS)
+    if (group.record.epoch !== tx.epoch) return 'the leader was replaced'
+    if (group.record.phase === 'drain' && world.now() - group.appliedAt > DRAIN_TIMEOUT_MS)
       return 'the leader is being replaced; open transactions had their time'
     return undefined
   }
-  /** Why nothing more may go out on this transaction, if so. */
-  function whyOver(tx: Transaction): string | undefined {
-    if (whyCut !== undefined) return whyCut
+  /** The reason why nothing more may be sent on this transaction; undefined if it may continue. */
+  function whyInvalid(tx: Transaction): string | undefined {
+    if (stopReason !== undefined) return stopReason
     const { instance } = tx.connection
-    // An instance that leaves gets no new work, and a statement is work.
+    // A leaving instance gets no new work, and a further statement counts as new work.
     if (state.leavingForMs(instance) > LEAVING_GRACE_MS) return `the instance ${instance} leaves`
-    // A move's fence went by meanwhile: nothing of this transaction may count any more.
+    // The lane was fenced for a move since the begin: nothing of this transaction may be acknowledged any more.
     if (!state.canAcknowledgeWrite(tx.lane, tx.group, tx.begunAt)) return `the lane ${tx.lane} was moved`
-    const why = whyDenied(tx) ?? whyOverByConfiguration(tx) ?? whyOverByGroup(tx)
-    if (why !== undefined) return why
+    const reason = whyKeyInvalid(tx) ?? whyInvalidByConfiguration(tx) ?? whyInvalidByGroup(tx)
+    if (reason !== undefined) return reason
     return tx.connection.port.alive() ? undefined : 'the connection to the instance broke'
   }
-  function endIfOver(session: Session): void {
+  function terminateIfInvalid(session: Session): void {
     const tx = session.transaction
     if (!tx || session.isBusy) return
     const idleLimit = state.rules()?.transactionIdleMs ?? TRANSACTION_IDLE_TIMEOUT_MS
     if (world.now() - tx.lastUsedAt > idleLimit) {
       metrics.add('claynotch_transactions_idle_total')
-      return endUnasked(session, 'ABORTED', 'the transaction rested too long')
+      return terminate(session, 'ABORTED', 'the transaction rested too long')
     }
-    const why = whyOver(tx)
-    if (why !== undefined) endUnasked(session, 'UNAVAILABLE', why)
+    const reason = whyInvalid(tx)
+    if (reason !== undefined) terminate(session, 'UNAVAILABLE', reason)
   }
 
-  /** The position that a follower must hold now; undefined where none can be proved. */
+  /** The log position that the transaction's follower must hold now; undefined if freshness can't be proved. */
   function requiredPosition(session: Session, tx: Transaction, lane: LaneRules | undefined) {
-    // A bound that was changed meanwhile holds from now on.
+    // If the configured staleness bound has changed since the begin, the new one applies.
     const freshness = tx.freshness && ((lane && freshnessOf(lane)) ?? tx.freshness)
     const groupSince = lane?.group === tx.group ? lane.groupSince : 0
     return freshness ? runner.requiredPosition(tx.group, freshness, session.token, groupSince) : undefined
@@ -197,112 +210,130 @@
     { body, id }: StatementRequest,
     shape: PreparedStatement | undefined,
     mode: 'read' | 'write',
-    ms: number,
+    timeoutMs: number,
   ) {
     const { connection } = tx
-    const error = shape ? await connection.shape(shape.text) : undefined
+    const error = shape ? await connection.prepareShape(shape.text) : undefined
     if (error) return Err(error)
-    // Preparing it took a while.
-    const why = shape ? whyOver(tx) : undefined
-    if (why !== undefined) return Err(notSent(why))
-    const what = shape ? { shape: connection.shapeId(shape.text) } : { text: body.text ?? '' }
-    const sent = { ...what, args: body.args ?? [], mode, ...(id !== undefined ? { id } : {}) }
-    return await connection.port.statement(sent, Math.min(ms, ATTEMPT_TIMEOUT_MS))
+    // Checked again, as the state may have changed while the shape was registered.
+    const reason = shape ? whyInvalid(tx) : undefined
+    if (reason !== undefined) return Err(notSentError(reason))
+    const statementRef = shape ? { shape: connection.shapeId(shape.text) } : { text: body.text ?? '' }
+    const statementBody = { ...statementRef, args: body.args ?? [], mode, ...(id !== undefined ? { id } : {}) }
+    return await connection.port.statement(statementBody, Math.min(timeoutMs, ATTEMPT_TIMEOUT_MS))
   }
   async function statement(
     session: Session,
     tx: Transaction,
     request: StatementRequest,
-    ms: number,
-    gone: Flag,
+    timeoutMs: number,
+    callerGone: Flag,
   ): Promise<Verdict> {
-    const why = whyOver(tx)
-    if (why !== undefined) return over(session, tx, 'UNAVAILABLE', why)
+    const reason = whyInvalid(tx)
+    if (reason !== undefined) return endEarly(session, tx, 'UNAVAILABLE', reason)
     const { body } = request
     const shape = body.shape !== undefined ? session.state.prepared(body.shape) : undefined
-    if (body.shape !== undefined && !shape) return noSuchShape(body.shape)
+    if (body.shape !== undefined && !shape) return shapeNotFound(body.shape)
     const kind = body.kind ?? shape?.kind ?? 'write'
     if (kind === 'write' && tx.kind === 'read')
       return refusal('INVALID_ARGUMENT', 'a write in a transaction that was begun to read', false)
     const lane = state.rules()?.lanes.get(tx.lane)
-    // A follower that was fresh when the transaction began may have stopped receiving since.
-    const need = requiredPosition(session, tx, lane)
-    if (tx.freshness && need === undefined)
-      return over(session, tx, 'UNAVAILABLE', 'the follower can no longer be proved fresh')
+    // A follower that was fresh when the transaction began may have stopped replicating since.
+    const floor = requiredPosition(session, tx, lane)
+    if (tx.freshness && floor === undefined)
+      return endEarly(session, tx, 'UNAVAILABLE', 'the follower can no longer be proved fresh')
     tx.hasRun = true
-    const limit =
-      lane?.targetLatencyMs !== undefined ? Math.min(ms, lane.targetLatencyMs * STATEMENT_TIMEOUT_SHARE) : ms
+    const attemptTimeoutMs =
+      lane?.targetLatencyMs !== undefined
+        ? Math.min(timeoutMs, lane.targetLatencyMs * STATEMENT_TIMEOUT_SHARE)
+        : timeoutMs
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, 1)
-    const got = await sendStatement(tx, request, shape, kind, limit)
+    const result = await sendStatement(tx, request, shape, kind, attemptTimeoutMs)
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, -1)
     tx.lastUsedAt = world.now()
     if (session.transaction !== tx) {
       session.ended = undefined
-      return endedMeanwhile()
+      return endedMeanwhileVerdict()
     }
-    if (got.err) return overByError(session, tx, got.val)
-    const whyLate = whyOver(tx)
-    if (whyLate !== undefined) return over(session, tx, 'UNAVAILABLE', whyLate)
-    if (need !== undefined && !isFresh(got.val.mark, need, edge.exact))
-      return over(session, tx, 'UNAVAILABLE', "the follower fell behind the lane's bound")
-    if (gone.fired()) return over(session, tx, 'ABORTED', 'the requester went away')
-    return { outcome: 'done', rows: got.val.rows, ...proofOf(got.val) }
+    if (result.err) return endByError(session, tx, result.val)
+    const lateReason = whyInvalid(tx)
+    if (lateReason !== undefined) return endEarly(session, tx, 'UNAVAILABLE', lateReason)
+    if (floor !== undefined && !isFresh(result.val.mark, floor, adapter.exact))
+      return endEarly(session, tx, 'UNAVAILABLE', "the follower fell behind the lane's bound")
+    if (callerGone.fired()) return endEarly(session, tx, 'ABORTED', 'the requester went away')
+    return { outcome: 'done', rows: result.val.rows, ...proofFields(result.val) }
   }
 
-  function unknownEnd(session: Session, why: string): Verdict {
+  function unknownOutcome(session: Session, reason: string): Verdict {
     session.mustReadLeader = true
     metrics.add('claynotch_unknown_total')
-    return { outcome: 'unknown', class: 'UNKNOWN', kept: 'unknown', again: false, why, transaction: 'over' }
+    return { outcome: 'unknown', class: 'UNKNOWN', kept: 'unknown', again: false, why: reason, transaction: 'over' }
   }
-  /** A COMMIT that may have reached is never sent again. An instance that answers that it did not commit says so. */
-  function commitFailed(session: Session, tx: Transaction, error: RequestError): Verdict {
+  /**
+   * A commit that may have reached the instance is never retried. Its outcome is known if the instance answered that it
+   * did not commit, or if the transaction was read-only; otherwise it is unknown.
+   */
+  function commitFailure(session: Session, tx: Transaction, error: RequestError): Verdict {
     const failed = { outcome: 'failed', kept: 'unknown', why: error.why, transaction: 'over' } as const
     if (error.reach === 'answered') return { ...failed, class: error.class, again: error.transient }
     if (tx.kind === 'read') return { ...failed, class: 'UNAVAILABLE', again: true, after: RETRY_AFTER_OVERLOAD_S }
-    return unknownEnd(session, error.why)
+    return unknownOutcome(session, error.why)
   }
-  /** Whether the answer came while what the transaction was begun under still stood. */
-  function stillStands(tx: Transaction, mark: StatementResult['mark']): boolean {
+  /** Whether the commit's answer came while the epoch, the lease and the lane of the begin were still in force. */
+  function isCommitValid(tx: Transaction, position: StatementResult['mark']): boolean {
     return (
       runner.isEpochCurrent(tx.group, tx.epoch) &&
-      (!edge.exact || mark.epoch === tx.epoch) &&
+      (!adapter.exact || position.epoch === tx.epoch) &&
       state.canAcknowledgeWrite(tx.lane, tx.group, tx.begunAt)
     )
   }
-  async function commit(session: Session, tx: Transaction, ms: number, id: string | undefined): Promise<Verdict> {
-    const why = whyOver(tx)
-    if (why !== undefined) return over(session, tx, 'UNAVAILABLE', why)
+  async function commit(
+    session: Session,
+    tx: Transaction,
+    timeoutMs: number,
+    id: string | undefined,
+  ): Promise<Verdict> {
+    const reason = whyInvalid(tx)
+    if (reason !== undefined) return endEarly(session, tx, 'UNAVAILABLE', reason)
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, 1)
-    const sent = id !== undefined ? { id } : undefined
-    const got = await tx.connection.port.commit(Math.min(ms, ATTEMPT_TIMEOUT_MS), sent)
+    const options = id !== undefined ? { id } : undefined
+    const result = await tx.connection.port.commit(Math.min(timeoutMs, ATTEMPT_TIMEOUT_MS), options)
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, -1)
     if (session.transaction === tx) session.transaction = undefined
-    tx.connection.end(got.ok || got.val.reach === 'answered')
+    tx.connection.end(result.ok || result.val.reach === 'answered')
     runner.inFlightEnded.notify()
-    if (got.err) return commitFailed(session, tx, got.val)
+    if (result.err) return commitFailure(session, tx, result.val)
     if (tx.kind === 'write') {
-      if (!stillStands(tx, got.val.mark))
-        return unknownEnd(
+      if (!isCommitValid(tx, result.val.mark))
+        return unknownOutcome(
           session,
           'the answer came after the leader had been replaced, the lane moved, or the term had ended',
         )
-      runner.recordWritePosition(tx.group, got.val.mark)
-      session.token = { group: tx.group, position: got.val.mark }
+      runner.recordWritePosition(tx.group, result.val.mark)
+      session.token = { group: tx.group, position: result.val.mark }
     }
-    return { outcome: 'done', rows: got.val.rows, transaction: 'over', ...proofOf(got.val) }
+    return { outcome: 'done', rows: result.val.rows, transaction: 'over', ...proofFields(result.val) }
   }
   async function set(session: Session, tx: Transaction, name: string, value: string): Promise<Verdict> {
-    const why = whyOver(tx)
-    if (why !== undefined) return over(session, tx, 'UNAVAILABLE', why)
-    const before = session.state.value(name)
-    if (!session.state.set(name, value)) return tooMuchState()
+    const reason = whyInvalid(tx)
+    if (reason !== undefined) return endEarly(session, tx, 'UNAVAILABLE', reason)
+    const previousValue = session.state.value(name)
+    if (!session.state.set(name, value)) return stateLimitExceeded()
     const error = await tx.connection.setting(name, value)
     if (!error) return { outcome: 'done' }
-    session.state.restore(name, before)
-    return overByError(session, tx, error)
+    session.state.restore(name, previousValue)
+    return endByError(session, tx, error)
   }
-  function cut(why: string): void {
-    whyCut = why
+  function stopSending(reason: string): void {
+    stopReason = reason
+  }
+  return {
+    statement,
+    commit,
+    set,
+    rollBack,
+    terminate,
+    terminateIfInvalid,
+    stopSending,
   }
-  return { statement, commit, set, rollBack, endUnasked, endIfOver, cut }
 }
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -16,189 +16,236 @@
 import type { Sample } from './freshness.js'
 import type { State } from './state.js'
 
-// ms. Leader samples are kept for this long; longer than any freshness bound in use would look back.
-const SAMPLES_LIFE = 10000
+/** How long (ms) a leader's samples are kept: longer than any staleness bound in use. */
+const SAMPLES_KEPT_MS = 10000
 
-// What this node saw of one instance.
-// Invariants: samples hold only what it answered as leader; mark is the last it answered, as of a time not after now.
-// doubt: something failed there after it was last seen to lead as it should. again: where no samples clear a doubt, one
-// call may try from then on, with pauses that grow until one succeeds.
+/**
+ * What this node has observed of one instance.
+ *
+ * Invariants: samples hold only positions that it answered as leader; mark is a position that it held at some time not
+ * after now.
+ */
 export type Instance = {
   name: string
   group: string
   addr: string
   area: string
-  lastOk: number
+  /** When it last answered successfully; 0: never. */
+  lastAnswerAt: number
   status: Status | undefined
+  /** The last log position that it answered; as leader of one epoch, the highest. */
   mark: LogPosition | undefined
   samples: Sample[]
+  /** Something failed there since it last answered in its recorded role; calls avoid it. */
   doubt: boolean
-  row: number
-  again: number
-  pause: number
+  /** Unconfirmed failures since the last successful answer, counted where nothing polls its status. */
+  failuresInRow: number
+  /**
+   * While in doubt and where nothing polls the instance's status, from when on one call may try it; the delay between
+   * trials grows until one succeeds.
+   */
+  nextTrialAt: number
+  trialDelayMs: number
+  /** Number of this node's calls in flight there. */
   usage: number
-  // failing: when the first send was made that failed with no sign of life after it.
-  failing: number | undefined
+  /** When the first request was sent that failed without a successful answer since; undefined: none has. */
+  failingSince: number | undefined
 }
 
+/** Observes the instances: polls their status where the adapter can, and records the results of calls. */
 export type Watch = {
   get: (name: string) => Instance | undefined
   all: () => Map<string, Instance>
-  // A good answer, asked at that time, with the place the instance was at.
-  // reign: the record's epoch that it was asked under as leader; undefined: it was asked as a follower.
-  saw: (name: string, asked: number, mark: LogPosition, reign: number | undefined) => void
-  // asked: when what failed was sent; an answer that came after it speaks for the instance. alive: it was answered, by one
-  // that serves. sure: it says itself that it doesn't lead, so nobody need try again to know.
-  failed: (name: string, asked: number, alive: boolean, sure: boolean) => void
-  // Whether a call may go there; claim: it does, and while there is doubt no other may for a while.
-  usable: (one: Instance, claim: boolean) => boolean
-  // Rings when an instance begins to fail.
-  trouble: ReturnType<typeof makeSignal>
+  /**
+   * Records a successful answer to a request sent at askedAt, with the instance's log position. leaderEpoch: the epoch
+   * under which it was asked as leader; undefined: it was asked as a follower.
+   */
+  saw: (name: string, askedAt: number, position: LogPosition, leaderEpoch: number | undefined) => void
+  /**
+   * Records a failure of a request sent at sentAt; a successful answer since then counts in the instance's favour.
+   * isAlive: the instance answered and serves, so it isn't failing. isConfirmed: no second failure is needed for a
+   * doubt, as a status poll failed or the instance itself reports that it is not the leader.
+   */
+  failed: (name: string, sentAt: number, isAlive: boolean, isConfirmed: boolean) => void
+  /** Whether a call may go to the instance. claimsTrial: the call goes, so while in doubt no other may for a while. */
+  usable: (instance: Instance, claimsTrial: boolean) => boolean
+  /** Fires when an instance begins to fail. */
+  failureStarted: ReturnType<typeof makeSignal>
+  /** Fires when an instance is no longer in doubt. */
   bell: ReturnType<typeof makeSignal>
 }
 
-export function startWatch(world: World, state: State, edge: InstanceAdapter, stop: Flag, metrics: Metrics): Watch {
+export function startWatch(world: World, state: State, adapter: InstanceAdapter, stop: Flag, metrics: Metrics): Watch {
   const all = new Map<string, Instance>()
-  const ends = new Map<string, Flag>()
-  const signal = makeSignal()
-  const trouble = makeSignal()
+  const stopFlags = new Map<string, Flag>()
+  const doubtCleared = makeSignal()
+  const failureStarted = makeSignal()
 
-  function wantedNow(): Map<string, { group: string; addr: string; area: string }> {
-    const out = new Map<string, { group: string; addr: string; area: string }>()
-    // Samples take connections too, of a share.
-    if (!state.hasConnectionShare()) return out
+  function instancesToWatch(): Map<string, { group: string; addr: string; area: string }> {
+    const targets = new Map<string, { group: string; addr: string; area: string }>()
+    // Status polling uses connections too, so it needs a connection share.
+    if (!state.hasConnectionShare()) return targets
     const groups = new Set<string>()
-    for (const g of state.config()?.groups ?? []) groups.add(g.name)
-    for (const s of state.instanceStatuses().values())
-      if (groups.has(s.group)) out.set(s.name, { group: s.group, addr: s.addr, area: s.area })
-    // A leader by record is watched even while its announcements are not heard.
-    for (const g of groups) {
-      const rec = state.group(g)?.record
-      if (rec?.leader !== undefined && rec.addr !== undefined && !out.has(rec.leader))
-        out.set(rec.leader, { group: g, addr: rec.addr, area: all.get(rec.leader)?.area ?? '' })
+    for (const configured of state.config()?.groups ?? []) groups.add(configured.name)
+    for (const status of state.instanceStatuses().values())
+      if (groups.has(status.group))
+        targets.set(status.name, { group: status.group, addr: status.addr, area: status.area })
+    // The recorded leader is watched even while its announcements don't arrive.
+    for (const groupName of groups) {
+      const record = state.group(groupName)?.record
+      if (record?.leader !== undefined && record.addr !== undefined && !targets.has(record.leader))
+        targets.set(record.leader, { group: groupName, addr: record.addr, area: all.get(record.leader)?.area ?? '' })
     }
-    return out
+    return targets
   }
-  function tend(): void {
-    const wanted = wantedNow()
-    for (const [name, w] of wanted) {
-      const old = all.get(name)
-      if (old && old.addr === w.addr && old.group === w.group) {
-        old.area = w.area
+  function updateInstances(): void {
+    const wanted = instancesToWatch()
+    for (const [name, target] of wanted) {
+      const existing = all.get(name)
+      if (existing && existing.addr === target.addr && existing.group === target.group) {
+        existing.area = target.area
         continue
       }
-      ends.get(name)?.fire()
-      const one: Instance = {
+      stopFlags.get(name)?.fire()
+      const instance: Instance = {
         name,
-        ...w,
-        lastOk: 0,
+        ...target,
+        lastAnswerAt: 0,
         status: undefined,
         mark: undefined,
         samples: [],
         doubt: false,
-        row: 0,
-        again: 0,
-        pause: 0,
+        failuresInRow: 0,
+        nextTrialAt: 0,
+        trialDelayMs: 0,
         usage: 0,
-        failing: undefined,
+        failingSince: undefined,
       }
-      const end = makeFlag()
-      stop.watch(end.fire)
-      all.set(name, one)
-      ends.set(name, end)
-      if (edge.sampler) void sample(one, end, edge.sampler)
+      const stopPolling = makeFlag()
+      stop.watch(stopPolling.fire)
+      all.set(name, instance)
+      stopFlags.set(name, stopPolling)
+      if (adapter.sampler) void pollStatus(instance, stopPolling, adapter.sampler)
     }
-    for (const [name, end] of ends) {
+    for (const [name, stopPolling] of stopFlags) {
       if (wanted.has(name)) continue
-      end.fire()
-      ends.delete(name)
+      stopPolling.fire()
+      stopFlags.delete(name)
       all.delete(name)
     }
   }
-  void loop(world, 'watch', SAMPLE_INTERVAL_MS, stop, tend, state.changed)
+  void loop(world, 'watch', SAMPLE_INTERVAL_MS, stop, updateInstances, state.changed)
 
-  // One task for each instance: asks its STATUS on a connection of its own, beat by beat.
-  async function sample(one: Instance, end: Flag, ask: NonNullable<InstanceAdapter['sampler']>): Promise<void> {
-    let line: StatusSampler | undefined
-    while (!end.fired()) {
-      const asked = world.now()
-      if (!line?.alive()) {
-        const got = await ask(world, one, SAMPLE_TIMEOUT_MS)
-        line = got.ok ? got.val : undefined
+  /** Polls the instance's status at intervals on a connection of its own; one such task runs for each instance. */
+  async function pollStatus(
+    instance: Instance,
+    stopPolling: Flag,
+    openSampler: NonNullable<InstanceAdapter['sampler']>,
+  ): Promise<void> {
+    let sampler: StatusSampler | undefined
+    while (!stopPolling.fired()) {
+      const askedAt = world.now()
+      if (!sampler?.alive()) {
+        const opened = await openSampler(world, instance, SAMPLE_TIMEOUT_MS)
+        sampler = opened.ok ? opened.val : undefined
       }
-      const got = line ? await line.status() : undefined
-      if (end.fired()) break
-      if (got?.ok && got.val.name === one.name) {
-        one.status = got.val
-        saw(one.name, asked, got.val.mark, got.val.role === 'leader' ? got.val.mark.epoch : undefined)
+      const answer = sampler ? await sampler.status() : undefined
+      if (stopPolling.fired()) break
+      if (answer?.ok && answer.val.name === instance.name) {
+        instance.status = answer.val
+        recordAnswer(
+          instance.name,
+          askedAt,
+          answer.val.mark,
+          answer.val.role === 'leader' ? answer.val.mark.epoch : undefined,
+        )
       } else {
-        metrics.add('claynotch_samples_failed_total', [['instance', one.name]])
-        line?.close()
-        line = undefined
-        failed(one.name, asked, false, true)
+        metrics.add('claynotch_samples_failed_total', [['instance', instance.name]])
+        sampler?.close()
+        sampler = undefined
+        recordFailure(instance.name, askedAt, false, true)
       }
-      const spent = world.now() - asked
+      const elapsedMs = world.now() - askedAt
       await pause(
         world,
-        Math.max(SAMPLE_INTERVAL_MS / 3, SAMPLE_INTERVAL_MS - spent) * (0.9 + 0.2 * world.random()),
-        end,
+        Math.max(SAMPLE_INTERVAL_MS / 3, SAMPLE_INTERVAL_MS - elapsedMs) * (0.9 + 0.2 * world.random()),
+        stopPolling,
       )
     }
-    line?.close()
+    sampler?.close()
   }
-  function saw(name: string, asked: number, mark: LogPosition, reign: number | undefined): void {
-    const one = all.get(name)
-    if (!one) return
+  function recordAnswer(name: string, askedAt: number, position: LogPosition, leaderEpoch: number | undefined): void {
+    const instance = all.get(name)
+    if (!instance) return
     const now = world.now()
-    one.lastOk = now
-    one.row = 0
-    one.failing = undefined
-    const lead = reign !== undefined
-    if (!one.mark || mark.epoch !== one.mark.epoch || mark.position > one.mark.position || !lead) one.mark = mark
-    if (lead) {
-      one.samples.push({ askedAt: asked, epoch: reign, position: mark })
-      while (one.samples.length > 0 && one.samples[0].askedAt < now - SAMPLES_LIFE) one.samples.shift()
+    instance.lastAnswerAt = now
+    instance.failuresInRow = 0
+    instance.failingSince = undefined
+    const isLeader = leaderEpoch !== undefined
+    if (
+      !instance.mark ||
+      position.epoch !== instance.mark.epoch ||
+      position.position > instance.mark.position ||
+      !isLeader
+    )
+      instance.mark = position
+    if (isLeader) {
+      instance.samples.push({ askedAt, epoch: leaderEpoch, position })
+      while (instance.samples.length > 0 && instance.samples[0].askedAt < now - SAMPLES_KEPT_MS)
+        instance.samples.shift()
     }
-    const rec = state.group(one.group)?.record
-    const fits = rec?.leader === name ? lead && reign === rec.epoch : true
-    if (one.doubt && fits) {
-      one.doubt = false
-      one.pause = 0
-      signal.notify()
-    } else if (!fits) one.doubt = true
+    const record = state.group(instance.group)?.record
+    const isRoleAsRecorded = record?.leader === name ? isLeader && leaderEpoch === record.epoch : true
+    if (instance.doubt && isRoleAsRecorded) {
+      instance.doubt = false
+      instance.trialDelayMs = 0
+      doubtCleared.notify()
+    } else if (!isRoleAsRecorded) instance.doubt = true
   }
-  // One lost answer among many is no reason to keep everyone away: where nothing samples the instance, the second in a row is.
-  function failed(name: string, asked: number, alive: boolean, sure: boolean): void {
-    const one = all.get(name)
-    if (!one) return
-    if (alive) {
-      one.failing = undefined
+  // One lost answer among many is no reason to avoid an instance: where nothing polls its status, only the second
+  // failure in a row is.
+  function recordFailure(name: string, sentAt: number, isAlive: boolean, isConfirmed: boolean): void {
+    const instance = all.get(name)
+    if (!instance) return
+    if (isAlive) {
+      instance.failingSince = undefined
       return
     }
-    if (!edge.sampler && !sure && one.lastOk >= asked) return
-    if (one.failing === undefined) {
-      // A good answer since then says that the trouble is younger than the send.
-      one.failing = Math.max(asked, one.lastOk)
-      trouble.notify()
+    if (!adapter.sampler && !isConfirmed && instance.lastAnswerAt >= sentAt) return
+    if (instance.failingSince === undefined) {
+      // If the instance has answered since the request was sent, it has been failing only since that answer.
+      instance.failingSince = Math.max(sentAt, instance.lastAnswerAt)
+      failureStarted.notify()
     }
-    if (!edge.sampler && !sure && ++one.row < FAILURES_BEFORE_DOUBT) return
-    one.pause = Math.min(MAX_TRIAL_DELAY_MS, one.pause === 0 ? MIN_TRIAL_DELAY_MS : one.pause * 2)
-    one.again = world.now() + one.pause
-    if (one.doubt) return
-    one.doubt = true
+    if (!adapter.sampler && !isConfirmed && ++instance.failuresInRow < FAILURES_BEFORE_DOUBT) return
+    instance.trialDelayMs = Math.min(
+      MAX_TRIAL_DELAY_MS,
+      instance.trialDelayMs === 0 ? MIN_TRIAL_DELAY_MS : instance.trialDelayMs * 2,
+    )
+    instance.nextTrialAt = world.now() + instance.trialDelayMs
+    if (instance.doubt) return
+    instance.doubt = true
     metrics.add('claynotch_doubts_total', [['instance', name]])
   }
-  function usable(one: Instance, claim: boolean): boolean {
-    if (!one.doubt) return true
-    if (edge.sampler || world.now() < one.again) return false
-    if (claim) one.again = world.now() + one.pause
+  function isUsable(instance: Instance, claimsTrial: boolean): boolean {
+    if (!instance.doubt) return true
+    if (adapter.sampler || world.now() < instance.nextTrialAt) return false
+    if (claimsTrial) instance.nextTrialAt = world.now() + instance.trialDelayMs
     return true
   }
   function get(name: string): Instance | undefined {
     return all.get(name)
   }
-  function allNow(): Map<string, Instance> {
+  function allInstances(): Map<string, Instance> {
     return all
   }
-  return { get, all: allNow, saw, failed, usable, trouble, bell: signal }
+  return {
+    get,
+    all: allInstances,
+    saw: recordAnswer,
+    failed: recordFailure,
+    usable: isUsable,
+    failureStarted,
+    bell: doubtCleared,
+  }
 }
--- a/packages/requester/src/index.ts
+++ b/packages/requester/src/index.ts
@@ -10,29 +10,43 @@
   type Result,
 } from '@claynotch/base'
 
-// The requester's wire: what is asked, how each verdict is written. docs/wire.md tells it to users.
+/** The HTTP protocol for clients (requesters): their requests, and how each result is written; see docs/wire.md. */
 
-const Pair = t.type({ name: Name, value: t.string })
-const KindShape = t.union([t.literal('read'), t.literal('write')])
+const SettingCodec = t.type({ name: Name, value: t.string })
+const KindCodec = t.union([t.literal('read'), t.literal('write')])
+/** Body of POST /sessions. */
 export const OpenBody = t.intersection([
   t.type({ lane: Name }),
-  t.partial({ settings: t.array(Pair), token: t.string, database: Name, key: t.string }),
+  t.partial({ settings: t.array(SettingCodec), token: t.string, database: Name, key: t.string }),
 ])
+/** Body of POST /sessions/ID/shapes. */
 export const ShapeBody = t.type({ name: Name, text: t.string })
-export const BeginBody = t.partial({ kind: KindShape })
+/** Body of POST /sessions/ID/begin. */
+export const BeginBody = t.partial({ kind: KindCodec })
+/** Body of POST /sessions/ID/statement. */
 export const StatementBody = t.intersection([
-  t.type({ kind: KindShape }),
+  t.type({ kind: KindCodec }),
   t.partial({ text: t.string, shape: Name, args: t.array(t.unknown) }),
 ])
+/** Body of POST /calls: one statement without a session. */
 export const CallBody = t.intersection([
-  t.type({ lane: Name, kind: KindShape, text: t.string }),
-  t.partial({ args: t.array(t.unknown), settings: t.array(Pair), token: t.string, database: Name, key: t.string }),
+  t.type({ lane: Name, kind: KindCodec, text: t.string }),
+  t.partial({
+    args: t.array(t.unknown),
+    settings: t.array(SettingCodec),
+    token: t.string,
+    database: Name,
+    key: t.string,
+  }),
 ])
-const Empty = t.partial({})
+const EmptyBody = t.partial({})
 
-// key: the client's own, which tells whose it is. lane undefined: the lane is matched by the database, anew for each call. id: the requester's own mark of a statement,
-// handed on to the instance. kind of a shape: what its statements do; a statement by shape may then leave its kind out.
 export type Kind = 'read' | 'write'
+/**
+ * A client's request. key: the client's API key, which identifies the client; lane undefined: each call looks up the
+ * lane of the database anew; id: the client's own identifier of a statement, passed on to the instance; kind of a
+ * shape: what its statements do, so that a statement by this shape may omit its kind.
+ */
 export type Word =
   | { w: 'open'; body: Omit<t.TypeOf<typeof OpenBody>, 'lane'> & { lane?: string } }
   | { w: 'close'; session: string }
@@ -50,10 +64,16 @@
   | { w: 'rollback'; session: string; id?: string }
   | { w: 'call'; body: t.TypeOf<typeof CallBody> }
 
-// outcome: done, with rows; refused, nothing of the try ran; failed, some of it may have run and none of it
-// was kept by us, see kept; unknown, a write may have been kept.
-// Invariant: kept is 'nothing' only where nothing of the try ran.
+/**
+ * The result of a client's request.
+ *
+ * Invariant: kept is 'nothing' only if nothing of the attempt was executed.
+ */
 export type Verdict = {
+  /**
+   * done: executed, with rows; refused: nothing of the attempt was executed; failed: some of it may have been executed,
+   * and nothing of it was committed by this node (see kept); unknown: a write may have been committed.
+   */
   outcome: 'done' | 'refused' | 'failed' | 'unknown'
   class?: string
   kept?: 'nothing' | 'unknown'
@@ -64,15 +84,18 @@
   token?: string
   session?: string
   transaction?: 'over'
-  // lacks: what was asked for by a name that isn't there.
+  /** What was requested by a name that doesn't exist. */
   lacks?: 'lane' | 'shape'
-  // stamp, mark: the instance's own proof of its answer, and its place then. reads: nothing of the try could write.
+  /** The instance's own proof of its answer. */
   stamp?: string
+  /** The instance's log position at the answer. */
   mark?: { epoch: number; position: number }
+  /** Whether the request was a read, so that nothing of it could write. */
   reads?: boolean
 }
 
-const statuses = new Map<string, number>([
+/** The HTTP status of a refusal, by error class. */
+const statusByClass = new Map<string, number>([
   ['UNAVAILABLE', 503],
   ['RESOURCE_EXHAUSTED', 429],
   ['INVALID_ARGUMENT', 400],
@@ -82,24 +105,35 @@
   ['ABORTED', 409],
 ])
 
-// 503 and 429 promise that nothing was kept, so they are used only where that holds; 502 and 504 promise nothing.
-export function writeVerdict(v: Verdict): HttpResponse {
-  const { after, lacks: _lacks, stamp: _stamp, mark: _mark, reads: _reads, ...body } = v
-  if (v.outcome === 'done') return { status: 200, body }
+/**
+ * Writes a result as an HTTP response. 503 and 429 promise that nothing was executed, so they are used only where that
+ * holds; 502 and 504 promise nothing.
+ */
+export function formatVerdict(verdict: Verdict): HttpResponse {
+  const { after, lacks: _lacks, stamp: _stamp, mark: _mark, reads: _reads, ...body } = verdict
+  if (verdict.outcome === 'done') return { status: 200, body }
   let status: number
-  if (v.outcome === 'unknown') status = 504
-  else if (v.kept !== 'nothing') status = v.transaction === 'over' ? 409 : 502
-  else status = statuses.get(v.class ?? '') ?? 500
+  if (verdict.outcome === 'unknown') status = 504
+  else if (verdict.kept !== 'nothing') status = verdict.transaction === 'over' ? 409 : 502
+  else status = statusByClass.get(verdict.class ?? '') ?? 500
   return { status, body, ...(after !== undefined ? { after } : {}) }
 }
 
-export function refusal(cls: string, why: string, again: boolean, after?: number): Verdict {
-  return { outcome: 'refused', class: cls, kept: 'nothing', again, why, ...(after !== undefined ? { after } : {}) }
+/** A result that promises that nothing was executed. again: a retry may succeed; after: in that many seconds. */
+export function refusal(errorClass: string, why: string, again: boolean, after?: number): Verdict {
+  return {
+    outcome: 'refused',
+    class: errorClass,
+    kept: 'nothing',
+    again,
+    why,
+    ...(after !== undefined ? { after } : {}),
+  }
 }
 
-// ms left to the caller, from the header x-deadline-ms.
-export function readDeadline(ask: HttpRequest): Result<number | undefined, Finding[]> {
-  const text = ask.header('x-deadline-ms')
+/** How long (ms) the client waits for the answer, from the header x-deadline-ms. */
+export function parseDeadline(request: HttpRequest): Result<number | undefined, Finding[]> {
+  const text = request.header('x-deadline-ms')
   if (text === undefined) return Ok(undefined)
   const ms = Number(text)
   if (!Number.isFinite(ms) || ms < 0)
@@ -107,50 +141,52 @@
   return Ok(ms)
 }
 
-function body<T>(codec: t.Type<T, unknown, unknown>, value: unknown): Result<T, Finding[]> {
+function decodeBody<T>(codec: t.Type<T, unknown, unknown>, value: unknown): Result<T, Finding[]> {
   return readStrict(codec, value)
 }
 
-export function readWord(ask: HttpRequest): Result<Word, { status: number; why: string; findings: Finding[] }> {
-  const parts = ask.path.split('/').filter(Boolean)
-  const verb = ask.method
-  function bad(findings: Finding[]): Result<never, { status: number; why: string; findings: Finding[] }> {
+/** Decodes an HTTP request; on failure returns the HTTP status and what is wrong. */
+export function parseRequest(request: HttpRequest): Result<Word, { status: number; why: string; findings: Finding[] }> {
+  const segments = request.path.split('/').filter(Boolean)
+  const method = request.method
+  function badRequest(findings: Finding[]): Result<never, { status: number; why: string; findings: Finding[] }> {
     return Err({ status: 400, why: 'not understood', findings })
   }
-  if (parts.length === 1 && parts[0] === 'sessions' && verb === 'POST') {
-    const got = body(OpenBody, ask.body)
-    return got.err ? bad(got.val) : Ok({ w: 'open', body: got.val })
+  if (segments.length === 1 && segments[0] === 'sessions' && method === 'POST') {
+    const decoded = decodeBody(OpenBody, request.body)
+    return decoded.err ? badRequest(decoded.val) : Ok({ w: 'open', body: decoded.val })
   }
-  if (parts.length === 1 && parts[0] === 'calls' && verb === 'POST') {
-    const got = body(CallBody, ask.body)
-    return got.err ? bad(got.val) : Ok({ w: 'call', body: got.val })
+  if (segments.length === 1 && segments[0] === 'calls' && method === 'POST') {
+    const decoded = decodeBody(CallBody, request.body)
+    return decoded.err ? badRequest(decoded.val) : Ok({ w: 'call', body: decoded.val })
   }
-  if (parts[0] === 'sessions' && parts.length === 2 && verb === 'DELETE') return Ok({ w: 'close', session: parts[1] })
-  if (parts[0] === 'sessions' && parts.length === 3 && verb === 'POST') {
-    const session = parts[1]
-    const plain = ask.body ?? {}
-    switch (parts[2]) {
+  if (segments[0] === 'sessions' && segments.length === 2 && method === 'DELETE')
+    return Ok({ w: 'close', session: segments[1] })
+  if (segments[0] === 'sessions' && segments.length === 3 && method === 'POST') {
+    const session = segments[1]
+    const requestBody = request.body ?? {}
+    switch (segments[2]) {
       case 'shapes': {
-        const got = body(ShapeBody, plain)
-        return got.err ? bad(got.val) : Ok({ w: 'shape', session, body: got.val })
+        const decoded = decodeBody(ShapeBody, requestBody)
+        return decoded.err ? badRequest(decoded.val) : Ok({ w: 'shape', session, body: decoded.val })
       }
       case 'begin': {
-        const got = body(BeginBody, plain)
-        return got.err ? bad(got.val) : Ok({ w: 'begin', session, body: got.val })
+        const decoded = decodeBody(BeginBody, requestBody)
+        return decoded.err ? badRequest(decoded.val) : Ok({ w: 'begin', session, body: decoded.val })
       }
       case 'statement': {
-        const got = body(StatementBody, plain)
-        if (got.err) return bad(got.val)
-        if ((got.val.text === undefined) === (got.val.shape === undefined))
-          return bad([{ place: '/text', what: 'exactly one of text and shape is needed' }])
-        return Ok({ w: 'statement', session, body: got.val })
+        const decoded = decodeBody(StatementBody, requestBody)
+        if (decoded.err) return badRequest(decoded.val)
+        if ((decoded.val.text === undefined) === (decoded.val.shape === undefined))
+          return badRequest([{ place: '/text', what: 'exactly one of text and shape is needed' }])
+        return Ok({ w: 'statement', session, body: decoded.val })
       }
       case 'commit':
       case 'rollback': {
-        const got = body(Empty, plain)
-        return got.err ? bad(got.val) : Ok({ w: parts[2], session })
+        const decoded = decodeBody(EmptyBody, requestBody)
+        return decoded.err ? badRequest(decoded.val) : Ok({ w: segments[2], session })
       }
     }
   }
-  return Err({ status: 404, why: `no such path: ${verb} ${ask.path}`, findings: [] })
+  return Err({ status: 404, why: `no such path: ${method} ${request.path}`, findings: [] })
 }
