--- a/packages/proxy/src/client-memory.ts
+++ b/packages/proxy/src/client-memory.ts
@@ -41,12 +41,12 @@
     let unreadBytes = 0
 
     function set(nextPendingRequests: number, nextPendingBytes: number, nextUnreadBytes: number): boolean {
-      const growth = nextPendingBytes + nextUnreadBytes - pendingBytes - unreadBytes
+      const growthBytes = nextPendingBytes + nextUnreadBytes - pendingBytes - unreadBytes
       pendingRequests = nextPendingRequests
       pendingBytes = nextPendingBytes
       unreadBytes = nextUnreadBytes
-      totalHeld += growth
-      if (growth <= 0 || totalHeld <= ALL_CLIENTS_MEMORY_LIMIT_BYTES) return true
+      totalHeld += growthBytes
+      if (growthBytes <= 0 || totalHeld <= ALL_CLIENTS_MEMORY_LIMIT_BYTES) return true
       metrics.add('claynotch_clients_over_memory_total')
       return false
     }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -187,27 +187,28 @@
   /** Reports this proxy's state to the agent, and sets the metrics of it. */
   function sendReport(): void {
     acknowledge()
-    const highs: [string, number, number][] = []
-    for (const [group, position] of runner.lastWritePositions()) highs.push([group, position.epoch, position.position])
-    const seen: [string, number][] = []
+    const lastWrites: [string, number, number][] = []
+    for (const [group, position] of runner.lastWritePositions())
+      lastWrites.push([group, position.epoch, position.position])
+    const answerAges: [string, number][] = []
     const now = world.now()
-    const lags: [string, number][] = []
+    const followerLags: [string, number][] = []
     for (const [name, instance] of watch.all()) {
-      if (instance.lastAnswerAt > 0) seen.push([name, now - instance.lastAnswerAt])
+      if (instance.lastAnswerAt > 0) answerAges.push([name, now - instance.lastAnswerAt])
       const record = state.group(instance.group)?.record
       const lagMs =
         record?.leader !== undefined && record.leader !== name && instance.mark
           ? provedStalenessMs(watch.get(record.leader)?.samples ?? [], record.epoch, instance.mark, now)
           : undefined
-      if (lagMs !== undefined) lags.push([name, lagMs])
+      if (lagMs !== undefined) followerLags.push([name, lagMs])
     }
-    const moving: [string, number][] = []
-    const tries: [string, number, number][] = []
+    const changingGroups: [string, number][] = []
+    const attemptCounts: [string, number, number][] = []
     for (const [group, controls] of runner.retryControlsByGroup()) {
       const recent = controls.tokens.recentCounts()
-      tries.push([group, recent.firsts, recent.retries])
+      attemptCounts.push([group, recent.firsts, recent.retries])
       const record = state.group(group)?.record
-      if (record && record.phase !== 'steady') moving.push([group, record.epoch])
+      if (record && record.phase !== 'steady') changingGroups.push([group, record.epoch])
     }
     metrics.set('claynotch_client_memory_bytes', [], clientMemory.totalBytes())
     metrics.set('claynotch_ready', [], whyNotReady() === undefined ? 1 : 0)
@@ -217,13 +218,13 @@
       t: 'note',
       life: processId,
       acks: [...ackedVersions],
-      highs,
-      seen,
-      moving,
-      tries,
+      highs: lastWrites,
+      seen: answerAges,
+      moving: changingGroups,
+      tries: attemptCounts,
       open: sessions.openCount(),
       leaving: isLeaving,
-      lags,
+      lags: followerLags,
       bad: failingInstances(now),
     }
     agent.tell(report)
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -27,6 +27,7 @@
 export type Sessions = {
   /** Runs one client request. callerTimeoutMs: how long the client waits; callerGone: fires when it disconnects. */
   run: (request: Word, callerTimeoutMs: number | undefined, callerGone: Flag) => Promise<Verdict>
+  /** Number of open sessions. */
   openCount: () => number
   /**
    * Number of open transactions, of one group, lane or kind where given. Read transactions count too: a drain gives
@@ -315,10 +316,10 @@
     const tx = session.transaction
     const lane = state.rules()?.lanes.get(tx?.lane ?? '')
     const timeoutMs = Math.min(callerTimeoutMs ?? ATTEMPT_TIMEOUT_MS, lane?.statementTimeoutMs ?? ATTEMPT_TIMEOUT_MS)
-    const { ended } = session
-    if (ended && request.w !== 'shape' && request.w !== 'unshape') {
+    const { ended: endedVerdict } = session
+    if (endedVerdict && request.w !== 'shape' && request.w !== 'unshape') {
       session.ended = undefined
-      if (request.w !== 'rollback') return ended
+      if (request.w !== 'rollback') return endedVerdict
     }
     switch (request.w) {
       case 'shape': {
@@ -333,7 +334,7 @@
         if (!tx) return refusal('INVALID_ARGUMENT', 'no transaction is open', false)
         return await transactions.commit(session, tx, timeoutMs, request.id)
       case 'rollback':
-        return await rollBackOnRequest(session, ended !== undefined)
+        return await rollBackOnRequest(session, endedVerdict !== undefined)
       case 'statement':
         if (tx) return await transactions.statement(session, tx, request, timeoutMs, callerGone)
         return await runCall(session, request, callerTimeoutMs, callerGone)
--- a/packages/proxy/src/transactions.ts
+++ b/packages/proxy/src/transactions.ts
@@ -21,10 +21,12 @@
 import { freshnessOf, type Session, type Transaction } from './session.js'
 import type { State } from './state.js'
 
+/** A client's request to run a statement in a session. */
 export type StatementRequest = Extract<Word, { w: 'statement' }>
 
 /** The open transactions of sessions: their statements, and how they end. */
 export type Transactions = {
+  /** Runs a statement on the transaction's connection. */
   statement: (
     session: Session,
     transaction: Transaction,
@@ -32,6 +34,7 @@
     timeoutMs: number,
     callerGone: Flag,
   ) => Promise<Verdict>
+  /** Commits the transaction; it has ended then, whatever the answer. */
   commit: (session: Session, transaction: Transaction, timeoutMs: number, id: string | undefined) => Promise<Verdict>
   /**
    * Applies a session setting to the transaction's connection at once, as its statements run on no other connection.
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -32,9 +32,11 @@
   area: string
   /** When it last answered successfully; 0: never. */
   lastAnswerAt: number
+  /** The status that it last reported, where its status is polled. */
   status: Status | undefined
   /** The last log position that it answered; as leader of one epoch, the highest. */
   mark: LogPosition | undefined
+  /** Its recent log positions as leader, in the order of the answers. */
   samples: Sample[]
   /** Something failed there since it last answered in its recorded role; calls avoid it. */
   doubt: boolean
@@ -76,7 +78,7 @@
 }
 
 export function startWatch(world: World, state: State, adapter: InstanceAdapter, stop: Flag, metrics: Metrics): Watch {
-  const all = new Map<string, Instance>()
+  const instanceByName = new Map<string, Instance>()
   const stopFlags = new Map<string, Flag>()
   const doubtCleared = makeSignal()
   const failureStarted = makeSignal()
@@ -94,14 +96,18 @@
     for (const groupName of groups) {
       const record = state.group(groupName)?.record
       if (record?.leader !== undefined && record.addr !== undefined && !targets.has(record.leader))
-        targets.set(record.leader, { group: groupName, addr: record.addr, area: all.get(record.leader)?.area ?? '' })
+        targets.set(record.leader, {
+          group: groupName,
+          addr: record.addr,
+          area: instanceByName.get(record.leader)?.area ?? '',
+        })
     }
     return targets
   }
   function updateInstances(): void {
-    const wanted = instancesToWatch()
-    for (const [name, target] of wanted) {
-      const existing = all.get(name)
+    const targets = instancesToWatch()
+    for (const [name, target] of targets) {
+      const existing = instanceByName.get(name)
       if (existing && existing.addr === target.addr && existing.group === target.group) {
         existing.area = target.area
         continue
@@ -123,15 +129,15 @@
       }
       const stopPolling = makeFlag()
       stop.watch(stopPolling.fire)
-      all.set(name, instance)
+      instanceByName.set(name, instance)
       stopFlags.set(name, stopPolling)
       if (adapter.sampler) void pollStatus(instance, stopPolling, adapter.sampler)
     }
     for (const [name, stopPolling] of stopFlags) {
-      if (wanted.has(name)) continue
+      if (targets.has(name)) continue
       stopPolling.fire()
       stopFlags.delete(name)
-      all.delete(name)
+      instanceByName.delete(name)
     }
   }
   void loop(world, 'watch', SAMPLE_INTERVAL_MS, stop, updateInstances, state.changed)
@@ -175,7 +181,7 @@
     sampler?.close()
   }
   function recordAnswer(name: string, askedAt: number, position: LogPosition, leaderEpoch: number | undefined): void {
-    const instance = all.get(name)
+    const instance = instanceByName.get(name)
     if (!instance) return
     const now = world.now()
     instance.lastAnswerAt = now
@@ -205,7 +211,7 @@
   // One lost answer among many is no reason to avoid an instance: where nothing polls its status, only the second
   // failure in a row is.
   function recordFailure(name: string, sentAt: number, isAlive: boolean, isConfirmed: boolean): void {
-    const instance = all.get(name)
+    const instance = instanceByName.get(name)
     if (!instance) return
     if (isAlive) {
       instance.failingSince = undefined
@@ -234,10 +240,10 @@
     return true
   }
   function get(name: string): Instance | undefined {
-    return all.get(name)
+    return instanceByName.get(name)
   }
   function allInstances(): Map<string, Instance> {
-    return all
+    return instanceByName
   }
   return {
     get,
--- a/packages/requester/src/index.ts
+++ b/packages/requester/src/index.ts
@@ -41,6 +41,7 @@
 ])
 const EmptyBody = t.partial({})
 
+/** Whether a statement or transaction only reads. */
 export type Kind = 'read' | 'write'
 /**
  * A client's request. key: the client's API key, which identifies the client; lane undefined: each call looks up the
@@ -75,14 +76,19 @@
    * and nothing of it was committed by this node (see kept); unknown: a write may have been committed.
    */
   outcome: 'done' | 'refused' | 'failed' | 'unknown'
+  /** The error class. */
   class?: string
+  /** What may have been committed of the request. */
   kept?: 'nothing' | 'unknown'
+  /** Whether a retry may succeed. */
   again?: boolean
   why?: string
+  /** Seconds to wait before a retry. */
   after?: number
   rows?: unknown[]
   token?: string
   session?: string
+  /** The session's transaction has ended. */
   transaction?: 'over'
   /** What was requested by a name that doesn't exist. */
   lacks?: 'lane' | 'shape'
