--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -84,7 +84,7 @@
           seeds,
           platform: `${platform.ip}:80`,
           ...(shape.operators ? { operators: shape.operators } : {}),
-          ...(shape.suspect !== undefined ? { suspect: shape.suspect } : {}),
+          ...(shape.suspect !== undefined ? { suspicionTimeoutMs: shape.suspect } : {}),
           build: 'sim',
         },
         opt.agentEdges,
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import {
-  CONNECTION_SHAPES_LIMIT,
+  MAX_CONNECTION_PREPARED_STATEMENTS,
   makeSignal,
   makeFlag,
   makeMetrics,
@@ -16,7 +16,7 @@
   RequestError,
   InstanceAddress,
 } from '@claynotch/instance'
-import { isShareBelowOne, lendable, type Config } from '@claynotch/operator'
+import { isShareBelowOne, usableConnectionsPerProxy, type Config } from '@claynotch/operator'
 import { makePool, startWatch, type Instance, type ConnectionRequirements, type State } from '@claynotch/proxy'
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
@@ -203,7 +203,7 @@
     const lines: Line[] = []
     const pool = makePool(world, modelEdge(lines, 3), makeFlag(), makeMetrics())
     let most = 0
-    for (let k = 0; k < 4 * CONNECTION_SHAPES_LIMIT; k++) {
+    for (let k = 0; k < 4 * MAX_CONNECTION_PREPARED_STATEMENTS; k++) {
       const text = `READ q${k}`
       const need = { database: 'd', settings: [], shapes: new Map([['s', text]]), team: '', share: 1 }
       const got = await pool.borrow(who, 1, need, { free: 200, dial: 100 }, makeFlag())
@@ -214,7 +214,7 @@
       got.val.end(true)
     }
     c.equal(lines.length, 1, 'the same connection throughout')
-    c.equal(most, CONNECTION_SHAPES_LIMIT + 1)
+    c.equal(most, MAX_CONNECTION_PREPARED_STATEMENTS + 1)
   }
   await inWorld(run)
 }
@@ -340,16 +340,16 @@
 
 function shares(c: Test): void {
   const config: Config = { proxies: 'live', groups: [{ name: 'g', connections: 92 }], lanes: [] }
-  c.equal(lendable(config, 'g', 9), 9, 'a ninth, less the one that is kept back')
-  c.equal(lendable(config, 'g', 1), 91)
-  c.ok(lendable(config, 'g', 200) >= 1, 'never none')
+  c.equal(usableConnectionsPerProxy(config, 'g', 9), 9, 'a ninth, less the one that is kept back')
+  c.equal(usableConnectionsPerProxy(config, 'g', 1), 91)
+  c.ok(usableConnectionsPerProxy(config, 'g', 200) >= 1, 'never none')
   c.strictSame(
     [isShareBelowOne(config, 'g', 92), isShareBelowOne(config, 'g', 93), isShareBelowOne(config, 'none', 93)],
     [false, true, false],
     'more proxies than connections',
   )
   for (let live = 1; live <= 40; live++)
-    c.ok(live * lendable(config, 'g', live) <= 92, `${live} live proxies together stay under the limit`)
+    c.ok(live * usableConnectionsPerProxy(config, 'g', live) <= 92, `${live} live proxies together stay under the limit`)
   c.end()
 }
 void t.test('shares by live proxies', shares)
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -67,7 +67,7 @@
     metrics.add('claynotch_summaries_total')
     onHeard(summary)
   }
-  const wire = await world.wire(addr, take)
+  const wire = await world.bindDatagrams(addr, take)
 
   function send(): void {
     const common = mine.all(heard.current())
@@ -77,7 +77,7 @@
       if (peer.addr === addr) continue
       const { seen, bad } = mine.seenFor(peer.node)
       const isNeeded = seen.length > 0 || bad.length > 0 || (isDue && peer.proxy)
-      if (isNeeded) wire.cast(peer.addr, encodeSummary({ ...common, seen, bad }))
+      if (isNeeded) wire.send(peer.addr, encodeSummary({ ...common, seen, bad }))
     }
   }
   void loop(world, 'summaries', SUMMARY_INTERVAL_MS, stop, send, sendNow)
--- a/packages/proxy/src/adapter.ts
+++ b/packages/proxy/src/adapter.ts
@@ -1,5 +1,5 @@
 import {
-  badInput,
+  invalidRequest,
   serveHttp,
   type Address,
   type HttpRequest,
@@ -7,7 +7,7 @@
   type HttpListener,
   type World,
 } from '@claynotch/base'
-import { takeProbe, type Probes } from '@claynotch/host'
+import { answerProbe, type Probes } from '@claynotch/host'
 import { httpInstanceAdapter, type InstanceAdapter } from '@claynotch/instance'
 import { parseDeadline, parseRequest, formatVerdict } from '@claynotch/requester'
 import type { ClientMemory } from './client-memory.js'
@@ -31,12 +31,17 @@
 function httpRequester(world: World, options: ClientListenOptions, sessions: Sessions): Promise<HttpListener> {
   async function handle(request: HttpRequest): Promise<HttpResponse> {
     const clientRequest = parseRequest(request)
-    if (clientRequest.err) return badInput(clientRequest.val.status, clientRequest.val.why, clientRequest.val.findings)
+    if (clientRequest.err)
+      return invalidRequest(clientRequest.val.status, clientRequest.val.why, clientRequest.val.findings)
     const timeoutMs = parseDeadline(request)
-    if (timeoutMs.err) return badInput(400, 'not understood', timeoutMs.val)
+    if (timeoutMs.err) return invalidRequest(400, 'not understood', timeoutMs.val)
     return formatVerdict(await sessions.run(clientRequest.val, timeoutMs.val, request.gone))
   }
   return serveHttp(world, options.addr, handle, { lines: options.connections })
 }
 /** The adapters of the project's own HTTP protocol. */
-export const ownAdapters: ProxyAdapters = { instance: httpInstanceAdapter, requester: httpRequester, probes: takeProbe }
+export const ownAdapters: ProxyAdapters = {
+  instance: httpInstanceAdapter,
+  requester: httpRequester,
+  probes: answerProbe,
+}
--- a/packages/proxy/src/client-memory.ts
+++ b/packages/proxy/src/client-memory.ts
@@ -1,7 +1,7 @@
 import {
   ALL_CLIENTS_MEMORY_LIMIT_BYTES,
-  CLIENT_QUESTIONS_LIMIT,
-  CLIENT_QUESTIONS_LIMIT_BYTES,
+  MAX_CLIENT_PENDING_REQUESTS,
+  CLIENT_PENDING_REQUESTS_LIMIT_BYTES,
   CLIENT_UNREAD_ANSWERS_LIMIT_BYTES,
   type Metrics,
 } from '@claynotch/base'
@@ -52,7 +52,7 @@
     }
     function mayRead(): boolean {
       if (pendingRequests === 0) return true
-      return pendingRequests <= CLIENT_QUESTIONS_LIMIT && pendingBytes <= CLIENT_QUESTIONS_LIMIT_BYTES
+      return pendingRequests <= MAX_CLIENT_PENDING_REQUESTS && pendingBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES
     }
     function mayAnswer(): boolean {
       return unreadBytes <= CLIENT_UNREAD_ANSWERS_LIMIT_BYTES
--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -19,7 +19,7 @@
   type World,
 } from '@claynotch/base'
 import type { InstanceAdapter, LogPosition } from '@claynotch/instance'
-import { isShareBelowOne, lendable } from '@claynotch/operator'
+import { isShareBelowOne, usableConnectionsPerProxy } from '@claynotch/operator'
 import { refusal, type Verdict } from '@claynotch/requester'
 import { isForOtherGroup, isFresh } from './freshness.js'
 import { makeAdmission } from './admission.js'
@@ -322,7 +322,7 @@
     const { instance } = call.target!
     const config = state.config()
     const { group } = call.lane
-    const maxConnections = config ? lendable(config, group, state.liveProxies()) : 0
+    const maxConnections = config ? usableConnectionsPerProxy(config, group, state.liveProxies()) : 0
     const closesAfterUse = config !== undefined && isShareBelowOne(config, group, state.liveProxies())
     instance.usage++
     const startedAt = world.now()
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto'
 import {
-  CONNECTION_SHAPES_LIMIT,
+  MAX_CONNECTION_PREPARED_STATEMENTS,
   IDLE_CONNECTION_SETTINGS_LIMIT_BYTES,
   loop,
   makeFlag,
@@ -229,7 +229,7 @@
     requirements: ConnectionRequirements,
     requiredSettings: Map<string, string>,
   ): Promise<RequestError | undefined> {
-    let isResetDue = connection.shapes.size > CONNECTION_SHAPES_LIMIT
+    let isResetDue = connection.shapes.size > MAX_CONNECTION_PREPARED_STATEMENTS
     for (const name of connection.settings.keys()) if (!requiredSettings.has(name)) isResetDue = true
     if (isResetDue) {
       const resetResult = await connection.instanceConnection.reset(RESET_TIMEOUT_MS)
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,7 +1,7 @@
 import {
   CLIENT_DESCRIPTORS_SHARE,
   DRAIN_TIMEOUT_MS,
-  DRAIN_TAIL_MS,
+  CLOSE_TIMEOUT_MS,
   makeHello,
   makePersistentLink,
   loop,
@@ -9,7 +9,7 @@
   makeFlag,
   makeMetrics,
   makeSignal,
-  MAX_EDGE_CONNECTIONS,
+  MAX_LISTENER_CONNECTIONS,
   PROXY_REPORT_INTERVAL_MS,
   NOT_READY_NOTICE_MS,
   pause,
@@ -24,7 +24,7 @@
   type HttpResponse,
   type World,
 } from '@claynotch/base'
-import { CONFIG_KEY, lendable } from '@claynotch/operator'
+import { CONFIG_KEY, usableConnectionsPerProxy } from '@claynotch/operator'
 import { AgentFeed, groupOf, type ProxyReport } from '@claynotch/register'
 import { provedStalenessMs } from './freshness.js'
 import { makeClientMemory } from './client-memory.js'
@@ -98,7 +98,7 @@
   const clientMemory = makeClientMemory(metrics)
   const maxConnections =
     settings.descriptors === undefined
-      ? MAX_EDGE_CONNECTIONS
+      ? MAX_LISTENER_CONNECTIONS
       : Math.floor(settings.descriptors * CLIENT_DESCRIPTORS_SHARE)
   const listenOptions = { addr: settings.listen, connections: maxConnections }
   const clientListener = await adapters.requester(world, listenOptions, sessions, clientMemory)
@@ -129,7 +129,7 @@
       let isComplete = true
       if (config && config.proxies !== 'live')
         for (const [name, instance] of watch.all())
-          if (!pool.closeIdleOverLimit(name, lendable(config, instance.group))) isComplete = false
+          if (!pool.closeIdleOverLimit(name, usableConnectionsPerProxy(config, instance.group))) isComplete = false
       // The phases ease and drain of a lane's move are applied once the transactions and writes that they end have
       // ended.
       for (const lane of state.rules()?.lanes.values() ?? []) {
@@ -288,7 +288,7 @@
     sessions.cutTransactions('the node stops')
     // From here on no new connections are accepted; the requests on the remaining ones are still answered.
     await clientListener.close(
-      settings.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : drainMs - CONNECTION_GRACE_MS,
+      settings.grace === undefined ? ATTEMPT_TIMEOUT_MS + CLOSE_TIMEOUT_MS : drainMs - CONNECTION_GRACE_MS,
     )
     state.expireLeases()
     sendReport()
--- a/packages/proxy/src/target-selection.ts
+++ b/packages/proxy/src/target-selection.ts
@@ -1,6 +1,6 @@
 import { LEAVING_GRACE_MS, OTHER_ZONE_LOAD_COST, type Metrics, type World } from '@claynotch/base'
 import type { InstanceAdapter, LogPosition } from '@claynotch/instance'
-import { guardOf } from '@claynotch/operator'
+import { replicationGuardMsOf } from '@claynotch/operator'
 import type { Call } from './call.js'
 import { freshnessFloor, isFresh, requiredPositionOf, provedStalenessMs, type Token } from './freshness.js'
 import type { KnownGroup, State } from './state.js'
@@ -70,7 +70,7 @@
    * the group has no guard.
    */
   function isWithinPromotionGuard(group: string, leader: string, epoch: number): boolean {
-    const guard = guardOf(state.config(), group)
+    const guard = replicationGuardMsOf(state.config(), group)
     if (guard === undefined) return true
     const samples = watch.get(leader)?.samples ?? []
     for (const follower of watch.all().values()) {
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -4,7 +4,7 @@
   makeFlag,
   pause,
   SAMPLE_INTERVAL_MS,
-  FAILURES_BEFORE_DOUBT,
+  FAILURES_BEFORE_SUSPICION,
   SAMPLE_TIMEOUT_MS,
   MIN_TRIAL_DELAY_MS,
   MAX_TRIAL_DELAY_MS,
@@ -223,7 +223,7 @@
       instance.failingSince = Math.max(sentAt, instance.lastAnswerAt)
       failureStarted.notify()
     }
-    if (!adapter.sampler && !isConfirmed && ++instance.failuresInRow < FAILURES_BEFORE_DOUBT) return
+    if (!adapter.sampler && !isConfirmed && ++instance.failuresInRow < FAILURES_BEFORE_SUSPICION) return
     instance.trialDelayMs = Math.min(
       MAX_TRIAL_DELAY_MS,
       instance.trialDelayMs === 0 ? MIN_TRIAL_DELAY_MS : instance.trialDelayMs * 2,
--- a/packages/table-cache/src/writer.ts
+++ b/packages/table-cache/src/writer.ts
@@ -1,8 +1,8 @@
 import {
-  ANNOUNCEMENT_PATIENCE_MS,
+  ANNOUNCEMENT_ACK_TIMEOUT_MS,
   ANNOUNCEMENT_POLL_INTERVAL_MS,
-  CLAIM_MARGIN_MS,
-  LOCK_PATIENCE_MS,
+  LOCK_CLAIM_MARGIN_MS,
+  INITIAL_LOCK_WAIT_MS,
   LOCK_POLL_INTERVAL_MS,
   pause,
   TABLE_CHANGE_TIMEOUT_MS,
@@ -182,15 +182,15 @@
    */
   async function announce(): Promise<Announced | undefined> {
     const holder = `${view.name}#${++attempts}`
-    const announced = await commitClaim(holder, CLAIM_MARGIN_MS, [])
+    const announced = await commitClaim(holder, LOCK_CLAIM_MARGIN_MS, [])
     if (!announced) return undefined
-    let missing = await awaitReaders(announced, ANNOUNCEMENT_PATIENCE_MS, LOCK_POLL_INTERVAL_MS)
+    let missing = await awaitReaders(announced, ANNOUNCEMENT_ACK_TIMEOUT_MS, LOCK_POLL_INTERVAL_MS)
     while (missing === undefined) {
       await pause(world, ANNOUNCEMENT_POLL_INTERVAL_MS)
-      missing = await awaitReaders(announced, ANNOUNCEMENT_PATIENCE_MS, ANNOUNCEMENT_POLL_INTERVAL_MS)
+      missing = await awaitReaders(announced, ANNOUNCEMENT_ACK_TIMEOUT_MS, ANNOUNCEMENT_POLL_INTERVAL_MS)
     }
     if (missing.length === 0) return { holder, waited: [], admissions: 0 }
-    const suspended = await commitClaim(holder, announced.value.lock.readLeaseMs + CLAIM_MARGIN_MS, missing)
+    const suspended = await commitClaim(holder, announced.value.lock.readLeaseMs + LOCK_CLAIM_MARGIN_MS, missing)
     if (!suspended) return undefined
     await awaitReaders(suspended, Infinity, ANNOUNCEMENT_POLL_INTERVAL_MS)
     const { lock } = suspended.value
@@ -244,7 +244,7 @@
     return 'written'
   }
   async function work(): Promise<void> {
-    let patienceMs = LOCK_PATIENCE_MS
+    let patienceMs = INITIAL_LOCK_WAIT_MS
     for (;;) {
       dropLate()
       if (pending.size === 0) return
