--- a/packages/proxy/src/adapter.ts
+++ b/packages/proxy/src/adapter.ts
@@ -40,7 +40,7 @@
   return serveHttp(world, options.addr, handle, { lines: options.connections })
 }
 /** The adapters of the project's own HTTP protocol. */
-export const ownAdapters: ProxyAdapters = {
+export const httpAdapters: ProxyAdapters = {
   instance: httpInstanceAdapter,
   requester: httpRequester,
   probes: answerProbe,
--- a/packages/proxy/src/client-memory.ts
+++ b/packages/proxy/src/client-memory.ts
@@ -20,7 +20,7 @@
    */
   mayRead: () => boolean
   /** Whether processing of the connection's next request may begin. */
-  mayAnswer: () => boolean
+  mayTakeRequest: () => boolean
   close: () => void
 }
 
@@ -60,7 +60,7 @@
     function close(): void {
       set(0, 0, 0)
     }
-    return { set, mayRead, mayAnswer, close }
+    return { set, mayRead, mayTakeRequest: mayAnswer, close }
   }
   function totalBytes(): number {
     return totalHeld
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -53,14 +53,14 @@
 
 /** A connection in use by one caller, until it is checked in. */
 export type CheckedOutConnection = {
-  port: InstanceConnection
+  instanceConnection: InstanceConnection
   instance: string
   /** The name under which a shape of this text is registered on the connection. */
   shapeId: (text: string) => string
   /** Registers a shape on the connection, without a reset; allowed within a transaction. */
   prepareShape: (text: string) => Promise<RequestError | undefined>
   /** Applies one more setting to the connection, without a reset; allowed within a transaction. */
-  setting: (name: string, value: string) => Promise<RequestError | undefined>
+  applySetting: (name: string, value: string) => Promise<RequestError | undefined>
   /** Checks the connection in; isClean: its state is known for certain, so it may be reused. */
   end: (isClean: boolean) => void
 }
@@ -84,7 +84,7 @@
    * Checks out a connection with the requirements applied: an idle one or a new one, or the next to be checked in.
    * timeouts in ms: free, to wait for a connection; dial, to open one.
    */
-  borrow: (
+  checkOut: (
     address: InstanceAddress,
     limit: number,
     requirements: ConnectionRequirements,
@@ -370,11 +370,11 @@
       return undefined
     }
     return Ok({
-      port: connection.instanceConnection,
+      instanceConnection: connection.instanceConnection,
       instance,
       shapeId,
       prepareShape,
-      setting: applySetting,
+      applySetting,
       end: checkIn,
     })
   }
@@ -393,5 +393,5 @@
     for (const pool of poolByInstance.values())
       for (const connection of pool.idle) connection.instanceConnection.close()
   }
-  return { borrow: checkOut, open: openConnections, closeIdleOverLimit, close }
+  return { checkOut: checkOut, open: openConnections, closeIdleOverLimit, close }
 }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -32,7 +32,7 @@
 import { makePool, type Pool } from './pool.js'
 import { makeQuotaStep } from './quota-step.js'
 import { makeSessions, type Sessions } from './sessions.js'
-import { ownAdapters, type ProxyAdapters } from './adapter.js'
+import { httpAdapters, type ProxyAdapters } from './adapter.js'
 import { makeState, type State } from './state.js'
 import { startWatch, type Watch } from './watch.js'
 
@@ -59,7 +59,7 @@
 export async function startProxy(
   world: World,
   settings: ProxySettings,
-  adapters: ProxyAdapters = ownAdapters,
+  adapters: ProxyAdapters = httpAdapters,
 ): Promise<Proxy> {
   const stop = makeFlag()
   const metrics = makeMetrics()
@@ -158,7 +158,7 @@
   function failingInstances(now: number): [string, number][] {
     const failures: [string, number][] = []
     for (const [name, instance] of watch.all()) {
-      if (instance.usage === 0) waitingSince.delete(name)
+      if (instance.callsInFlight === 0) waitingSince.delete(name)
       else waitingSince.set(name, Math.max(waitingSince.get(name) ?? now, instance.lastAnswerAt))
       const failingFrom = Math.min(
         instance.failingSince ?? now,
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -12,7 +12,7 @@
 } from '@claynotch/base'
 import type { InstanceAdapter } from '@claynotch/instance'
 import { AUTO, hashKey } from '@claynotch/operator'
-import { refusal, type Kind, type Verdict, type Word } from '@claynotch/requester'
+import { refusal, type Kind, type Verdict, type ClientRequest } from '@claynotch/requester'
 import { makeCall, type Call, type CallResult } from './call.js'
 import { isForOtherGroup, parseToken, formatToken, type Token } from './freshness.js'
 import { identify } from './identity.js'
@@ -26,7 +26,7 @@
 /** The sessions of this proxy's clients, and calls without a session. */
 export type Sessions = {
   /** Runs one client request. callerTimeoutMs: how long the client waits; callerGone: fires when it disconnects. */
-  run: (request: Word, callerTimeoutMs: number | undefined, callerGone: Flag) => Promise<Verdict>
+  run: (request: ClientRequest, callerTimeoutMs: number | undefined, callerGone: Flag) => Promise<Verdict>
   /** Number of open sessions. */
   openCount: () => number
   /**
@@ -41,9 +41,9 @@
   cutTransactions: (reason: string) => void
 }
 
-type OpenRequest = Extract<Word, { w: 'open' }>
-type BeginRequest = Extract<Word, { w: 'begin' }>
-type SingleCallRequest = Extract<Word, { w: 'call' }>
+type OpenRequest = Extract<ClientRequest, { w: 'open' }>
+type BeginRequest = Extract<ClientRequest, { w: 'begin' }>
+type SingleCallRequest = Extract<ClientRequest, { w: 'call' }>
 
 function settingPairs(list: { name: string; value: string }[] | undefined): [string, string][] {
   const pairs: [string, string][] = []
@@ -309,7 +309,7 @@
   }
   async function dispatch(
     session: Session,
-    request: Word,
+    request: ClientRequest,
     callerTimeoutMs: number | undefined,
     callerGone: Flag,
   ): Promise<Verdict> {
@@ -385,7 +385,7 @@
   }
   async function runInSession(
     session: Session,
-    request: Word,
+    request: ClientRequest,
     callerTimeoutMs: number | undefined,
     callerGone: Flag,
   ): Promise<Verdict> {
@@ -403,7 +403,7 @@
         transactions.terminate(session, 'ABORTED', 'the requester went away')
     }
   }
-  async function run(request: Word, callerTimeoutMs: number | undefined, callerGone: Flag): Promise<Verdict> {
+  async function run(request: ClientRequest, callerTimeoutMs: number | undefined, callerGone: Flag): Promise<Verdict> {
     if (request.w === 'open') return open(request)
     if (request.w === 'call') return await runSingleCall(request, callerTimeoutMs, callerGone)
     const session = sessionById.get(request.session)
--- a/packages/proxy/src/transactions.ts
+++ b/packages/proxy/src/transactions.ts
@@ -12,7 +12,7 @@
   type World,
 } from '@claynotch/base'
 import type { InstanceAdapter, RequestError, StatementResult } from '@claynotch/instance'
-import { refusal, type Verdict, type Word } from '@claynotch/requester'
+import { refusal, type Verdict, type ClientRequest } from '@claynotch/requester'
 import { isFresh } from './freshness.js'
 import { tenantOfKey, identify } from './identity.js'
 import type { Runner } from './interpret.js'
@@ -22,7 +22,7 @@
 import type { State } from './state.js'
 
 /** A client's request to run a statement in a session. */
-export type StatementRequest = Extract<Word, { w: 'statement' }>
+export type StatementRequest = Extract<ClientRequest, { w: 'statement' }>
 
 /** The open transactions of sessions: their statements, and how they end. */
 export type Transactions = {
@@ -106,7 +106,7 @@
     const tx = session.transaction
     if (!tx) return
     session.transaction = undefined
-    const result = await tx.connection.port.rollback(ATTEMPT_TIMEOUT_MS)
+    const result = await tx.connection.instanceConnection.rollback(ATTEMPT_TIMEOUT_MS)
     tx.connection.end(result.ok)
     runner.inFlightEnded.notify()
   }
@@ -187,7 +187,7 @@
     if (!state.canAcknowledgeWrite(tx.lane, tx.group, tx.begunAt)) return `the lane ${tx.lane} was moved`
     const reason = whyKeyInvalid(tx) ?? whyInvalidByConfiguration(tx) ?? whyInvalidByGroup(tx)
     if (reason !== undefined) return reason
-    return tx.connection.port.alive() ? undefined : 'the connection to the instance broke'
+    return tx.connection.instanceConnection.alive() ? undefined : 'the connection to the instance broke'
   }
   function terminateIfInvalid(session: Session): void {
     const tx = session.transaction
@@ -223,7 +223,7 @@
     if (reason !== undefined) return Err(notSentError(reason))
     const statementRef = shape ? { shape: connection.shapeId(shape.text) } : { text: body.text ?? '' }
     const statementBody = { ...statementRef, args: body.args ?? [], mode, ...(id !== undefined ? { id } : {}) }
-    return await connection.port.statement(statementBody, Math.min(timeoutMs, ATTEMPT_TIMEOUT_MS))
+    return await connection.instanceConnection.statement(statementBody, Math.min(timeoutMs, ATTEMPT_TIMEOUT_MS))
   }
   async function statement(
     session: Session,
@@ -300,7 +300,7 @@
     if (reason !== undefined) return endEarly(session, tx, 'UNAVAILABLE', reason)
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, 1)
     const options = id !== undefined ? { id } : undefined
-    const result = await tx.connection.port.commit(Math.min(timeoutMs, ATTEMPT_TIMEOUT_MS), options)
+    const result = await tx.connection.instanceConnection.commit(Math.min(timeoutMs, ATTEMPT_TIMEOUT_MS), options)
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, -1)
     if (session.transaction === tx) session.transaction = undefined
     tx.connection.end(result.ok || result.val.reach === 'answered')
@@ -322,7 +322,7 @@
     if (reason !== undefined) return endEarly(session, tx, 'UNAVAILABLE', reason)
     const previousValue = session.state.value(name)
     if (!session.state.set(name, value)) return stateLimitExceeded()
-    const error = await tx.connection.setting(name, value)
+    const error = await tx.connection.applySetting(name, value)
     if (!error) return { outcome: 'done' }
     session.state.restore(name, previousValue)
     return endByError(session, tx, error)
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -39,7 +39,7 @@
   /** Its recent log positions as leader, in the order of the answers. */
   samples: Sample[]
   /** Something failed there since it last answered in its recorded role; calls avoid it. */
-  doubt: boolean
+  isInDoubt: boolean
   /** Unconfirmed failures since the last successful answer, counted where nothing polls its status. */
   failuresInRow: number
   /**
@@ -49,7 +49,7 @@
   nextTrialAt: number
   trialDelayMs: number
   /** Number of this node's calls in flight there. */
-  usage: number
+  callsInFlight: number
   /** When the first request was sent that failed without a successful answer since; undefined: none has. */
   failingSince: number | undefined
 }
@@ -62,7 +62,7 @@
    * Records a successful answer to a request sent at askedAt, with the instance's log position. leaderEpoch: the epoch
    * under which it was asked as leader; undefined: it was asked as a follower.
    */
-  saw: (name: string, askedAt: number, position: LogPosition, leaderEpoch: number | undefined) => void
+  recordAnswer: (name: string, askedAt: number, position: LogPosition, leaderEpoch: number | undefined) => void
   /**
    * Records a failure of a request sent at sentAt; a successful answer since then counts in the instance's favour.
    * isAlive: the instance answered and serves, so it isn't failing. isConfirmed: no second failure is needed for a
@@ -70,11 +70,11 @@
    */
   failed: (name: string, sentAt: number, isAlive: boolean, isConfirmed: boolean) => void
   /** Whether a call may go to the instance. claimsTrial: the call goes, so while in doubt no other may for a while. */
-  usable: (instance: Instance, claimsTrial: boolean) => boolean
+  isUsable: (instance: Instance, claimsTrial: boolean) => boolean
   /** Fires when an instance begins to fail. */
   failureStarted: ReturnType<typeof makeSignal>
   /** Fires when an instance is no longer in doubt. */
-  bell: ReturnType<typeof makeSignal>
+  doubtCleared: ReturnType<typeof makeSignal>
 }
 
 export function startWatch(world: World, state: State, adapter: InstanceAdapter, stop: Flag, metrics: Metrics): Watch {
@@ -120,11 +120,11 @@
         status: undefined,
         mark: undefined,
         samples: [],
-        doubt: false,
+        isInDoubt: false,
         failuresInRow: 0,
         nextTrialAt: 0,
         trialDelayMs: 0,
-        usage: 0,
+        callsInFlight: 0,
         failingSince: undefined,
       }
       const stopPolling = makeFlag()
@@ -202,11 +202,11 @@
     }
     const record = state.group(instance.group)?.record
     const isRoleAsRecorded = record?.leader === name ? isLeader && leaderEpoch === record.epoch : true
-    if (instance.doubt && isRoleAsRecorded) {
-      instance.doubt = false
+    if (instance.isInDoubt && isRoleAsRecorded) {
+      instance.isInDoubt = false
       instance.trialDelayMs = 0
       doubtCleared.notify()
-    } else if (!isRoleAsRecorded) instance.doubt = true
+    } else if (!isRoleAsRecorded) instance.isInDoubt = true
   }
   // One lost answer among many is no reason to avoid an instance: where nothing polls its status, only the second
   // failure in a row is.
@@ -229,12 +229,12 @@
       instance.trialDelayMs === 0 ? MIN_TRIAL_DELAY_MS : instance.trialDelayMs * 2,
     )
     instance.nextTrialAt = world.now() + instance.trialDelayMs
-    if (instance.doubt) return
-    instance.doubt = true
+    if (instance.isInDoubt) return
+    instance.isInDoubt = true
     metrics.add('claynotch_doubts_total', [['instance', name]])
   }
   function isUsable(instance: Instance, claimsTrial: boolean): boolean {
-    if (!instance.doubt) return true
+    if (!instance.isInDoubt) return true
     if (adapter.sampler || world.now() < instance.nextTrialAt) return false
     if (claimsTrial) instance.nextTrialAt = world.now() + instance.trialDelayMs
     return true
@@ -248,10 +248,10 @@
   return {
     get,
     all: allInstances,
-    saw: recordAnswer,
+    recordAnswer: recordAnswer,
     failed: recordFailure,
-    usable: isUsable,
+    isUsable: isUsable,
     failureStarted,
-    bell: doubtCleared,
+    doubtCleared: doubtCleared,
   }
 }
--- a/packages/requester/src/index.ts
+++ b/packages/requester/src/index.ts
@@ -48,7 +48,7 @@
  * lane of the database anew; id: the client's own identifier of a statement, passed on to the instance; kind of a
  * shape: what its statements do, so that a statement by this shape may omit its kind.
  */
-export type Word =
+export type ClientRequest =
   | { w: 'open'; body: Omit<t.TypeOf<typeof OpenBody>, 'lane'> & { lane?: string } }
   | { w: 'close'; session: string }
   | { w: 'shape'; session: string; body: t.TypeOf<typeof ShapeBody> & { kind?: Kind } }
@@ -152,7 +152,9 @@
 }
 
 /** Decodes an HTTP request; on failure returns the HTTP status and what is wrong. */
-export function parseRequest(request: HttpRequest): Result<Word, { status: number; why: string; findings: Finding[] }> {
+export function parseRequest(
+  request: HttpRequest,
+): Result<ClientRequest, { status: number; why: string; findings: Finding[] }> {
   const segments = request.path.split('/').filter(Boolean)
   const method = request.method
   function badRequest(findings: Finding[]): Result<never, { status: number; why: string; findings: Finding[] }> {
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -49,8 +49,8 @@
     edits: [
       [
         'proxy/dist/watch.js',
-        'one.samples.push({ askedAt: asked, epoch: reign, position: mark });',
-        'one.samples.push({ askedAt: now + 1500, reign, mark });',
+        'instance.samples.push({ askedAt, epoch: leaderEpoch, position });',
+        'instance.samples.push({ askedAt: now + 1500, epoch, position });',
       ],
     ],
   },
@@ -67,9 +67,9 @@
       ],
       [
         'proxy/dist/transactions.js',
-        `if (!known || world.now() >= known.leaseExpiresAt)
+        `if (!group || world.now() >= group.leaseExpiresAt)
 `,
-        `if (!known)
+        `if (!group)
 `,
       ],
       [
@@ -104,7 +104,7 @@
                 : isFresh(mark, floor, adapter.exact)`,
         'true',
       ],
-      ['proxy/dist/transactions.js', 'if (!stillStands(tx, got.val.mark))', 'if (false)'],
+      ['proxy/dist/transactions.js', 'if (!isCommitValid(tx, result.val.mark))', 'if (false)'],
     ],
   },
   {
@@ -127,7 +127,7 @@
     seeds: [1, 6],
     edits: [
       ['proxy/dist/pool.js', 'if (isResetDue) {', 'if (false) {'],
-      ['proxy/dist/pool.js', 'if (c.set.get(name) !== value)', 'if (!c.set.has(name))'],
+      ['proxy/dist/pool.js', 'if (connection.settings.get(name) !== value)', 'if (!connection.set.has(name))'],
     ],
   },
   {
@@ -234,12 +234,13 @@
     edits: [
       [
         'proxy/dist/proxy.js',
-        'await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + CLOSE_TIMEOUT_MS : half - CONNECTION_GRACE_MS);',
+        'await clientListener.close(settings.grace === undefined ? ATTEMPT_TIMEOUT_MS + CLOSE_TIMEOUT_MS : drainMs - CONNECTION_GRACE_MS);',
         '',
       ],
       [
         'proxy/dist/proxy.js',
-        'while (world.now() < until && (world.now() < from + NOT_READY_NOTICE_MS || sessions.transactions() > 0 || http.lines() > 0))',
+        `while (world.now() < deadline &&
+            (world.now() < startedAt + NOT_READY_NOTICE_MS || sessions.transactionCount() > 0 || clientListener.lines() > 0))`,
         'while (false)',
       ],
     ],
@@ -283,7 +284,13 @@
     rule: "one team's crowd starves another",
     scenario: 'noisy-team',
     seeds: [1, 3],
-    edits: [['proxy/dist/pool.js', '(p.usage.get(w.need.team) ?? 0) / w.need.share', '0']],
+    edits: [
+      [
+        'proxy/dist/pool.js',
+        '(pool.checkedOutByTeam.get(waiter.requirements.team) ?? 0) / waiter.requirements.share',
+        '0',
+      ],
+    ],
   },
   {
     name: 'no-handover',
@@ -335,7 +342,7 @@
     edits: [
       [
         'proxy/dist/transactions.js',
-        'if (need !== undefined && !isFresh(got.val.mark, need, edge.exact))',
+        'if (floor !== undefined && !isFresh(result.val.mark, floor, adapter.exact))',
         'if (false)',
       ],
     ],
@@ -435,7 +442,7 @@
     rule: 'more connections than the instance takes',
     scenario: 'crowd',
     seeds: [1, 3],
-    edits: [['proxy/dist/pool.js', 'if (count(p) < limit) {', 'if (count(p) < limit * 3) {']],
+    edits: [['proxy/dist/pool.js', 'if (countOpen(pool) < limit) {', 'if (countOpen(pool) < limit * 3) {']],
   },
   {
     name: 'no-core-epoch',
@@ -666,7 +673,7 @@
     rule: 'UNASKED: a connection is lent to another tenant',
     scenario: 'an instance is told another name',
     seeds: [1, 2],
-    edits: [['proxy/dist/pool.js', 'if (c.tenant !== tenant)', 'if (false)']],
+    edits: [['proxy/dist/pool.js', 'if (connection.tenant !== tenant)', 'if (false)']],
   },
   {
     on: 'platform',
@@ -697,7 +704,9 @@
     rule: 'CONFIG: an open transaction outlives its key',
     test: 'platform/dist/test/tenant-keys.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/transactions.js', 'const why = whyDenied(tx) ?? whyOver', 'const why = whyOver']],
+    edits: [
+      ['proxy/dist/transactions.js', 'const reason = whyKeyInvalid(tx) ?? whyInvalid', 'const reason = whyInvalid'],
+    ],
   },
   {
     name: 'platform-key-lease',
@@ -743,7 +752,7 @@
     rule: 'PINNED: what follows a transaction that the node ended',
     scenario: 'calm',
     seeds: [1, 3],
-    edits: [['proxy/dist/sessions.js', 'if (ended &&', 'if (false &&']],
+    edits: [['proxy/dist/sessions.js', 'if (endedVerdict &&', 'if (false &&']],
   },
   {
     on: 'platform',
@@ -1282,7 +1291,7 @@
     rule: 'a connection is not kept idle where there are fewer than proxies',
     test: 'lend.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/pool.js', 'need.closesAfterUse !== true || p.waiters.length > 0', 'true']],
+    edits: [['proxy/dist/pool.js', 'requirements.closesAfterUse !== true || pool.waiters.length > 0', 'true']],
   },
   {
     name: 'sign-off-undone',
@@ -1305,7 +1314,7 @@
     rule: 'a transaction that was busy when its node stopped ends with its call',
     test: 'platform/dist/test/stopping.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/transactions.js', 'if (whyCut !== undefined)', 'if (false)']],
+    edits: [['proxy/dist/transactions.js', 'if (stopReason !== undefined)', 'if (false)']],
   },
   {
     name: 'rotation-below-quorum',
@@ -1356,14 +1365,14 @@
     rule: 'PINNED: what follows a transaction that the node ended',
     test: 'platform/dist/test/sessionmodel.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/sessions.js', 'if (ended &&', 'if (false &&']],
+    edits: [['proxy/dist/sessions.js', 'if (endedVerdict &&', 'if (false &&']],
   },
   {
     name: 'session-names-after-reset',
     rule: 'PINNED: a name that a reset discarded is prepared again',
     test: 'platform/dist/test/sessionmodel.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/pool.js', 'c.shapes.clear();', '']],
+    edits: [['proxy/dist/pool.js', 'connection.shapes.clear();', '']],
   },
   {
     name: 'failures-by-few',
@@ -1472,35 +1481,42 @@
     rule: 'Fault: what a client sends ahead is bounded by size',
     test: 'platform/dist/test/client-memory.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/client-memory.js', '&& questionBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES', '']],
+    edits: [['proxy/dist/client-memory.js', '&& pendingBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES', '']],
   },
   {
     name: 'long-question-stops-reading',
     rule: 'silence: a question as long as the wire allows is answered',
     test: 'platform/dist/test/client-memory.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/client-memory.js', 'if (questions === 0)', 'if (false)']],
+    edits: [['proxy/dist/client-memory.js', 'if (pendingRequests === 0)', 'if (false)']],
   },
   {
     name: 'session-state-unbounded',
     rule: 'Fault: what a client sets and prepares in its session is bounded',
     test: 'platform/dist/test/session-state.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/session-state.js', 'if (bytes > 0 && isTooMuch)', 'if (false)']],
+    edits: [['proxy/dist/session-state.js', 'if (bytes > 0 && exceedsLimit)', 'if (false)']],
   },
   {
     name: 'connection-shapes-unbounded',
     rule: 'Fault: statements that clients prepare on a pooled connection are bounded',
     test: 'lend.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/pool.js', 'c.shapes.size > MAX_CONNECTION_PREPARED_STATEMENTS', 'false']],
+    edits: [['proxy/dist/pool.js', 'connection.shapes.size > MAX_CONNECTION_PREPARED_STATEMENTS', 'false']],
   },
   {
     name: 'idle-connection-keeps-values',
     rule: 'Fault: idle connections to instances hold little of what clients set',
     test: 'platform/dist/test/session-state.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/pool.js', '&& isWorthKeeping(conn)', '']],
+    edits: [
+      [
+        'proxy/dist/pool.js',
+        `&&
+                isWorthKeeping(connection)`,
+        '',
+      ],
+    ],
   },
   {
     name: 'client-answers-unbounded',
@@ -1516,7 +1532,7 @@
     rule: 'Fault: what all clients make a process hold is bounded',
     test: 'platform/dist/test/client-memory.test.js',
     seeds: [1, 1],
-    edits: [['proxy/dist/client-memory.js', 'total <= ALL_CLIENTS_MEMORY_LIMIT_BYTES', 'true']],
+    edits: [['proxy/dist/client-memory.js', 'totalHeld <= ALL_CLIENTS_MEMORY_LIMIT_BYTES', 'true']],
   },
   {
     name: 'soak-unheard-not-waited',
@@ -1566,7 +1582,7 @@
     rule: 'Fault: what a client sets is bounded (incident 36)',
     soak: ['--seconds', '15', '--draw', 'value-flood'],
     seeds: [1, 3],
-    edits: [['proxy/dist/session-state.js', 'if (bytes > 0 && isTooMuch)', 'if (false)']],
+    edits: [['proxy/dist/session-state.js', 'if (bytes > 0 && exceedsLimit)', 'if (false)']],
   },
   {
     name: 'soak-questions-unbounded',
@@ -1576,7 +1592,7 @@
     edits: [
       [
         'proxy/dist/client-memory.js',
-        'return questions <= MAX_CLIENT_PENDING_REQUESTS && questionBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES;',
+        'return pendingRequests <= MAX_CLIENT_PENDING_REQUESTS && pendingBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES;',
         'return true;',
       ],
     ],
