--- a/tools/mutants.js
+++ b/tools/mutants.js
@@ -1,7 +1,8 @@
-// Shows that the checks are not empty: takes one guard out of a copy of the build, runs the scenario that
-// is meant to catch it, or the test named instead (its seeds are those of random histories), and expects findings. A mutant that no seed catches, or
-// with everySeed one that any seed misses, is reported as MISSED, exit 1.
-//   node tools/mutants.js [name, or on:platform, on:soak, or --check: only whether each guard stands in the build]
+// Mutation tests of the checks: removes one guard from a copy of the build, runs the scenario that is meant to catch
+// it, or the test named instead (its seeds are those of random histories), and expects findings. A mutant that no seed
+// catches, or with everySeed one that any seed misses, is reported as MISSED, with exit code 1.
+//   node tools/mutants.js [names separated by commas, or on:platform, on:soak, or --check]
+// --check: reports only whether each guard occurs in the build exactly once and each test exists.
 import { spawn, spawnSync } from 'node:child_process'
 import {
   cpSync,
@@ -19,12 +20,12 @@
 import { mutants } from './mutants.list.js'
 
 const root = resolve(new URL('..', import.meta.url).pathname)
-const only = process.argv[2]
-/** ms that one run may take. */
-const LIMIT_MS = 120_000
-const SOAK_LIMIT_MS = 300_000
+const selection = process.argv[2]
+/** Time limit of one run. */
+const RUN_TIMEOUT_MS = 120_000
+const SOAK_TIMEOUT_MS = 300_000
 const WORKERS = 6
-/** Soaks have a dozen processes each. */
+/** Fewer than WORKERS, as each soak starts a dozen processes. */
 const SOAK_WORKERS = 3
 
 function copyBuild() {
@@ -44,18 +45,18 @@
   return dir
 }
 
-// The pattern of a guard, in which any run of white space stands for any other: the compiler breaks lines as the source does.
+/** The pattern of a guard, in which any white space matches any other: the compiler breaks lines as the source does. */
 function patternOf(guard) {
   return new RegExp(guard.replace(/[.*+?^${}()|[\]\\]/g, '\\$&').replace(/\s+/g, '\\s+'), 'g')
 }
 
-function patch(dir, m) {
-  for (const [file, from, to] of m.edits) {
+function applyEdits(dir, mutant) {
+  for (const [file, from, to] of mutant.edits) {
     const path = join(dir, 'packages', file)
     const text = readFileSync(path, 'utf8')
     const pattern = patternOf(from)
     const count = [...text.matchAll(pattern)].length
-    if (count !== 1) throw new Error(`${m.name}: the guard stands ${count} times in ${file}`)
+    if (count !== 1) throw new Error(`${mutant.name}: the guard stands ${count} times in ${file}`)
     function replacement() {
       return to
     }
@@ -63,90 +64,98 @@
   }
 }
 
-// A test by its name alone is one of the fleet's; else its place in the build is given.
-function testOf(dir, m) {
-  return m.test?.includes('/') ? join(dir, m.test) : join(dir, 'packages/fleet/dist/test', m.test ?? '')
+/** A test given by its file name alone is one of package fleet; otherwise its path in the build is given. */
+function testPathOf(dir, mutant) {
+  return mutant.test?.includes('/') ? join(dir, mutant.test) : join(dir, 'packages/fleet/dist/test', mutant.test ?? '')
 }
 
-// Every guard must stand once in the build and its test be there, or its mutant shows nothing.
+/** Every guard must occur once in the build and its test must exist, otherwise its mutant shows nothing. */
 function checkPatterns() {
-  let faults = 0
-  for (const m of mutants) {
-    if (m.test !== undefined && !existsSync(testOf(root, m))) {
-      faults++
-      process.stdout.write(`${m.name}: there is no test ${m.test}\n`)
+  let errors = 0
+  for (const mutant of mutants) {
+    if (mutant.test !== undefined && !existsSync(testPathOf(root, mutant))) {
+      errors++
+      process.stdout.write(`${mutant.name}: there is no test ${mutant.test}\n`)
     }
-    for (const [file, from] of m.edits) {
+    for (const [file, from] of mutant.edits) {
       const count = [...readFileSync(join(root, 'packages', file), 'utf8').matchAll(patternOf(from))].length
       if (count === 1) continue
-      faults++
-      process.stdout.write(`${m.name}: the guard stands ${count} times in ${file}\n`)
+      errors++
+      process.stdout.write(`${mutant.name}: the guard stands ${count} times in ${file}\n`)
     }
   }
-  return faults
+  return errors
 }
 
-/** A soak runs the bundle with the commands of the deploy file, from the folder that holds both. */
+/** A soak runs the bundle with the commands of the deploy file, from the directory that contains both. */
 function bundle(dir) {
   cpSync(join(root, 'deploy'), join(dir, 'deploy'), { recursive: true })
   const { status, stderr } = spawnSync(process.execPath, [join(root, 'tools/bundle.js'), 'dist'], { cwd: dir })
   if (status !== 0) throw new Error(`no bundle: ${stderr}`)
 }
 
-function argumentsOf(dir, m, seed, slot) {
-  if (m.soak)
-    return [join(dir, 'platform/dist/test/soak/main.js'), '--seed', String(seed), '--slot', String(slot), ...m.soak]
-  if (m.test) return [testOf(dir, m)]
-  if (m.on === 'platform') return [join(dir, 'platform/dist/test/sweep.js'), m.scenario, String(seed), String(seed)]
+function argumentsOf(dir, mutant, seed, slot) {
+  if (mutant.soak)
+    return [
+      join(dir, 'platform/dist/test/soak/main.js'),
+      '--seed',
+      String(seed),
+      '--slot',
+      String(slot),
+      ...mutant.soak,
+    ]
+  if (mutant.test) return [testPathOf(dir, mutant)]
+  if (mutant.on === 'platform')
+    return [join(dir, 'platform/dist/test/sweep.js'), mutant.scenario, String(seed), String(seed)]
   const seeds = ['--from', String(seed), '--to', String(seed)]
-  return [join(dir, 'packages/fleet/dist/main.js'), 'sweep', '--only', m.scenario, ...seeds]
+  return [join(dir, 'packages/fleet/dist/main.js'), 'sweep', '--only', mutant.scenario, ...seeds]
 }
 
-function sweep(dir, m, seed, slot) {
-  const args = argumentsOf(dir, m, seed, slot)
-  function start(done) {
+function runMutant(dir, mutant, seed, slot) {
+  const args = argumentsOf(dir, mutant, seed, slot)
+  function start(resolveRun) {
     const child = spawn(process.execPath, args, {
-      cwd: m.soak ? dir : process.cwd(),
+      cwd: mutant.soak ? dir : process.cwd(),
       stdio: ['ignore', 'pipe', 'pipe'],
       env: { ...process.env, UV_USE_IO_URING: '0', HISTORIES: '1', HISTORIES_FROM: String(seed) },
     })
-    let out = ''
-    function take(b) {
-      out += b
+    let output = ''
+    function collect(chunk) {
+      output += chunk
     }
-    // A soak that is interrupted ends the processes that it started.
-    function late() {
-      child.kill(m.soak ? 'SIGINT' : 'SIGKILL')
+    /** Ends a run that takes too long; a soak, when interrupted, ends the processes that it started. */
+    function killChild() {
+      child.kill(mutant.soak ? 'SIGINT' : 'SIGKILL')
     }
-    const timer = setTimeout(late, m.soak ? SOAK_LIMIT_MS : LIMIT_MS)
-    function end(code) {
+    const timer = setTimeout(killChild, mutant.soak ? SOAK_TIMEOUT_MS : RUN_TIMEOUT_MS)
+    function handleClose(code) {
       clearTimeout(timer)
-      done({ code, out })
+      resolveRun({ code, output })
     }
-    child.stdout.on('data', take)
-    child.stderr.on('data', take)
-    child.on('close', end)
+    child.stdout.on('data', collect)
+    child.stderr.on('data', collect)
+    child.on('close', handleClose)
   }
   return new Promise(start)
 }
 
-async function judge(m, slot) {
+async function testMutant(mutant, slot) {
   const dir = copyBuild()
   try {
-    patch(dir, m)
-    if (m.soak) bundle(dir)
-    let first = { m, seed: undefined, found: '' }
-    for (let seed = m.seeds[0]; seed <= m.seeds[1]; seed++) {
-      const got = await sweep(dir, m, seed, slot)
-      const found = got.out.split('\n').filter(m.test ? isFailed : isFinding)
+    applyEdits(dir, mutant)
+    if (mutant.soak) bundle(dir)
+    let firstCatch = { mutant, seed: undefined, found: '' }
+    for (let seed = mutant.seeds[0]; seed <= mutant.seeds[1]; seed++) {
+      const run = await runMutant(dir, mutant, seed, slot)
+      const found = run.output.split('\n').filter(mutant.test ? isFailed : isFinding)
       if (found.length === 0) {
-        if (m.everySeed === true) return { m, seed: undefined, found: '' }
+        if (mutant.everySeed === true) return { mutant, seed: undefined, found: '' }
         continue
       }
-      if (first.seed === undefined) first = { m, seed, found: found[0].trim() }
-      if (m.everySeed !== true) return first
+      if (firstCatch.seed === undefined) firstCatch = { mutant, seed, found: found[0].trim() }
+      if (mutant.everySeed !== true) return firstCatch
     }
-    return first
+    return firstCatch
   } finally {
     rmSync(dir, { recursive: true, force: true })
   }
@@ -159,37 +168,39 @@
   return line.startsWith('    not ok')
 }
 
-if (only === '--check') process.exit(checkPatterns() === 0 ? 0 : 1)
+if (selection === '--check') process.exit(checkPatterns() === 0 ? 0 : 1)
 
-const list = mutants.filter(isWanted)
-function isWanted(m) {
+const remaining = mutants.filter(isSelected)
+function isSelected(mutant) {
   return (
-    only === undefined ||
-    only.split(',').includes(m.name) ||
-    (only === 'on:platform' && m.on === 'platform') ||
-    (only === 'on:soak' && m.soak)
+    selection === undefined ||
+    selection.split(',').includes(mutant.name) ||
+    (selection === 'on:platform' && mutant.on === 'platform') ||
+    (selection === 'on:soak' && mutant.soak)
   )
 }
 let caught = 0
 let missed = 0
 async function worker(slot) {
   for (;;) {
-    const m = list.shift()
-    if (!m) return
-    const got = await judge(m, slot)
-    if (got.seed === undefined) {
+    const mutant = remaining.shift()
+    if (!mutant) return
+    const result = await testMutant(mutant, slot)
+    if (result.seed === undefined) {
       missed++
-      process.stdout.write(`MISSED ${m.name} (${m.scenario ?? m.test ?? 'soak'}, seeds ${m.seeds.join(' to ')})\n`)
+      process.stdout.write(
+        `MISSED ${mutant.name} (${mutant.scenario ?? mutant.test ?? 'soak'}, seeds ${mutant.seeds.join(' to ')})\n`,
+      )
     } else {
       caught++
       process.stdout.write(
-        `caught ${m.name} (${m.scenario ?? m.test ?? 'soak'}, seed ${got.seed}): ${got.found.slice(0, 200)}\n`,
+        `caught ${mutant.name} (${mutant.scenario ?? mutant.test ?? 'soak'}, seed ${result.seed}): ${result.found.slice(0, 200)}\n`,
       )
     }
   }
 }
 const workers = []
-for (let k = 0; k < (only === 'on:soak' ? SOAK_WORKERS : WORKERS); k++) workers.push(worker(k))
+for (let slot = 0; slot < (selection === 'on:soak' ? SOAK_WORKERS : WORKERS); slot++) workers.push(worker(slot))
 await Promise.all(workers)
 process.stdout.write(`${caught} passed, ${missed} failed\n`)
 process.exit(missed === 0 ? 0 : 1)
--- a/tools/verdict.js
+++ b/tools/verdict.js
@@ -1,99 +1,101 @@
-// Runs every test file, several at a time, and ends with one line: N passed, N failed.
-// A file that ends badly without a failed test of its own counts as one failure.
-// Tests that stand in KNOWN-RED.txt may fail: they are printed, and counted apart. One that passes again is to be taken out.
+// Runs all test files, several at a time, and ends with one line: N passed, N failed.
+// A file that exits with an error without a failed test, or without any test at all, counts as one failure.
+// Tests listed in KNOWN-RED.txt may fail: they are printed and counted separately. One that passes again must be
+// removed from the list.
 import { spawn } from 'node:child_process'
 import { existsSync, readdirSync, readFileSync } from 'node:fs'
 import { availableParallelism } from 'node:os'
 
-const LIMIT = 10 * 60 * 1000
+/** Time in ms after which a test file is killed. */
+const FILE_TIMEOUT_MS = 10 * 60 * 1000
 const KNOWN_RED = 'KNOWN-RED.txt'
-// Tests that need the machine for themselves: they run after all others.
-const ALONE = ['platform/dist/test/soak.test.js']
+/** Test files that need the whole machine: they run one by one after all others. */
+const EXCLUSIVE_FILES = ['platform/dist/test/soak.test.js']
 
-// A line for each test: file, test, cause and issue, parted by " | ".
+/** Reads the list of known failures; each line has file, test, cause and issue, separated by " | ". */
 function readKnownRed() {
-  const out = new Map()
-  if (!existsSync(KNOWN_RED)) return out
+  const causes = new Map()
+  if (!existsSync(KNOWN_RED)) return causes
   for (const line of readFileSync(KNOWN_RED, 'utf8').split('\n')) {
     const [file, test, cause, issue] = line.split(' | ')
     if (line === '') continue
     if (issue === undefined) throw new Error(`${KNOWN_RED}: not a line of four parts: ${line}`)
-    out.set(`${file} ${test}`, cause)
+    causes.set(`${file} ${test}`, cause)
   }
-  return out
+  return causes
 }
 const knownRed = readKnownRed()
 
 function findTests() {
-  const out = []
-  const places = ['platform/dist/test']
-  for (const pack of readdirSync('packages')) places.push(`packages/${pack}/dist/test`)
-  for (const place of places) {
-    let list = []
+  const files = []
+  const directories = ['platform/dist/test']
+  for (const name of readdirSync('packages')) directories.push(`packages/${name}/dist/test`)
+  for (const directory of directories) {
+    let entries = []
     try {
-      list = readdirSync(place)
+      entries = readdirSync(directory)
     } catch {
       continue
     }
-    for (const file of list) if (file.endsWith('.test.js')) out.push(`${place}/${file}`)
+    for (const file of entries) if (file.endsWith('.test.js')) files.push(`${directory}/${file}`)
   }
-  return out.sort()
+  return files.sort()
 }
 
 function runFile(file) {
-  function start(done) {
-    const from = Date.now()
+  function start(resolve) {
+    const startedAt = Date.now()
     const child = spawn(process.execPath, [file], {
       stdio: ['ignore', 'pipe', 'pipe'],
       env: { ...process.env, TAP: '1', TAP_TIMEOUT: '600', UV_USE_IO_URING: '0' },
     })
-    let out = ''
-    let err = ''
-    function takeOut(b) {
-      out += b
+    let stdout = ''
+    let stderr = ''
+    function collectStdout(chunk) {
+      stdout += chunk
     }
-    function takeErr(b) {
-      err += b
+    function collectStderr(chunk) {
+      stderr += chunk
     }
-    function late() {
+    function killChild() {
       child.kill('SIGKILL')
     }
-    const timer = setTimeout(late, LIMIT)
-    function end(code) {
+    const timer = setTimeout(killChild, FILE_TIMEOUT_MS)
+    function handleClose(code) {
       clearTimeout(timer)
       let passed = 0
       let failed = 0
-      let red = 0
-      for (const line of out.split('\n')) {
-        const [, not, name] = /^(not )?ok \d+ - (.*?)(?: # time=.*)?$/.exec(line) ?? []
+      let knownFailures = 0
+      for (const line of stdout.split('\n')) {
+        const [, notOk, name] = /^(not )?ok \d+ - (.*?)(?: # time=.*)?$/.exec(line) ?? []
         if (name === undefined) continue
         const cause = knownRed.get(`${file} ${name}`)
-        if (not === undefined) {
+        if (notOk === undefined) {
           passed++
           if (cause !== undefined)
             process.stdout.write(`NOT RED ANY MORE, take it out of ${KNOWN_RED}: ${file}: ${name}\n`)
         } else if (cause === undefined) failed++
         else {
-          red++
+          knownFailures++
           process.stdout.write(`KNOWN RED ${file}: ${name}: ${cause}\n`)
         }
       }
-      if (code !== 0 && failed === 0 && red === 0) failed = 1
-      if (code === 0 && passed + failed + red === 0) failed = 1
-      done({ file, passed, failed, out, err, ms: Date.now() - from })
+      if (code !== 0 && failed === 0 && knownFailures === 0) failed = 1
+      if (code === 0 && passed + failed + knownFailures === 0) failed = 1
+      resolve({ file, passed, failed, stdout, stderr, durationMs: Date.now() - startedAt })
     }
-    child.stdout.on('data', takeOut)
-    child.stderr.on('data', takeErr)
-    child.on('close', end)
+    child.stdout.on('data', collectStdout)
+    child.stderr.on('data', collectStderr)
+    child.on('close', handleClose)
   }
   return new Promise(start)
 }
 
 function isShared(file) {
-  return !ALONE.includes(file)
+  return !EXCLUSIVE_FILES.includes(file)
 }
-function isAlone(file) {
-  return ALONE.includes(file)
+function isExclusive(file) {
+  return EXCLUSIVE_FILES.includes(file)
 }
 let files = findTests().filter(isShared)
 const results = []
@@ -101,24 +103,24 @@
   for (;;) {
     const file = files.shift()
     if (file === undefined) return
-    const got = await runFile(file)
-    results.push(got)
+    const result = await runFile(file)
+    results.push(result)
     process.stdout.write(
-      `${got.failed === 0 ? 'ok' : 'FAILED'} ${got.file}: ${got.passed} passed, ${got.failed} failed (${Math.round(got.ms / 1000)} s)\n`,
+      `${result.failed === 0 ? 'ok' : 'FAILED'} ${result.file}: ${result.passed} passed, ${result.failed} failed (${Math.round(result.durationMs / 1000)} s)\n`,
     )
-    if (got.failed > 0) process.stdout.write(`${got.out.slice(-20000)}\n${got.err.slice(-5000)}\n`)
+    if (result.failed > 0) process.stdout.write(`${result.stdout.slice(-20000)}\n${result.stderr.slice(-5000)}\n`)
   }
 }
 const workers = []
-for (let k = 0; k < Math.min(8, availableParallelism()); k++) workers.push(worker())
+for (let count = 0; count < Math.min(8, availableParallelism()); count++) workers.push(worker())
 await Promise.all(workers)
-files = findTests().filter(isAlone)
+files = findTests().filter(isExclusive)
 await worker()
 let passed = 0
 let failed = 0
-for (const r of results) {
-  passed += r.passed
-  failed += r.failed
+for (const result of results) {
+  passed += result.passed
+  failed += result.failed
 }
 process.stdout.write(`${passed} passed, ${failed} failed\n`)
 process.exit(failed === 0 && passed > 0 ? 0 : 1)
