--- a/tools/benchdays.list.js
+++ b/tools/benchdays.list.js
@@ -1,7 +1,9 @@
-// The troubles that tools/benchdays.js draws from: the kinds and fields of the bench's list, with the variants that each may have.
-//   fields: name, least, most (a fourth entry true: whole numbers). how: groups of variants; one of each group is drawn, '' for none.
+// The faults and the planned work that tools/benchdays.js draws from: the kinds and fields of the bench's list, each
+// with its variants.
+//   fields: name, minimum, maximum (a fourth entry true: whole numbers). how: groups of variants, of which one each is
+//   drawn; '' stands for none.
 
-const WHO = ['', 'leader', 'reader', 'seed']
+const TARGETS = ['', 'leader', 'reader', 'seed']
 const AROUND = ['', 'meet', 'race', 'hard', 'race hard', 'meet drain']
 const CUT = ['', 'reset', 'refuse']
 const SPAN = ['for_s', 1, 7]
@@ -9,7 +11,7 @@
 const SHARE = ['share', 0.1, 0.6]
 const COUNT = ['count', 1, 1, true]
 
-/** Kinds of trouble, each with where it may stand: plan (planned work) or faults. */
+/** Kinds of entries; list: the list of a day that they belong to, plan (planned work) or faults. */
 export const KINDS = [
   { kind: 'burst', list: 'faults', fields: [['x', 1.3, 1.9], SPAN], how: [] },
   { kind: 'shift', list: 'faults', fields: [['share', 0.3, 0.6], SPAN], how: [], zones: ['to_zone'] },
@@ -52,9 +54,9 @@
     ],
   },
   { kind: 'node_kill', list: 'faults', fields: [['share', 0.1, 0.25], SPAN], how: [['', 'power'], AROUND] },
-  { kind: 'node_kill', on: 'core', list: 'faults', fields: [COUNT, LONG_SPAN], how: [['', 'power'], WHO, AROUND] },
+  { kind: 'node_kill', on: 'core', list: 'faults', fields: [COUNT, LONG_SPAN], how: [['', 'power'], TARGETS, AROUND] },
   { kind: 'node_freeze', list: 'faults', fields: [['share', 0.1, 0.25], SPAN], how: [] },
-  { kind: 'node_freeze', on: 'core', list: 'faults', fields: [COUNT, LONG_SPAN], how: [WHO, AROUND] },
+  { kind: 'node_freeze', on: 'core', list: 'faults', fields: [COUNT, LONG_SPAN], how: [TARGETS, AROUND] },
   { kind: 'node_slow', list: 'faults', fields: [['share', 0.1, 0.25], ['x', 3, 8], SPAN], how: [] },
   {
     kind: 'roll_term',
@@ -188,7 +190,7 @@
   },
 ]
 
-/** What may end a day: it strikes right after one more change was acknowledged. */
+/** Faults that can end a day: each occurs right after one more change has been acknowledged. */
 export const CLOSINGS = [
   { kind: 'kill_all', how: ['', 'timed'] },
   { kind: 'power_off_all', how: ['', 'timed', 'taken'] },
--- a/tools/bundle.js
+++ b/tools/bundle.js
@@ -1,18 +1,23 @@
-// Bundles the daemons for the users' platform into target/, one file for all roles: a start loads one file, not hundreds.
-//   node tools/bundle.js [dist: from the compiled build, as it is, and not from the sources]
+// Bundles the daemons for the platform into target/, one file for all roles, so that a start loads one file instead of
+// hundreds.
+//   node tools/bundle.js [dist]
+// dist: bundles the existing compiled build instead of the sources.
 import { build } from 'esbuild'
 import { readdirSync, existsSync } from 'node:fs'
 
-const [folder, ending] = process.argv[2] === 'dist' ? ['dist', 'js'] : ['src', 'ts']
+const [directory, extension] = process.argv[2] === 'dist' ? ['dist', 'js'] : ['src', 'ts']
 const alias = new Map()
 for (const name of readdirSync('packages')) {
-  const index = `packages/${name}/${folder}/index.${ending}`
-  if (existsSync(index)) alias.set(`@claynotch/${name}`, `./${index}`)
+  const indexPath = `packages/${name}/${directory}/index.${extension}`
+  if (existsSync(indexPath)) alias.set(`@claynotch/${name}`, `./${indexPath}`)
 }
-// ts-results is imported as Node sees it, by its default; its module form has none, and its other form can't be bundled.
-const results = { name: 'results', setup }
+/**
+ * Adds a default export to ts-results. The code imports it by its default, as Node.js resolves it; its ES module build
+ * has none, and its CommonJS build can't be bundled.
+ */
+const tsResultsPlugin = { name: 'results', setup }
 function setup(build) {
-  function find(args) {
+  function resolve(args) {
     return args.namespace === 'results' ? undefined : { path: 'ts-results', namespace: 'results' }
   }
   function load() {
@@ -21,11 +26,11 @@
       resolveDir: process.cwd(),
     }
   }
-  build.onResolve({ filter: /^ts-results$/ }, find)
+  build.onResolve({ filter: /^ts-results$/ }, resolve)
   build.onLoad({ filter: /.*/, namespace: 'results' }, load)
 }
 await build({
-  entryPoints: [`platform/${folder}/main.${ending}`],
+  entryPoints: [`platform/${directory}/main.${extension}`],
   outfile: 'target/claynotch.mjs',
   bundle: true,
   platform: 'node',
@@ -37,7 +42,7 @@
   sourcemap: false,
   legalComments: 'none',
   mainFields: ['module', 'main'],
-  plugins: [results],
+  plugins: [tsResultsPlugin],
   banner: {
     js: "import { createRequire as makeRequire } from 'node:module'; const require = makeRequire(import.meta.url);",
   },
