--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -19,7 +19,7 @@
   type World,
 } from '@claynotch/base'
 import { startFailover, startRouteMoves } from '@claynotch/failover'
-import { makeOperatorEdge, type Credential, type Edit } from '@claynotch/operator'
+import { makeOperatorApi, type Credential, type Edit } from '@claynotch/operator'
 import { startPeers, type Summary } from '@claynotch/peer'
 import type { QuotaAnswer, QuotaQuestion } from '@claynotch/quota'
 import {
@@ -399,7 +399,7 @@
   if (operators === undefined && settings.http !== undefined)
     world.log.warn('operators-open', { why: 'no operators in the settings: anyone may change the configuration' })
   const views = makeOperatorViews(world.now, { node, proposer, registers, membership, instances, proxy, groups })
-  const operatorEdge = makeOperatorEdge(
+  const operatorEdge = makeOperatorApi(
     world,
     proposer,
     {
--- a/packages/claynotch/src/verbs.ts
+++ b/packages/claynotch/src/verbs.ts
@@ -1,17 +1,17 @@
 import { readFile } from 'node:fs/promises'
 import {
-  checkAgainst,
+  checkAgainstFleet,
   checkCores,
-  differences,
+  describeChanges,
   makeCredential,
   readConfig,
   applyEdits,
-  showCores,
+  formatCoreSetStatus,
   type Config,
-  type CoreStatus,
+  type CoreSetStatus,
   type Credential,
   type Edit,
-  type Fleet,
+  type FleetState,
 } from '@claynotch/operator'
 import { AddressCodec, requestOnce, realWorld, formatFindings, type HttpAnswer, type Finding } from '@claynotch/base'
 
@@ -137,7 +137,7 @@
   if (!known.includes(args.what)) stopWith(2, `what: expected one of ${known.join(', ')}`)
   const got = await call(args.to, 'GET', `/${args.what}`)
   if (args.what === 'cores' && got.status === 200 && args.json !== true) {
-    process.stdout.write(showCores(got.body as CoreStatus))
+    process.stdout.write(formatCoreSetStatus(got.body as CoreSetStatus))
     process.exit(0)
   }
   process.stdout.write(typeof got.body === 'string' ? got.body : `${JSON.stringify(got.body, null, 2)}\n`)
@@ -158,7 +158,7 @@
 // What is wrong with the core set; an agent of before GET /cores tells nothing.
 async function findCoreFaults(to: string): Promise<Finding[]> {
   const got = await call(to, 'GET', '/cores')
-  return got.status === 200 ? checkCores(got.body as CoreStatus) : []
+  return got.status === 200 ? checkCores(got.body as CoreSetStatus) : []
 }
 
 // A configuration against the fleet as it is. Exit codes: 0 nothing found, 1 findings, 2 the configuration is
@@ -177,7 +177,7 @@
     moves: await read('/moves'),
     members: await read('/members'),
     groups: await read('/groups'),
-  } as Fleet
+  } as FleetState
   let next: unknown = now.config
   let findings: Finding[] = []
   if (args.whole !== undefined) next = await readJson(args.whole, 'whole')
@@ -191,8 +191,8 @@
   const got = findings.length > 0 ? undefined : readConfig(next)
   if (got?.err) findings = got.val
   const invalid = findings.length > 0
-  const changes = got?.ok ? differences(now.config, got.val) : []
-  if (got?.ok) findings = checkAgainst(got.val, fleet)
+  const changes = got?.ok ? describeChanges(now.config, got.val) : []
+  if (got?.ok) findings = checkAgainstFleet(got.val, fleet)
   if (got?.ok) findings.push(...(await findCoreFaults(args.to)))
   if (args.json === true)
     process.stdout.write(`${JSON.stringify({ epoch: now.epoch, valid: !invalid, findings, changes }, null, 2)}\n`)
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -74,7 +74,7 @@
 
 // The most connections to one instance that one proxy may lend. live: members with a proxy, for configurations that
 // share by them; while it isn't known, each proxy has a single one.
-export function lendable(config: Config, group: string, live?: number): number {
+export function usableConnectionsPerProxy(config: Config, group: string, live?: number): number {
   for (const g of config.groups) {
     if (g.name !== group) continue
     if (config.proxies !== 'live') return Math.max(0, Math.floor(g.connections / config.proxies) - KEPT_BACK)
@@ -92,7 +92,7 @@
   return false
 }
 
-export function guardOf(config: Config | undefined, group: string): number | undefined {
+export function replicationGuardMsOf(config: Config | undefined, group: string): number | undefined {
   for (const g of config?.groups ?? []) if (g.name === group) return g.guard
   return undefined
 }
@@ -153,7 +153,7 @@
     }
   }
   for (const [k, g] of config.groups.entries()) {
-    if (lendable(config, g.name) < 1)
+    if (usableConnectionsPerProxy(config, g.name) < 1)
       out.push({
         place: `/groups/${k}/connections`,
         what: `${g.connections} connections over ${config.proxies} proxies leave none to lend (each proxy keeps ${KEPT_BACK} back)`,
@@ -266,11 +266,11 @@
 export type Unclear = { stream: string; number: number; decision: 'unclear'; why: string; findings: Finding[] }
 // What the sender of a change is told. Invariants: an accepted change is never refused afterwards, a refused one that
 // names its epoch never accepted; each rests on a chosen value.
-export type Verdict = Decision | Unclear
+export type ChangeAnswer = Decision | Unclear
 
 // A change as it was sent. digest: see Decision. team: set where the caller may change that team's lanes only.
 // hindered: what the fleet as it is has against the change.
-export type Order = { stream: string; change: Change; digest?: string; team?: string; hindered?: Finding[] }
+export type ChangeRequest = { stream: string; change: Change; digest?: string; team?: string; hindered?: Finding[] }
 
 // A move of lanes from one group to another, under way. id: the epoch that opened it.
 // Phases: copy, the target draws near; ease, no new reading transactions, open ones get their time; drain, no new writes and transactions, open ones get their time; quiet, no write
@@ -300,7 +300,7 @@
 // was dropped yet (mayBeForgotten in kept.ts).
 // What is kept is so bounded by HISTORY_KEPT, CONFIGS_KEPT, NAMED_KEPT, STREAMS_KEPT times DECISIONS_KEPT, and one configuration.
 // stage: set while only some areas work by config; the others work by prior, that of epoch priorEpoch.
-export type Body = {
+export type ConfigurationBody = {
   epoch: number
   config: Config | null
   stage?: { areas: string[]; prior: Config; priorEpoch: number }
@@ -312,14 +312,14 @@
 export type Made = { epoch: number; stream: string; number: number; digest?: string; config?: Config; named?: true }
 
 // The configuration that an area works by, its epoch, and the moves under way (never beside a stage).
-export function configFor(body: Body, area: string): { config: Config | null; epoch: number; moves: Move[] } {
+export function configurationForArea(body: ConfigurationBody, area: string): { config: Config | null; epoch: number; moves: Move[] } {
   if (body.stage && !body.stage.areas.includes(area))
     return { config: body.stage.prior, epoch: body.stage.priorEpoch, moves: [] }
   return { config: body.config, epoch: body.epoch, moves: body.moves ?? [] }
 }
 
 /** The body without past changes and decisions, for those who only work by it. */
-export function inForce(body: Body): Body {
+export function withoutHistory(body: ConfigurationBody): ConfigurationBody {
   return { ...body, streams: [], history: [] }
 }
 
@@ -327,7 +327,7 @@
   return config?.tenants ? { ...config, tenants: withoutLabels(config.tenants) } : config
 }
 /** The body without the tenants' labels, which hold their keys in plain text. */
-export function withoutTenantLabels(body: Body): Body {
+export function withoutTenantLabels(body: ConfigurationBody): ConfigurationBody {
   const { stage } = body
   return {
     ...body,
@@ -337,6 +337,6 @@
 }
 
 export const CONFIG_KEY = 'configuration'
-export function emptyBody(): Body {
+export function emptyBody(): ConfigurationBody {
   return { epoch: 0, config: null, streams: [], history: [] }
 }
--- a/packages/proxy/src/adapter.ts
+++ b/packages/proxy/src/adapter.ts
@@ -7,7 +7,7 @@
   type HttpListener,
   type World,
 } from '@claynotch/base'
-import { takeProbe, type Probes } from '@claynotch/host'
+import { answerProbe, type Probes } from '@claynotch/host'
 import { httpInstanceAdapter, type InstanceAdapter } from '@claynotch/instance'
 import { readDeadline, readWord, writeVerdict } from '@claynotch/requester'
 import type { ClientMemory } from './client-memory.js'
@@ -37,4 +37,4 @@
   }
   return serveHttp(world, options.addr, handle, { lines: options.connections })
 }
-export const ownAdapters: ProxyAdapters = { instance: httpInstanceAdapter, requester: httpRequester, probes: takeProbe }
+export const httpAdapters: ProxyAdapters = { instance: httpInstanceAdapter, requester: httpRequester, probes: answerProbe }
