--- a/packages/register/src/delta.ts
+++ b/packages/register/src/delta.ts
@@ -2,19 +2,20 @@
 import * as t from 'io-ts'
 
 /**
- * What changed between two values of a register, as plain data: for links, for the data file, and for feeds.
+ * Differences between two values of a register, as plain data: for links, for the data file and for proxy feeds.
  *
- * Invariants: applyDelta(base, makeDelta(base, next)) deep-equals next; neither reads anything but its arguments, and neither
- * changes them (parts that stayed are shared with the base, so nobody may change a value in place); a delta that doesn't fit
- * the base is refused and gives nothing.
+ * Invariants: applyDelta(base, makeDelta(base, next)) deep-equals next; both functions are pure and don't modify their
+ * arguments (unchanged parts are shared with the base, so a value must never be modified in place); a delta that
+ * doesn't fit the base is rejected as a whole.
  */
 
-/** Fields of an object that were set and that went. */
+/** An object's fields that were set or removed. */
 export type FieldsDelta = { set: [string, Delta][]; removed: string[] }
-/** An array put together anew from runs of the base's items, items that are new, and items of the base that changed. */
+/** An array assembled from runs of items of the base, new items, and changed items of the base. */
 export type ItemsDelta = { runs: Run[] }
+/** from, at: indices into the base. */
 export type Run = { from: number; count: number } | { insert: unknown[] } | { at: number; delta: Delta }
-/** The part as it is now, whatever it was. */
+/** The new content of this part, whatever it was before. */
 export type WholeDelta = { whole: unknown }
 export type Delta = FieldsDelta | ItemsDelta | WholeDelta
 
@@ -24,11 +25,11 @@
   if (typeof x !== 'object' || x === null || Array.isArray(x)) return false
   return Object.getPrototypeOf(x) === Object.prototype
 }
-// The fields of data whose shape isn't known here: a value's body is any plain data.
+/** The field names of an object of unknown shape: the body of a value may be any plain data. */
 function fieldNames(x: object): string[] {
-  const out: string[] = []
-  for (const name of Reflect.ownKeys(x)) if (typeof name === 'string') out.push(name)
-  return out
+  const names: string[] = []
+  for (const name of Reflect.ownKeys(x)) if (typeof name === 'string') names.push(name)
+  return names
 }
 function has(x: object, name: string): boolean {
   return Object.prototype.hasOwnProperty.call(x, name)
@@ -36,12 +37,12 @@
 function fieldOf(x: object, name: string): unknown {
   return Reflect.get(x, name)
 }
-// A field of this name can't be set like another.
+/** Whether assigning a field of this name would change the object's prototype. */
 function isUnsafe(name: string): boolean {
   return name === '__proto__'
 }
 
-/** Whether two pieces of plain data are alike in every field. */
+/** Deep equality of plain data; parts nested deeper than MAX_DELTA_DEPTH are equal only if they are identical. */
 export function isAlike(a: unknown, b: unknown, depth = 0): boolean {
   if (Object.is(a, b)) return true
   if (depth > MAX_DELTA_DEPTH) return false
@@ -66,9 +67,9 @@
   for (const name of fieldNames(base)) if (!has(next, name)) removed.push(name)
   for (const name of fieldNames(next)) {
     if (isUnsafe(name)) return { whole: next }
-    const now = fieldOf(next, name)
-    if (!has(base, name)) set.push([name, { whole: now }])
-    else if (!isAlike(fieldOf(base, name), now)) set.push([name, diff(fieldOf(base, name), now, depth + 1)])
+    const value = fieldOf(next, name)
+    if (!has(base, name)) set.push([name, { whole: value }])
+    else if (!isAlike(fieldOf(base, name), value)) set.push([name, diff(fieldOf(base, name), value, depth + 1)])
   }
   return { set, removed }
 }
@@ -79,57 +80,58 @@
   return typeof name === 'string' ? name : undefined
 }
 
-// Where the items of the base stand: by their text, and by their name where they have one.
-type Places = { texts: Map<string, number[]>; names: Map<string, number> }
-function placesOf(base: unknown[]): Places {
-  const texts = new Map<string, number[]>()
-  const names = new Map<string, number>()
-  for (const [at, item] of base.entries()) {
+/** Indices of the items of the base: by their JSON text, and by their name if they have one. */
+type ItemIndex = { byText: Map<string, number[]>; byName: Map<string, number> }
+function itemIndexOf(base: unknown[]): ItemIndex {
+  const byText = new Map<string, number[]>()
+  const byName = new Map<string, number>()
+  for (const [index, item] of base.entries()) {
     const text = JSON.stringify(item) ?? ''
-    const list = texts.get(text)
-    if (list) list.push(at)
-    else texts.set(text, [at])
+    const indices = byText.get(text)
+    if (indices) indices.push(index)
+    else byText.set(text, [index])
     const name = nameOf(item)
-    if (name !== undefined && !names.has(name)) names.set(name, at)
+    if (name !== undefined && !byName.has(name)) byName.set(name, index)
   }
-  return { texts, names }
+  return { byText, byName }
 }
 
 function diffItems(base: unknown[], next: unknown[], depth: number): Delta {
   if (next.length > MAX_DELTA_ITEMS) return { whole: next }
   const runs: Run[] = []
-  // expected: the base's item that would go on with the last run.
-  let expected = 0
-  let places: Places | undefined
-  function find(item: unknown): number | undefined {
-    if (expected < base.length && isAlike(base[expected], item)) return expected
-    places ??= placesOf(base)
-    for (const at of places.texts.get(JSON.stringify(item) ?? '') ?? []) if (isAlike(base[at], item)) return at
+  /** Index of the base item that would extend the last run. */
+  let expectedIndex = 0
+  let itemIndex: ItemIndex | undefined
+  function findEqual(item: unknown): number | undefined {
+    if (expectedIndex < base.length && isAlike(base[expectedIndex], item)) return expectedIndex
+    itemIndex ??= itemIndexOf(base)
+    for (const index of itemIndex.byText.get(JSON.stringify(item) ?? '') ?? [])
+      if (isAlike(base[index], item)) return index
     return undefined
   }
-  function copy(at: number): void {
-    const last = runs[runs.length - 1]
-    if (last && 'count' in last && last.from + last.count === at) last.count++
-    else runs.push({ from: at, count: 1 })
-    expected = at + 1
+  function copy(index: number): void {
+    const lastRun = runs[runs.length - 1]
+    if (lastRun && 'count' in lastRun && lastRun.from + lastRun.count === index) lastRun.count++
+    else runs.push({ from: index, count: 1 })
+    expectedIndex = index + 1
   }
   function insert(item: unknown): void {
-    const last = runs[runs.length - 1]
-    if (last && 'insert' in last) last.insert.push(item)
+    const lastRun = runs[runs.length - 1]
+    if (lastRun && 'insert' in lastRun) lastRun.insert.push(item)
     else runs.push({ insert: [item] })
   }
   for (const item of next) {
-    const at = find(item)
-    if (at !== undefined) {
-      copy(at)
+    const equalIndex = findEqual(item)
+    if (equalIndex !== undefined) {
+      copy(equalIndex)
       continue
     }
     const name = nameOf(item)
-    const same = name === undefined ? undefined : (places as Places | undefined)?.names.get(name)
-    if (same === undefined) insert(item)
+    const namesakeIndex = name === undefined ? undefined : (itemIndex as ItemIndex | undefined)?.byName.get(name)
+    if (namesakeIndex === undefined) insert(item)
     else {
-      runs.push({ at: same, delta: diff(base[same], item, depth + 1) })
-      expected = same + 1
+      runs.push({ at: namesakeIndex, delta: diff(base[namesakeIndex], item, depth + 1) })
+      expectedIndex = namesakeIndex + 1
     }
   }
   return { runs }
@@ -142,13 +144,13 @@
   return { whole: next }
 }
 
-/** What makes next of base; undefined where that isn't smaller than next itself. */
+/** The delta from base to next; undefined if it isn't smaller than next itself. */
 export function makeDelta(base: unknown, next: unknown): Delta | undefined {
   const delta = diff(base, next, 0)
   return bytesOf(delta) < bytesOf(next) ? delta : undefined
 }
 
-/** How many bytes this is on a link and on disk. */
+/** Encoded size, as on a link and on disk. */
 export function bytesOf(x: unknown): number {
   return encode(x).length
 }
@@ -162,7 +164,7 @@
   if (has(x, 'delta')) return isCount(fieldOf(x, 'at')) && isDelta(fieldOf(x, 'delta'), depth + 1)
   return isCount(fieldOf(x, 'from')) && isCount(fieldOf(x, 'count'))
 }
-function isSetting(x: unknown, depth: number): boolean {
+function isFieldChange(x: unknown, depth: number): boolean {
   return Array.isArray(x) && x.length === 2 && typeof x[0] === 'string' && isDelta(x[1], depth + 1)
 }
 function isText(x: unknown): boolean {
@@ -180,7 +182,7 @@
   const set = fieldOf(x, 'set')
   const removed = fieldOf(x, 'removed')
   if (!Array.isArray(set) || !Array.isArray(removed) || !removed.every(isText)) return false
-  for (const one of set) if (!isSetting(one, depth)) return false
+  for (const change of set) if (!isFieldChange(change, depth)) return false
   return true
 }
 
@@ -190,70 +192,70 @@
 function validate(x: unknown, context: t.Context): t.Validation<Delta> {
   return is(x) ? t.success(x) : t.failure(x, context)
 }
-/** A delta as it comes over a link or from a file. */
+/** Codec of a delta from a link or a file. */
 export const Delta = new t.Type<Delta, Delta, unknown>('Delta', is, validate, t.identity)
 
-// left: how many items may still be put together, so that a short delta can't ask for endless arrays.
+/** left: the number of items that may still be produced; a short delta can't cause unbounded arrays. */
 type Budget = { left: number }
 
 function applyFields(base: unknown, delta: FieldsDelta, budget: Budget, depth: number): Result<unknown, string> {
-  if (!isPlain(base)) return Err('fields of what is no object')
-  const out = { ...base }
+  if (!isPlain(base)) return Err('the base of a fields delta is not an object')
+  const fields = { ...base }
   for (const name of delta.removed) {
-    if (!has(base, name)) return Err('a field to remove is not there')
-    Reflect.deleteProperty(out, name)
+    if (!has(base, name)) return Err('a field to remove does not exist')
+    Reflect.deleteProperty(fields, name)
   }
   for (const [name, inner] of delta.set) {
-    if (isUnsafe(name)) return Err('a field of that name is not set')
-    const got = apply(has(base, name) ? fieldOf(base, name) : undefined, inner, budget, depth + 1)
-    if (got.err) return got
-    Reflect.set(out, name, got.val)
+    if (isUnsafe(name)) return Err('a field of an unsafe name cannot be set')
+    const applied = apply(has(base, name) ? fieldOf(base, name) : undefined, inner, budget, depth + 1)
+    if (applied.err) return applied
+    Reflect.set(fields, name, applied.val)
   }
-  return Ok(out)
+  return Ok(fields)
 }
 
 function applyItems(base: unknown, delta: ItemsDelta, budget: Budget, depth: number): Result<unknown, string> {
-  if (!Array.isArray(base)) return Err('items of what is no array')
-  const out: unknown[] = []
+  if (!Array.isArray(base)) return Err('the base of an items delta is not an array')
+  const items: unknown[] = []
   for (const run of delta.runs) {
     budget.left -= 'count' in run ? run.count : 'insert' in run ? run.insert.length : 1
     if (budget.left < 0) return Err('too many items')
     if ('insert' in run) {
-      for (const item of run.insert) out.push(item)
+      for (const item of run.insert) items.push(item)
       continue
     }
     if ('delta' in run) {
-      if (run.at >= base.length) return Err('an item beyond the end of the base')
-      const got = apply(base[run.at], run.delta, budget, depth + 1)
-      if (got.err) return got
-      out.push(got.val)
+      if (run.at >= base.length) return Err('an item index is beyond the end of the base')
+      const applied = apply(base[run.at], run.delta, budget, depth + 1)
+      if (applied.err) return applied
+      items.push(applied.val)
       continue
     }
-    if (run.from + run.count > base.length) return Err('a run beyond the end of the base')
-    for (let k = 0; k < run.count; k++) out.push(base[run.from + k])
+    if (run.from + run.count > base.length) return Err('a run extends beyond the end of the base')
+    for (let k = 0; k < run.count; k++) items.push(base[run.from + k])
   }
-  return Ok(out)
+  return Ok(items)
 }
 
 function apply(base: unknown, delta: Delta, budget: Budget, depth: number): Result<unknown, string> {
-  if (depth > MAX_DELTA_DEPTH) return Err('nested too deep')
+  if (depth > MAX_DELTA_DEPTH) return Err('the delta is nested too deeply')
   if ('whole' in delta) return Ok(delta.whole)
   return 'runs' in delta ? applyItems(base, delta, budget, depth) : applyFields(base, delta, budget, depth)
 }
 
-/** The value that the delta makes of the base; an error, and nothing applied, where it doesn't fit it. */
+/** Applies a delta to its base. An error if the delta doesn't fit the base; nothing is applied then. */
 export function applyDelta(base: unknown, delta: Delta): Result<unknown, string> {
   if (!is(delta)) return Err('not a delta')
   return apply(base, delta, { left: MAX_DELTA_ITEMS }, 0)
 }
 
-/** The same for several deltas, each on what the one before it made. */
+/** Applies several deltas in order, each to the result of the one before. */
 export function applyDeltas(base: unknown, deltas: Delta[]): Result<unknown, string> {
-  let now = base
+  let value = base
   for (const delta of deltas) {
-    const got = applyDelta(now, delta)
-    if (got.err) return got
-    now = got.val
+    const applied = applyDelta(value, delta)
+    if (applied.err) return applied
+    value = applied.val
   }
-  return Ok(now)
+  return Ok(value)
 }
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -6,7 +6,10 @@
 import { valueOf, type HeldValue } from './values.js'
 import type { GetAnswer } from './messages.js'
 
-// deltas: whether its link speaks of values by what changed in them (DELTA_EPOCH); where it isn't given, values are told whole.
+/**
+ * A core as seen by a proposer. deltas: whether its link carries values as deltas (DELTA_LINK_VERSION); if it is
+ * missing, values are sent whole.
+ */
 export type Voter = {
   id: string
   ask: (msg: unknown, ms: number) => Promise<unknown>
@@ -14,21 +17,29 @@
   deltas?: () => boolean
 }
 
+/** Outcome of a change or a read. Not done: the change may have been committed or not, and may still be committed. */
 export type Committed = { done: true; value: RegisterValue | undefined; ballot: Ballot } | { done: false; why: string }
 
-// What a change does with the present value: a new body and tag, or undefined to leave it as it is.
+/** Computes a new body and tag from the present value; undefined leaves the value unchanged. */
 export type RegisterEdit = (now: RegisterValue | undefined) => { body: unknown; tag: string } | undefined
 
+/** Runs Paxos rounds on registers. limit: ms. */
 export type Proposer = {
-  // Runs rounds until one is settled. An edit may be asked several times, as rounds that
-  // ended unclear are read back: it must find its own earlier change by its tag.
+  /**
+   * Runs rounds until one commits. The edit may be called several times, because a round with an unknown outcome is
+   * read back: the edit must recognise its own earlier change by its tag.
+   */
   change: (key: string, edit: RegisterEdit, limit?: number) => Promise<Committed>
+  /** Reads the value with a round of its own. */
   read: (key: string, limit?: number) => Promise<Committed>
-  // The same for those who only want to know, without a ballot of their own: a crowd of readers whose rounds raised the
-  // ballots would have each change of others refused. A round is made only where a majority isn't alike.
+  /**
+   * Reads the value without a ballot. Many readers whose rounds raise the ballots would get every other proposer's
+   * change rejected. A round is run only if the answers of the quorum differ.
+   */
   look: (key: string, limit?: number) => Promise<Committed>
 }
 
+/** Answer of a voter to prepare, accept or get; undefined: it didn't answer in time. */
 type Vote =
   | {
       ok?: boolean
@@ -42,9 +53,13 @@
   | null
   | undefined
 
+/** Answer of one voter. */
 export type VoterAnswer<T> = { id: string; val: T }
 
-// Asks all; ends once those who said ok are a quorum, once that has become impossible, or at the limit.
+/**
+ * Collects the answers of voters. Ends when the voters that accepted form a quorum, when a quorum has become
+ * impossible, or after ms. asks: the pending answer of each voter.
+ */
 export function gatherQuorum<T>(
   world: World,
   asks: { id: string; got: Promise<T> }[],
@@ -52,182 +67,200 @@
   isOk: (v: T) => boolean,
   ms: number,
 ): Promise<VoterAnswer<T>[]> {
-  function start(done: (got: VoterAnswer<T>[]) => void): void {
-    const got: VoterAnswer<T>[] = []
-    const good = new Set<string>()
-    // may: who has said ok or may yet.
-    const may = new Set<string>()
-    for (const one of asks) may.add(one.id)
+  function start(resolve: (answers: VoterAnswer<T>[]) => void): void {
+    const answers: VoterAnswer<T>[] = []
+    const accepted = new Set<string>()
+    /** The voters that accepted or haven't answered yet. */
+    const acceptedOrPending = new Set<string>()
+    for (const ask of asks) acceptedOrPending.add(ask.id)
     function end(): void {
-      cancel()
-      done(got.slice())
+      cancelTimer()
+      resolve(answers.slice())
     }
-    const cancel = world.later(ms, end)
-    if (!quorum.met(may)) {
+    const cancelTimer = world.later(ms, end)
+    if (!quorum.met(acceptedOrPending)) {
       end()
       return
     }
-    async function take(id: string, from: Promise<T>): Promise<void> {
-      const val = await from
-      got.push({ id, val })
-      if (isOk(val)) good.add(id)
-      else may.delete(id)
-      if (quorum.met(good) || !quorum.met(may)) end()
+    async function collect(id: string, pendingAnswer: Promise<T>): Promise<void> {
+      const val = await pendingAnswer
+      answers.push({ id, val })
+      if (isOk(val)) accepted.add(id)
+      else acceptedOrPending.delete(id)
+      if (quorum.met(accepted) || !quorum.met(acceptedOrPending)) end()
     }
-    for (const one of asks) void take(one.id, one.got)
+    for (const ask of asks) void collect(ask.id, ask.got)
   }
   return new Promise(start)
 }
 
-// voters and quorum are of one set at any time; a round keeps those that it began with. heard: a core refused for the sake of
-// a later set. held: what is known here of a register, so that it isn't told again.
+/**
+ * Makes a proposer. voters and quorum always belong to the same core set; a round keeps those that it began with.
+ * onLaterSet: called when a core rejects a message because it has a later set. heldValueOf: the value of a register
+ * that is known here, so that voters needn't send it again.
+ */
 export function makeProposer(
   world: World,
   name: string,
   voters: () => Voter[],
   quorum: () => Quorum,
-  heard?: (set: CoreSet) => void,
-  held?: (key: string) => HeldValue | undefined,
+  onLaterSet?: (set: CoreSet) => void,
+  heldValueOf?: (key: string) => HeldValue | undefined,
 ): Proposer {
-  // who is fresh for each life of a process, so that a restarted proposer can't repeat a ballot.
-  const who = `${name}~${Math.floor(world.random() * 2 ** 40).toString(36)}`
-  let top = 0
+  /** Differs in each run of the process, so that a restarted proposer can't reuse a ballot. */
+  const proposerId = `${name}~${Math.floor(world.random() * 2 ** 40).toString(36)}`
+  let highestNumber = 0
 
-  function saw(v: Vote): void {
-    if (v?.promise) top = Math.max(top, v.promise[0])
-    if (v?.ballot) top = Math.max(top, v.ballot[0])
-    if (v?.set === undefined || !heard) return
-    const later = readAs(CoreSet, v.set)
-    if (later.ok) heard(later.val)
+  /** Records the highest ballot number, and a later core set, from an answer. */
+  function recordVote(vote: Vote): void {
+    if (vote?.promise) highestNumber = Math.max(highestNumber, vote.promise[0])
+    if (vote?.ballot) highestNumber = Math.max(highestNumber, vote.ballot[0])
+    if (vote?.set === undefined || !onLaterSet) return
+    const laterSet = readAs(CoreSet, vote.set)
+    if (laterSet.ok) onLaterSet(laterSet.val)
   }
-  function isOk(v: Vote): boolean {
-    return v?.ok === true
+  function isOk(vote: Vote): boolean {
+    return vote?.ok === true
   }
-  type Yes = { id: string; ballot: Ballot; value?: RegisterValue | null }
-  // have: the value that was named in the question; same stands for it and for no other.
-  function yesOf(votes: VoterAnswer<Vote>[], have: HeldValue | undefined): Yes[] {
-    const out: Yes[] = []
+  type PositiveVote = { id: string; ballot: Ballot; value?: RegisterValue | null }
+  /** heldValue: the value whose ballot the question named; `same` in an answer refers to this value only. */
+  function positiveVotesOf(votes: VoterAnswer<Vote>[], heldValue: HeldValue | undefined): PositiveVote[] {
+    const positiveVotes: PositiveVote[] = []
     for (const { id, val } of votes) {
       if (!val?.ok) continue
       const ballot = val.ballot ?? ZERO_BALLOT
-      if (val.same !== true) out.push({ id, ballot, value: val.value })
-      else if (have && compareBallots(ballot, have.ballot) === 0) out.push({ id, ballot, value: have.value })
+      if (val.same !== true) positiveVotes.push({ id, ballot, value: val.value })
+      else if (heldValue && compareBallots(ballot, heldValue.ballot) === 0)
+        positiveVotes.push({ id, ballot, value: heldValue.value })
     }
-    return out
+    return positiveVotes
   }
-  function haveFor(voter: Voter, have: HeldValue | undefined): { have?: Ballot } {
-    return have && voter.deltas?.() === true ? { have: have.ballot } : {}
+  /** The field that names the held value in a question to this voter. */
+  function haveFieldFor(voter: Voter, heldValue: HeldValue | undefined): { have?: Ballot } {
+    return heldValue && voter.deltas?.() === true ? { have: heldValue.ballot } : {}
   }
-  // The value to one voter: as a delta where it may hold the base, and whole where it then says that it doesn't.
-  async function put(voter: Voter, whole: unknown, asDelta: unknown): Promise<Vote> {
-    if (asDelta === undefined || voter.deltas?.() !== true) return (await voter.ask(whole, ROUND_TIMEOUT_MS)) as Vote
-    const got = (await voter.ask(asDelta, ROUND_TIMEOUT_MS)) as Vote
-    return got?.lacksBase === true ? ((await voter.ask(whole, ROUND_TIMEOUT_MS)) as Vote) : got
+  /** Sends an accept to one voter: as a delta if the voter may hold the base, and whole if it answers that it doesn't. */
+  async function sendAccept(voter: Voter, wholeMessage: unknown, deltaMessage: unknown): Promise<Vote> {
+    if (deltaMessage === undefined || voter.deltas?.() !== true)
+      return (await voter.ask(wholeMessage, ROUND_TIMEOUT_MS)) as Vote
+    const vote = (await voter.ask(deltaMessage, ROUND_TIMEOUT_MS)) as Vote
+    return vote?.lacksBase === true ? ((await voter.ask(wholeMessage, ROUND_TIMEOUT_MS)) as Vote) : vote
   }
-  function idsOf(yes: Yes[]): Set<string> {
-    const out = new Set<string>()
-    for (const v of yes) out.add(v.id)
-    return out
+  function idsOf(votes: PositiveVote[]): Set<string> {
+    const ids = new Set<string>()
+    for (const vote of votes) ids.add(vote.id)
+    return ids
   }
-  async function round(key: string, edit: RegisterEdit): Promise<Committed> {
-    const all = voters()
-    const enough = quorum()
-    const { epoch } = enough
-    const ballot: Ballot = [++top, who]
-    const from = world.now()
-    const have = held?.(key)
-    const asks: { id: string; got: Promise<Vote> }[] = []
-    for (const voter of all) {
-      const word = { t: 'prepare', epoch, key, ballot, ...haveFor(voter, have) }
-      asks.push({ id: voter.id, got: voter.ask(word, ROUND_TIMEOUT_MS) as Promise<Vote> })
+  /** One Paxos round: prepare, and accept unless the edit leaves a value unchanged that is committed already. */
+  async function runRound(key: string, edit: RegisterEdit): Promise<Committed> {
+    const roundVoters = voters()
+    const roundQuorum = quorum()
+    const { epoch } = roundQuorum
+    const ballot: Ballot = [++highestNumber, proposerId]
+    const startedAt = world.now()
+    const heldValue = heldValueOf?.(key)
+    const pendingPromises: { id: string; got: Promise<Vote> }[] = []
+    for (const voter of roundVoters) {
+      const message = { t: 'prepare', epoch, key, ballot, ...haveFieldFor(voter, heldValue) }
+      pendingPromises.push({ id: voter.id, got: voter.ask(message, ROUND_TIMEOUT_MS) as Promise<Vote> })
     }
-    const votes = await gatherQuorum(world, asks, enough, isOk, ROUND_TIMEOUT_MS)
-    for (const answer of votes) saw(answer.val)
-    const yes = yesOf(votes, have)
-    if (!enough.met(idsOf(yes))) return { done: false, why: 'no majority promised' }
-    // A prepare that took too long is void: a core emptied meanwhile may have lost its promise.
-    if (world.now() - from > ROUND_TIMEOUT_MS) return { done: false, why: 'prepare took too long' }
-    let high = yes[0]
-    for (const v of yes) if (compareBallots(v.ballot, high.ballot) > 0) high = v
-    const now = high.value ?? undefined
-    const next = edit(now)
-    if (!next) {
-      const same = new Set<string>()
-      for (const v of yes) if (compareBallots(v.ballot, high.ballot) === 0) same.add(v.id)
-      // All of a majority hold the same ballot: the value is chosen already (or nothing ever was).
-      if (enough.met(same)) {
-        if (now) learn(all, key, high.ballot)
-        return { done: true, value: now, ballot: high.ballot }
+    const prepareVotes = await gatherQuorum(world, pendingPromises, roundQuorum, isOk, ROUND_TIMEOUT_MS)
+    for (const answer of prepareVotes) recordVote(answer.val)
+    const promises = positiveVotesOf(prepareVotes, heldValue)
+    if (!roundQuorum.met(idsOf(promises))) return { done: false, why: 'no majority promised' }
+    // Promises are valid for ROUND_TIMEOUT_MS only: a core that lost its disk since may have forgotten its promise.
+    if (world.now() - startedAt > ROUND_TIMEOUT_MS) return { done: false, why: 'prepare took too long' }
+    let highest = promises[0]
+    for (const vote of promises) if (compareBallots(vote.ballot, highest.ballot) > 0) highest = vote
+    const now = highest.value ?? undefined
+    const edited = edit(now)
+    if (!edited) {
+      const highestHolders = new Set<string>()
+      for (const vote of promises) if (compareBallots(vote.ballot, highest.ballot) === 0) highestHolders.add(vote.id)
+      // A quorum holds the same ballot: the value is committed already, or nothing was ever proposed.
+      if (roundQuorum.met(highestHolders)) {
+        if (now) sendLearn(roundVoters, key, highest.ballot)
+        return { done: true, value: now, ballot: highest.ballot }
       }
     }
-    const value: RegisterValue = next
-      ? { turn: (now?.turn ?? 0) + 1, tag: next.tag, body: next.body }
+    const value: RegisterValue = edited
+      ? { turn: (now?.turn ?? 0) + 1, tag: edited.tag, body: edited.body }
       : (now as RegisterValue)
-    const puts: { id: string; got: Promise<Vote> }[] = []
-    const whole = { t: 'accept', epoch, key, ballot, value }
+    const pendingAccepts: { id: string; got: Promise<Vote> }[] = []
+    const wholeMessage = { t: 'accept', epoch, key, ballot, value }
     const delta = now ? makeDelta(now, value) : undefined
-    const asDelta = delta && { t: 'accept', epoch, key, ballot, base: high.ballot, delta }
-    // Who told that it holds something else is sent the whole at once; who hasn't answered yet most likely holds the base.
-    const others = new Set<string>()
-    for (const v of yes) if (compareBallots(v.ballot, high.ballot) !== 0) others.add(v.id)
-    for (const v of all) puts.push({ id: v.id, got: put(v, whole, others.has(v.id) ? undefined : asDelta) })
-    const took = await gatherQuorum(world, puts, enough, isOk, ROUND_TIMEOUT_MS)
+    const deltaMessage = delta && { t: 'accept', epoch, key, ballot, base: highest.ballot, delta }
+    // A voter that promised with another ballot is sent the whole value at once; one that hasn't answered yet most
+    // likely holds the base.
+    const votersWithoutBase = new Set<string>()
+    for (const vote of promises) if (compareBallots(vote.ballot, highest.ballot) !== 0) votersWithoutBase.add(vote.id)
+    for (const voter of roundVoters)
+      pendingAccepts.push({
+        id: voter.id,
+        got: sendAccept(voter, wholeMessage, votersWithoutBase.has(voter.id) ? undefined : deltaMessage),
+      })
+    const acceptVotes = await gatherQuorum(world, pendingAccepts, roundQuorum, isOk, ROUND_TIMEOUT_MS)
     const accepted = new Set<string>()
-    for (const v of took) {
-      saw(v.val)
-      if (v.val?.ok) accepted.add(v.id)
+    for (const vote of acceptVotes) {
+      recordVote(vote.val)
+      if (vote.val?.ok) accepted.add(vote.id)
     }
-    if (!enough.met(accepted)) return { done: false, why: 'no majority accepted' }
-    learn(all, key, ballot)
+    if (!roundQuorum.met(accepted)) return { done: false, why: 'no majority accepted' }
+    sendLearn(roundVoters, key, ballot)
     return { done: true, value, ballot }
   }
-  function learn(all: Voter[], key: string, ballot: Ballot): void {
-    for (const voter of all) voter.tell({ t: 'learn', key, ballot })
+  /** Tells the voters that the value accepted at this ballot is committed. */
+  function sendLearn(roundVoters: Voter[], key: string, ballot: Ballot): void {
+    for (const voter of roundVoters) voter.tell({ t: 'learn', key, ballot })
   }
   async function change(key: string, edit: RegisterEdit, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
-    const end = world.now() + limit
-    let tries = 0
+    const deadline = world.now() + limit
+    let backoffFactor = 0
     for (;;) {
-      const got = await round(key, edit)
-      if (got.done || world.now() >= end) return got
-      tries = Math.min(tries + 1, 5)
-      await pause(world, ROUND_BACKOFF_MS * (1 + world.random()) * tries)
+      const outcome = await runRound(key, edit)
+      if (outcome.done || world.now() >= deadline) return outcome
+      backoffFactor = Math.min(backoffFactor + 1, 5)
+      await pause(world, ROUND_BACKOFF_MS * (1 + world.random()) * backoffFactor)
     }
   }
-  function same(): undefined {
+  function leaveUnchanged(): undefined {
     return undefined
   }
   function read(key: string, limit?: number): Promise<Committed> {
-    return change(key, same, limit)
+    return change(key, leaveUnchanged, limit)
   }
-  // An answer by deltas is brought to the value that it stands for.
-  async function askValue(voter: Voter, word: unknown, have: HeldValue | undefined): Promise<Vote> {
-    const got = (await voter.ask(word, ROUND_TIMEOUT_MS)) as Vote | GetAnswer
-    if (!got || !('deltas' in got)) return got as Vote
-    const value = have && valueOf(got, have)
-    return value ? { ok: true, ballot: got.ballot, value } : undefined
+  /** Sends a get and resolves an answer by deltas to the value that it stands for. */
+  async function askValue(voter: Voter, message: unknown, heldValue: HeldValue | undefined): Promise<Vote> {
+    const answer = (await voter.ask(message, ROUND_TIMEOUT_MS)) as Vote | GetAnswer
+    if (!answer || !('deltas' in answer)) return answer as Vote
+    const value = heldValue && valueOf(answer, heldValue)
+    return value ? { ok: true, ballot: answer.ballot, value } : undefined
   }
-  // What a majority accepted at one ballot is chosen; and a later one chosen before we asked would be told by one of them.
-  async function look(key: string, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
-    const all = voters()
-    const enough = quorum()
-    const { epoch } = enough
-    const from = world.now()
-    const have = held?.(key)
-    const asks: { id: string; got: Promise<Vote> }[] = []
-    for (const voter of all) {
-      const word = { t: 'get', epoch, key, ...haveFor(voter, have) }
-      asks.push({ id: voter.id, got: askValue(voter, word, have) })
+  /**
+   * A value that a quorum accepted at one ballot is committed. If a later value had been committed before this read
+   * began, at least one voter of the quorum would have answered with it.
+   */
+  async function readWithoutBallot(key: string, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
+    const roundVoters = voters()
+    const roundQuorum = quorum()
+    const { epoch } = roundQuorum
+    const startedAt = world.now()
+    const heldValue = heldValueOf?.(key)
+    const pendingAnswers: { id: string; got: Promise<Vote> }[] = []
+    for (const voter of roundVoters) {
+      const message = { t: 'get', epoch, key, ...haveFieldFor(voter, heldValue) }
+      pendingAnswers.push({ id: voter.id, got: askValue(voter, message, heldValue) })
     }
-    const votes = await gatherQuorum(world, asks, enough, isOk, ROUND_TIMEOUT_MS)
-    for (const answer of votes) saw(answer.val)
-    const yes = yesOf(votes, have)
-    let alike = enough.met(idsOf(yes))
-    for (const v of yes) if (compareBallots(v.ballot, yes[0].ballot) !== 0) alike = false
-    if (!alike) return await read(key, Math.max(0, limit - (world.now() - from)))
-    const { ballot, value } = yes[0]
-    if (value) learn(all, key, ballot)
+    const votes = await gatherQuorum(world, pendingAnswers, roundQuorum, isOk, ROUND_TIMEOUT_MS)
+    for (const answer of votes) recordVote(answer.val)
+    const positiveVotes = positiveVotesOf(votes, heldValue)
+    let isUnanimous = roundQuorum.met(idsOf(positiveVotes))
+    for (const vote of positiveVotes)
+      if (compareBallots(vote.ballot, positiveVotes[0].ballot) !== 0) isUnanimous = false
+    if (!isUnanimous) return await read(key, Math.max(0, limit - (world.now() - startedAt)))
+    const { ballot, value } = positiveVotes[0]
+    if (value) sendLearn(roundVoters, key, ballot)
     return { done: true, value: value ?? undefined, ballot }
   }
-  return { change, read, look }
+  return { change, read, look: readWithoutBallot }
 }
--- a/packages/register/src/renewals.ts
+++ b/packages/register/src/renewals.ts
@@ -10,33 +10,33 @@
   type InstanceStatus,
 } from './messages.js'
 
-/** Answers renewals of leases, each with what changed since the last one that its sender has an answer to. */
+/** Answers lease renewals, each with the changes since the last answer that the agent received. */
 export type Renewals = { answer: (renewal: LeaseRenewal) => LeaseRenewalAnswer }
 
-const NO_LINES: { lines: MemberEntry[]; gone: string[] } = { lines: [], gone: [] }
+const NO_MEMBER_CHANGES: { lines: MemberEntry[]; gone: string[] } = { lines: [], gone: [] }
 
-/** keyLines: what this core holds of each register now. */
+/** Makes the answers of one core. registerSummaries: the present state of each register at this core. */
 export function makeRenewals(
   world: World,
   leases: Leases,
-  keyLines: () => RegisterSummary[],
+  registerSummaries: () => RegisterSummary[],
   metrics: Metrics,
 ): Renewals {
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
   const count = { at: 0 }
-  const keyTable = makeChangeTable(count, signKey)
-  const memberTable = makeChangeTable(count, signMember)
+  const keyTable = makeChangeTable(count, registerFingerprintOf)
+  const memberTable = makeChangeTable(count, memberFingerprintOf)
   const instanceTable = makeChangeTable(count, signStatus)
 
-  // tallied: the revision of members and instances that the tables hold; they are walked only where it changed.
-  let tallied = -1
-  function tally(): void {
+  /** Revision of the members and instances in the tables; the tables are updated only when it has changed. */
+  let tableRevision = -1
+  function updateTables(): void {
     const keys = new Map<string, RegisterSummary>()
-    for (const line of keyLines()) keys.set(line.key, line)
+    for (const line of registerSummaries()) keys.set(line.key, line)
     keyTable.update(keys)
     const revision = leases.revision()
-    if (revision === tallied) return
-    tallied = revision
+    if (revision === tableRevision) return
+    tableRevision = revision
     metrics.add('claynotch_core_tallies_total')
     const members = new Map<string, MemberEntry>()
     for (const line of leases.memberEntries()) members.set(line.node, line)
@@ -45,20 +45,20 @@
     memberTable.update(members)
     instanceTable.update(instances)
   }
-  // As they are now, with their age: the table's may be older, and say the same.
-  function instancesNow(lines: InstanceStatus[]): InstanceStatus[] {
-    const out: InstanceStatus[] = []
-    for (const line of lines) out.push(leases.instance(line.name) ?? line)
-    return out
+  /** The statuses with their present age: a status in the table may be an earlier one of the same content. */
+  function withPresentAge(lines: InstanceStatus[]): InstanceStatus[] {
+    const statuses: InstanceStatus[] = []
+    for (const line of lines) statuses.push(leases.instance(line.name) ?? line)
+    return statuses
   }
   function answer(renewal: LeaseRenewal): LeaseRenewalAnswer {
-    const end = leases.renew(renewal)
-    if (end !== 'held') return { ok: false, [end]: true }
-    tally()
-    const whole = renewal.core !== life || renewal.count < Math.max(memberTable.least(), instanceTable.least())
-    const since = whole ? 0 : renewal.count
+    const outcome = leases.renew(renewal)
+    if (outcome !== 'held') return { ok: false, [outcome]: true }
+    updateTables()
+    const needsAllLines = renewal.core !== life || renewal.count < Math.max(memberTable.least(), instanceTable.least())
+    const since = needsAllLines ? 0 : renewal.count
     const keys = keyTable.since(since).lines
-    const members = renewal.brief === true ? NO_LINES : memberTable.since(since)
+    const members = renewal.brief === true ? NO_MEMBER_CHANGES : memberTable.since(since)
     const instances = instanceTable.since(since)
     metrics.add('claynotch_core_member_lines_total', [], members.lines.length)
     return {
@@ -69,7 +69,7 @@
       count: count.at,
       ...(keys.length > 0 ? { keys } : {}),
       ...(members.lines.length > 0 ? { members: members.lines } : {}),
-      ...(instances.lines.length > 0 ? { sights: instancesNow(instances.lines) } : {}),
+      ...(instances.lines.length > 0 ? { sights: withPresentAge(instances.lines) } : {}),
       ...(members.gone.length > 0 ? { left: members.gone } : {}),
       ...(instances.gone.length > 0 ? { lost: instances.gone } : {}),
     }
@@ -77,9 +77,11 @@
   return { answer }
 }
 
-function signKey(line: RegisterSummary): string {
+/** Text that differs when the summary has changed. */
+function registerFingerprintOf(line: RegisterSummary): string {
   return `${line.ballot[0]} ${line.ballot[1]} ${line.turn} ${line.chosen} ${line.pending}`
 }
-function signMember(line: MemberEntry): string {
+/** Text that differs when the member's entry has changed. */
+function memberFingerprintOf(line: MemberEntry): string {
   return `${line.life} ${line.area} ${line.addr} ${line.operator} ${line.build} ${line.proxy} ${line.core?.token}`
 }
