--- a/packages/register/src/ballot.ts
+++ b/packages/register/src/ballot.ts
@@ -1,10 +1,14 @@
 import * as t from 'io-ts'
 
-// A ballot: a number and the proposer's name, compared in that order.
-// Invariant: a proposer never uses one ballot twice, also across its restarts (its name holds a fresh part).
+/**
+ * A Paxos ballot: a number and the id of the proposer, compared in that order.
+ *
+ * Invariant: a proposer never uses a ballot twice, not even after a restart (its id contains a random part).
+ */
 export const Ballot = t.tuple([t.number, t.string])
 export type Ballot = t.TypeOf<typeof Ballot>
 
+/** The ballot of a register without a value. */
 export const ZERO_BALLOT: Ballot = [0, '']
 
 export function compareBallots(a: Ballot, b: Ballot): number {
--- a/packages/register/src/index.ts
+++ b/packages/register/src/index.ts
@@ -9,7 +9,7 @@
 export {
   hasSignedOff,
   SIGNED_OFF_SEQUENCE,
-  RegisterValueCodec as ValueShape,
+  RegisterValueCodec,
   CoreMessage,
   RegisterPush,
   GetAnswer,
--- a/packages/register/src/messages.ts
+++ b/packages/register/src/messages.ts
@@ -32,8 +32,8 @@
 
 /**
  * Description of a member, sent to each core once in each life of the agent. addr: where it receives summaries.
- * operator: where it serves operators, '' if it doesn't. proxy: whether it feeds a proxy. core: the core on its machine,
- * which votes or is a candidate.
+ * operator: where it serves operators, '' if it doesn't. proxy: whether it feeds a proxy. core: the core on its
+ * machine, which votes or is a candidate.
  */
 export const MemberDescription = t.intersection([
   t.type({ area: t.string, addr: t.string, operator: t.string, build: t.string, proxy: t.boolean }),
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -139,7 +139,7 @@
   function haveFieldFor(voter: Voter, heldValue: HeldValue | undefined): { have?: Ballot } {
     return heldValue && voter.deltas?.() === true ? { have: heldValue.ballot } : {}
   }
-  /** Sends an accept to one voter: as a delta if the voter may hold the base, and whole if it answers that it doesn't. */
+  /** Sends an accept to one voter: as a delta if the voter may hold the base, whole if it answers that it doesn't. */
   async function sendAccept(voter: Voter, wholeMessage: unknown, deltaMessage: unknown): Promise<Vote> {
     if (deltaMessage === undefined || voter.deltas?.() !== true)
       return (await voter.ask(wholeMessage, ROUND_TIMEOUT_MS)) as Vote
--- a/packages/register/src/proxy-messages.ts
+++ b/packages/register/src/proxy-messages.ts
@@ -3,23 +3,28 @@
 import { InstanceStatus } from './messages.js'
 import { isQuotaKey } from './quota-register.js'
 
-// What an agent and its proxy say to each other over loopback: registers fed one way, notes the other.
+// Messages between an agent and its proxy over loopback: the agent feeds registers, the proxy sends reports.
 
-/** Which machines vote, and who counts quotas, is the agents' matter alone. */
+/** Whether a register is fed to proxies; the core set and the quota holders concern agents only. */
 export function isFedToProxies(key: string): boolean {
   return key !== CORESET_KEY && !isQuotaKey(key)
 }
 
-// One register as it is fed. until: monotonic time of this machine up to which the proxy may work by this
-// turn; body is left out where the proxy has acknowledged the turn already.
+/**
+ * One register in a feed. until: monotonic time of this machine until which the proxy may use this turn (version) of
+ * the register. body is missing if the proxy has acknowledged the turn already.
+ */
 export const FedEntry = t.intersection([
   t.type({ key: t.string, turn: t.number, until: t.number }),
   t.partial({ body: t.unknown }),
 ])
 export type FedEntry = t.TypeOf<typeof FedEntry>
 
-// moving: [group, epoch] that some node knows to be under promotion. tries: [group, firsts, retries] of the other nodes.
-// live: members that have a proxy, at least 1.
+/**
+ * Feed from an agent to its proxy. moving: [group, epoch] of which some node knows that a promotion is in progress.
+ * leaving: instances that drain. tries: [group, first attempts, retries] of the other nodes. live: number of members
+ * with a proxy, at least 1.
+ */
 export const AgentFeed = t.type({
   t: t.literal('feed'),
   node: t.string,
@@ -33,7 +38,10 @@
 })
 export type AgentFeed = t.TypeOf<typeof AgentFeed>
 
-// acks: [key, turn] applied. seen: [instance, ms since its last good answer]. highs: [group, epoch, position].
+/**
+ * Report from a proxy to its agent. acks: [key, turn] that it applied. highs: [group, epoch, position] of the highest
+ * acknowledged commit. seen: [instance, ms since its last successful answer]. tries: [group, first attempts, retries].
+ */
 export const ProxyReport = t.intersection([
   t.type({
     t: t.literal('note'),
@@ -45,11 +53,11 @@
     tries: t.array(t.tuple([t.string, t.number, t.number])),
     open: t.number,
     leaving: t.boolean,
-    // lags: [follower, ms within which its position is proved].
+    /** [follower, ms within which its position is proved]. */
     lags: t.array(t.tuple([t.string, t.number])),
   }),
   t.partial({
-    // bad: [instance, ms since the first send that failed there, or still waits, with no sign of life after it].
+    /** [instance, ms since the first request that failed or is still unanswered, with no later sign of life]. */
     bad: t.array(t.tuple([t.string, t.number])),
   }),
 ])
--- a/packages/register/src/values.ts
+++ b/packages/register/src/values.ts
@@ -2,26 +2,27 @@
 import { compareBallots, type Ballot } from './ballot.js'
 import { applyDeltas } from './delta.js'
 import type { RegisterValue } from './register-store.js'
-import { Deltas, RegisterValueCodec as ValueShape } from './messages.js'
+import { Deltas, RegisterValueCodec } from './messages.js'
 
-/** A value that is known, and the ballot that names it: of one ballot and register there is one value. */
+/** A known value and its ballot, which identifies it: a register has at most one value at each ballot. */
 export type HeldValue = { ballot: Ballot; value: RegisterValue }
 
 /**
- * The value that an answer or a push stands for, to one who holds this: the same, what deltas make of it, or one told whole.
- * Undefined: it builds on something else, or doesn't fit.
+ * The value that an answer or a push stands for, if the receiver holds this value: the same value, deltas applied to
+ * it, or a whole value. undefined: the deltas have another base, or the message is invalid.
  */
-export function valueOf(told: unknown, held: HeldValue | undefined): RegisterValue | undefined {
-  const word = told as { ballot: Ballot; same?: true; value?: unknown }
-  if (word.same === true) return held && compareBallots(held.ballot, word.ballot) === 0 ? held.value : undefined
-  const deltas = readAs(Deltas, told)
-  const value = deltas.ok ? builtOn(deltas.val, held) : word.value
-  const got = readAs(ValueShape, value)
-  return got.ok ? (got.val as RegisterValue) : undefined
+export function valueOf(message: unknown, held: HeldValue | undefined): RegisterValue | undefined {
+  const content = message as { ballot: Ballot; same?: true; value?: unknown }
+  if (content.same === true) return held && compareBallots(held.ballot, content.ballot) === 0 ? held.value : undefined
+  const deltas = readAs(Deltas, message)
+  const value = deltas.ok ? applyToHeld(deltas.val, held) : content.value
+  const decoded = readAs(RegisterValueCodec, value)
+  return decoded.ok ? (decoded.val as RegisterValue) : undefined
 }
 
-function builtOn(told: Deltas, held: HeldValue | undefined): unknown {
-  if (!held || compareBallots(held.ballot, told.base) !== 0) return undefined
-  const got = applyDeltas(held.value, told.deltas)
-  return got.ok ? got.val : undefined
+/** Applies deltas to the held value; undefined if it isn't their base or they don't fit it. */
+function applyToHeld(message: Deltas, held: HeldValue | undefined): unknown {
+  if (!held || compareBallots(held.ballot, message.base) !== 0) return undefined
+  const applied = applyDeltas(held.value, message.deltas)
+  return applied.ok ? applied.val : undefined
 }
