--- a/packages/register/src/delta.ts
+++ b/packages/register/src/delta.ts
@@ -12,9 +12,9 @@
 /** An object's fields that were set or removed. */
 export type FieldsDelta = { set: [string, Delta][]; removed: string[] }
 /** An array assembled from runs of items of the base, new items, and changed items of the base. */
-export type ItemsDelta = { runs: Run[] }
+export type ItemsDelta = { runs: ItemRun[] }
 /** from, at: indices into the base. */
-export type Run = { from: number; count: number } | { insert: unknown[] } | { at: number; delta: Delta }
+export type ItemRun = { from: number; count: number } | { insert: unknown[] } | { at: number; delta: Delta }
 /** The new content of this part, whatever it was before. */
 export type WholeDelta = { whole: unknown }
 export type Delta = FieldsDelta | ItemsDelta | WholeDelta
@@ -43,12 +43,12 @@
 }
 
 /** Deep equality of plain data; parts nested deeper than MAX_DELTA_DEPTH are equal only if they are identical. */
-export function isAlike(a: unknown, b: unknown, depth = 0): boolean {
+export function isDeepEqual(a: unknown, b: unknown, depth = 0): boolean {
   if (Object.is(a, b)) return true
   if (depth > MAX_DELTA_DEPTH) return false
   if (Array.isArray(a) && Array.isArray(b)) {
     if (a.length !== b.length) return false
-    for (let k = 0; k < a.length; k++) if (!isAlike(a[k], b[k], depth + 1)) return false
+    for (let k = 0; k < a.length; k++) if (!isDeepEqual(a[k], b[k], depth + 1)) return false
     return true
   }
   if (!isPlain(a) || !isPlain(b)) return false
@@ -56,7 +56,7 @@
   if (names.length !== fieldNames(b).length) return false
   for (const name of names) {
     if (!has(b, name)) return false
-    if (!isAlike(fieldOf(a, name), fieldOf(b, name), depth + 1)) return false
+    if (!isDeepEqual(fieldOf(a, name), fieldOf(b, name), depth + 1)) return false
   }
   return true
 }
@@ -69,7 +69,7 @@
     if (isUnsafe(name)) return { whole: next }
     const value = fieldOf(next, name)
     if (!has(base, name)) set.push([name, { whole: value }])
-    else if (!isAlike(fieldOf(base, name), value)) set.push([name, diff(fieldOf(base, name), value, depth + 1)])
+    else if (!isDeepEqual(fieldOf(base, name), value)) set.push([name, diff(fieldOf(base, name), value, depth + 1)])
   }
   return { set, removed }
 }
@@ -98,15 +98,15 @@
 
 function diffItems(base: unknown[], next: unknown[], depth: number): Delta {
   if (next.length > MAX_DELTA_ITEMS) return { whole: next }
-  const runs: Run[] = []
+  const runs: ItemRun[] = []
   /** Index of the base item that would extend the last run. */
   let expectedIndex = 0
   let itemIndex: ItemIndex | undefined
   function findEqual(item: unknown): number | undefined {
-    if (expectedIndex < base.length && isAlike(base[expectedIndex], item)) return expectedIndex
+    if (expectedIndex < base.length && isDeepEqual(base[expectedIndex], item)) return expectedIndex
     itemIndex ??= itemIndexOf(base)
     for (const index of itemIndex.byText.get(JSON.stringify(item) ?? '') ?? [])
-      if (isAlike(base[index], item)) return index
+      if (isDeepEqual(base[index], item)) return index
     return undefined
   }
   function copy(index: number): void {
--- a/packages/table-cache/src/admission-watch.ts
+++ b/packages/table-cache/src/admission-watch.ts
@@ -3,17 +3,18 @@
 import { admit, barredOf } from './lock-record.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
 
-/** Lets readers that were barred serve again once they hold the present version. */
+/** Admits suspended and excluded readers again once they hold the present version. */
 export type AdmissionWatch<T> = {
-  /** Takes a value that was committed, and admits who is back. */
+  /** Handles a committed value: admits the barred readers that have returned. */
   look: (value: TableValue<T>) => Promise<void>
 }
 
 /**
- * missing: readers that may hold a lease and didn't acknowledge a version; undefined: not all are known.
+ * Makes the watch of one node. missing: readers that may hold a lease and haven't acknowledged a version; undefined:
+ * not all are known.
  *
- * Invariant: suspendedAt has the readers that are suspended, with the local time (ms) since which that is known here. Their writer
- * is given the time of two leases to come back to them.
+ * Invariant: suspendedAt has the suspended readers, each with the local time (ms) at which this node first saw it as
+ * suspended. They aren't admitted for two lease durations, so that the writer that suspended them can continue.
  */
 export function makeAdmissionWatch<T>(
   world: World,
@@ -22,27 +23,27 @@
 ): AdmissionWatch<T> {
   const suspendedAt = new Map<string, number>()
 
-  function noteSuspended(suspended: string[]): void {
+  function recordSuspended(suspended: string[]): void {
     for (const reader of suspendedAt.keys()) if (!suspended.includes(reader)) suspendedAt.delete(reader)
     for (const reader of suspended) if (!suspendedAt.has(reader)) suspendedAt.set(reader, world.now())
   }
-  async function look({ lock, version }: TableValue<T>): Promise<void> {
-    noteSuspended(lock.suspended ?? [])
+  async function admitReturned({ lock, version }: TableValue<T>): Promise<void> {
+    recordSuspended(lock.suspended ?? [])
     if (lock.lockType === 'WRITE' || barredOf(lock).length === 0) return
-    const absent = await missing(version)
-    if (!absent) return
-    function isBack(reader: string): boolean {
-      const at = suspendedAt.get(reader)
-      if (at !== undefined && !hasPassed(world.now() - at, 2 * lock.readLeaseMs)) return false
-      return !absent!.includes(reader)
+    const missingReaders = await missing(version)
+    if (!missingReaders) return
+    function hasReturned(reader: string): boolean {
+      const observedAt = suspendedAt.get(reader)
+      if (observedAt !== undefined && !hasPassed(world.now() - observedAt, 2 * lock.readLeaseMs)) return false
+      return !missingReaders!.includes(reader)
     }
-    const back = barredOf(lock).filter(isBack)
-    if (back.length === 0) return
+    const returned = barredOf(lock).filter(hasReturned)
+    if (returned.length === 0) return
     function edit(now: TableValue<T>): ReturnType<TableEdit<T>> {
-      const admitted = admit(now.lock, back)
+      const admitted = admit(now.lock, returned)
       return admitted.ok && admitted.val !== now.lock ? { lock: admitted.val, table: now.table } : undefined
     }
     await store.change(edit)
   }
-  return { look }
+  return { look: admitReturned }
 }
--- a/packages/table-cache/src/index.ts
+++ b/packages/table-cache/src/index.ts
@@ -1,4 +1,5 @@
-// A small table cached whole in every node, under read leases, and changed under a write lock (docs/design/table-cache.md).
+// A small table that is cached whole in every node under read leases and changed under a write lock; see
+// docs/design/table-cache.md.
 export * from './lock-record.js'
 export * from './lease-times.js'
 export * from './table-store.js'
--- a/packages/table-cache/src/lease-times.ts
+++ b/packages/table-cache/src/lease-times.ts
@@ -1,8 +1,9 @@
 import { CLOCK_DRIFT_LIMIT } from '@claynotch/base'
 
 /**
- * Leases are lengths of time. Who holds one counts it from before it asked; who waits for its end counts from after the
- * commit that keeps it from being renewed, and longer by as much as the two clocks may run apart.
+ * Whether a lease has expired at every holder. Leases are durations: the holder counts one from before it requested it;
+ * a node that waits for the expiry counts from after the commit that prevents a renewal, and waits longer by the limit
+ * of the drift between the two clocks.
  */
 export function hasPassed(elapsedMs: number, leaseMs: number): boolean {
   return elapsedMs > leaseMs * (1 + CLOCK_DRIFT_LIMIT)
--- a/packages/table-cache/src/orphan-watch.ts
+++ b/packages/table-cache/src/orphan-watch.ts
@@ -3,37 +3,43 @@
 import { cleanOrphanLock } from './lock-record.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
 
-/** Clears a write lock whose holder let its lease pass. */
+/** Clears a write lock whose lease has expired. */
 export type OrphanWatch<T> = {
-  /** Takes a value that was committed. */
+  /** Records the lock of a committed value. */
   see: (value: TableValue<T>) => void
-  /** Clears the lock that was seen last if its lease has passed; whether it is cleared. */
+  /** Clears the latest lock that was observed if its lease has expired. Returns whether the lock was cleared. */
   clearIfDue: () => Promise<boolean>
 }
 
-/** Invariant: seen is the write lock that stands as far as is known here, and since when (local time, ms) it is known. */
+/**
+ * Makes the watch of one node.
+ *
+ * Invariant: observed is the present write lock as far as this node knows, with the local time (ms) at which the node
+ * first saw it.
+ */
 export function makeOrphanWatch<T>(world: World, store: TableStore<T>): OrphanWatch<T> {
-  let seen: { token: number; leaseMs: number; at: number; version: number } | undefined
+  let observed: { token: number; leaseMs: number; observedAt: number; version: number } | undefined
 
-  function see({ lock, version }: TableValue<T>): void {
-    if (seen && version < seen.version) return
-    if (lock.lockType !== 'WRITE') seen = undefined
-    else if (seen?.token !== lock.token) seen = { token: lock.token, leaseMs: lock.leaseMs, at: world.now(), version }
+  function observe({ lock, version }: TableValue<T>): void {
+    if (observed && version < observed.version) return
+    if (lock.lockType !== 'WRITE') observed = undefined
+    else if (observed?.token !== lock.token)
+      observed = { token: lock.token, leaseMs: lock.leaseMs, observedAt: world.now(), version }
   }
   async function clearIfDue(): Promise<boolean> {
-    const orphan = seen
-    if (!orphan || !hasPassed(world.now() - orphan.at, orphan.leaseMs)) return false
+    const orphan = observed
+    if (!orphan || !hasPassed(world.now() - orphan.observedAt, orphan.leaseMs)) return false
     let isCleared = false
     function edit({ lock, table }: TableValue<T>): ReturnType<TableEdit<T>> {
-      const cleared = cleanOrphanLock(lock, orphan!.token, world.now() - orphan!.at)
+      const cleared = cleanOrphanLock(lock, orphan!.token, world.now() - orphan!.observedAt)
       isCleared = cleared.ok
       return cleared.ok ? { lock: cleared.val, table } : undefined
     }
     const committed = await store.change(edit)
     if (!committed.done) return false
-    see(committed.value)
+    observe(committed.value)
     if (isCleared) world.log.warn('orphan-lock-cleared', { table: committed.value.lock.tid, token: orphan.token })
     return isCleared
   }
-  return { see, clearIfDue }
+  return { see: observe, clearIfDue }
 }
--- a/packages/table-cache/src/reader.ts
+++ b/packages/table-cache/src/reader.ts
@@ -5,27 +5,30 @@
 /**
  * A node's copy of a table, served from memory.
  *
- * Invariants: what is held was committed, and its version never falls; the lease runs from before a read was asked that showed
- * the table READ, so it began before the commit of any write lock that the node does not know of; a value that the node only
- * heard of extends nothing.
+ * Invariants: the cached value was committed, and its version never decreases; the lease runs from before the request
+ * of a read that returned the table as READ, so it began before the commit of any write lock that the node doesn't know
+ * of; a pushed value doesn't extend the lease.
  */
 export type TableReader<T> = {
-  /** Takes a value that was committed, as pushes bring it. */
+  /** Applies a committed value, for example from a push. */
   hear: (value: TableValue<T>) => void
-  /** LockForRead and RenewLease: one read of a majority; whether the lease was extended. */
+  /** LockForRead and RenewLease: one read from a majority. Returns whether the lease was extended. */
   renew: () => Promise<boolean>
-  /** Runs this with the table at once where the lease holds now; undefined where it doesn't. Nothing of the table outlives it. */
+  /** Calls use synchronously if the lease is valid, else returns undefined. use mustn't keep any part of the table. */
   serve: <R>(use: (table: T, version: number) => R) => R | undefined
 }
 
-/** Whether a reader may serve a table now under this record. leaseEndsAt: on the same clock as now. */
-export function mayServe(lock: LockRecord, reader: string, leaseEndsAt: number, now: number): boolean {
+/** Whether a reader may serve a table under this record. leaseExpiresAt: on the same clock as now. */
+export function mayServe(lock: LockRecord, reader: string, leaseExpiresAt: number, now: number): boolean {
   if (lock.lockType !== 'READ') return false
   if (isBarred(lock, reader)) return false
-  return now < leaseEndsAt
+  return now < leaseExpiresAt
 }
 
-/** name: of the node, as the record has it. acknowledge: tells the store's keepers that nothing older than this version is served here any more. */
+/**
+ * Makes the reader of one node. name: the node's name in the lock record. acknowledge: reports to the store that this
+ * node serves no version older than this one any more.
+ */
 export function makeTableReader<T>(
   world: World,
   name: string,
@@ -33,38 +36,38 @@
   readLeaseMs: number,
   acknowledge: (version: number) => void,
 ): TableReader<T> {
-  let held: TableValue<T> | undefined
-  let leaseEndsAt = -Infinity
+  let cached: TableValue<T> | undefined
+  let leaseExpiresAt = -Infinity
 
-  function hear(value: TableValue<T>): void {
-    if (held && value.version <= held.version) return
-    held = value
+  function applyCommitted(value: TableValue<T>): void {
+    if (cached && value.version <= cached.version) return
+    cached = value
     acknowledge(value.version)
   }
-  function lockEdit({ lock, table }: TableValue<T>): ReturnType<TableEdit<T>> {
+  function lockForReadEdit({ lock, table }: TableValue<T>): ReturnType<TableEdit<T>> {
     const locked = lockForRead(lock, readLeaseMs)
     return locked.ok && locked.val !== lock ? { lock: locked.val, table } : undefined
   }
-  /** The present value, locked for reading where no reader has done so yet. */
-  async function readLocked(): Promise<TableValue<T> | undefined> {
-    const shown = await store.read()
-    if (shown?.lock.lockType !== 'NONE') return shown
-    const committed = await store.change(lockEdit)
+  /** Reads the present value, and locks it for reading if no reader has done so yet. */
+  async function readAndLock(): Promise<TableValue<T> | undefined> {
+    const value = await store.read()
+    if (value?.lock.lockType !== 'NONE') return value
+    const committed = await store.change(lockForReadEdit)
     return committed.done ? committed.value : undefined
   }
   async function renew(): Promise<boolean> {
-    const askedAt = world.now()
-    const shown = await readLocked()
-    if (!shown) return false
-    hear(shown)
-    const lease = renewLease(shown.lock)
+    const requestedAt = world.now()
+    const value = await readAndLock()
+    if (!value) return false
+    applyCommitted(value)
+    const lease = renewLease(value.lock)
     if (lease.err) return false
-    leaseEndsAt = Math.max(leaseEndsAt, askedAt + lease.val)
+    leaseExpiresAt = Math.max(leaseExpiresAt, requestedAt + lease.val)
     return true
   }
   function serve<R>(use: (table: T, version: number) => R): R | undefined {
-    if (!held || !mayServe(held.lock, name, leaseEndsAt, world.now())) return undefined
-    return use(held.table, held.version)
+    if (!cached || !mayServe(cached.lock, name, leaseExpiresAt, world.now())) return undefined
+    return use(cached.table, cached.version)
   }
-  return { hear, renew, serve }
+  return { hear: applyCommitted, renew, serve }
 }
--- a/packages/table-cache/src/table-store.ts
+++ b/packages/table-cache/src/table-store.ts
@@ -1,18 +1,18 @@
 import type { LockRecord } from './lock-record.js'
 
-/** A table and its lock, as one value of the store. version: grows by one with each value that is committed. */
+/** A table and its lock record, as one value of the store. version grows by one with each committed value. */
 export type TableValue<T> = { version: number; lock: LockRecord; table: T }
 
-/** What a change makes of the present value; undefined: it is left as it is. */
+/** Computes the next value from the present one; undefined leaves it unchanged. */
 export type TableEdit<T> = (now: TableValue<T>) => { lock: LockRecord; table: T } | undefined
 
-/** The value that stood when the edit was last asked, or the one that it made; not done: it may have been committed or not. */
+/** done: the value that the edit committed or left unchanged. Not done: the edit may have been committed or not. */
 export type TableCommit<T> = { done: true; value: TableValue<T> } | { done: false }
 
-/** Where the value lives: a replicated register with a compare-and-set. */
+/** Storage of the value: a replicated register with a compare-and-set. */
 export type TableStore<T> = {
-  /** An edit may be asked several times: it must find its own earlier change. */
+  /** Commits an edit. The edit may be called several times and must recognise its own earlier change. */
   change: (edit: TableEdit<T>) => Promise<TableCommit<T>>
-  /** The value that a majority knows, asked after this call; undefined: no majority answered. */
+  /** Reads the value from a majority, no older than this call; undefined: no majority answered. */
   read: () => Promise<TableValue<T> | undefined>
 }
--- a/packages/table-cache/src/writer.ts
+++ b/packages/table-cache/src/writer.ts
@@ -14,112 +14,136 @@
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
 
 /**
- * What a change comes to on a table: its verdict, and the table that it makes; none where it changes nothing. isNote: readers
- * work by both tables alike, so it is written without the lock.
+ * Result of a change for one table. verdict: the caller's answer. table: the new table; missing if nothing changes.
+ * isNote: readers behave the same with the old and the new table, so it is written without the lock.
  */
 export type Judgement<T, V> = { verdict: V; table?: T; isNote?: boolean }
 
-/** Pure, and asked anew for each table: it finds its own earlier effect and says then what it said before. */
+/**
+ * Computes a change; pure. It may be called again with later tables, and must then recognise its own earlier effect
+ * and give the same verdict as before.
+ */
 export type TableChange<T, V> = (table: T) => Judgement<T, V>
 
-/** What a writer needs of its node. */
+/** What a writer needs from its node. */
 export type WriterView<T> = {
-  /** Names this life of this node. */
+  /** Name of the node, unique to this life of the node. */
   name: string
   store: TableStore<T>
-  /** Readers that may hold a lease and didn't acknowledge this version or a later one; undefined: not all are known. */
+  /** Readers that may hold a lease and haven't acknowledged this or a later version; undefined: not all are known. */
   missing: (version: number) => Promise<string[] | undefined>
 }
 
 /**
- * Changes a table under its write lock. Changes that come while a lock is taken or held are made together under it.
+ * Changes a table under its write lock. Changes that arrive while the lock is being acquired or held are written
+ * together under it.
  *
- * Invariants: the table is changed only by a commit that checks that the lock is held by this very attempt; before it, each
- * reader gave the table up or its lease has passed. Every change is answered, and a verdict rests on a committed value.
+ * Invariants: the table is changed only by a commit that checks that this attempt holds the lock; before that commit,
+ * each reader has stopped serving the table or its lease has expired. Every change is answered, and a verdict is always
+ * based on a committed value.
  */
 export type TableWriter<T> = {
-  /** The verdict; undefined: it may have been made or not, and may yet be. */
+  /** Returns the verdict; undefined: the change may have been committed or not, and may still be. */
   change: <V>(change: TableChange<T, V>) => Promise<V | undefined>
 }
 
-/** One change that has no verdict yet. settle: the verdict of the last judging stands. */
-type Pending<T> = { judge: (table: T) => Judgement<T, unknown>; settle: () => void; drop: () => void; endsAt: number }
+/**
+ * A change that isn't answered yet. settle: answers with the verdict of the last evaluation. drop: answers that the
+ * outcome is unknown. deadline: local time (ms).
+ */
+type PendingChange<T> = {
+  evaluate: (table: T) => Judgement<T, unknown>
+  settle: () => void
+  drop: () => void
+  deadline: number
+}
 
-/** A lock that this writer holds. since: local time (ms) at which it knew it committed. */
-type HeldLock<T> = { holder: string; value: TableValue<T>; since: number }
+/** A lock that this writer holds. committedAt: local time (ms) at which the writer learnt that it was committed. */
+type HeldLock<T> = { holder: string; value: TableValue<T>; committedAt: number }
 
-/** waited: suspended readers whose leases are over, as long as nobody is admitted after this many admissions. */
-type Announced = { holder: string; waited: string[]; admissions: number }
+/**
+ * A completed announcement. expiredReaders: suspended readers whose leases have expired; valid while the record's count
+ * of admissions is this one.
+ */
+type Announcement = { holder: string; expiredReaders: string[]; admissions: number }
 
-type AttemptEnd = 'written' | 'readers' | 'blocked'
+/** unacknowledged: a reader didn't acknowledge the lock in time. blocked: no lock, or the store didn't answer. */
+type AttemptOutcome = 'written' | 'unacknowledged' | 'blocked'
 
+/** Makes the writer of one node. */
 export function makeTableWriter<T>(world: World, view: WriterView<T>): TableWriter<T> {
   const { store } = view
   const orphans = makeOrphanWatch(world, store)
-  const pending = new Set<Pending<T>>()
-  let isWorking = false
-  // claimed: another writer's claim, and since when (local time, ms) it is known here.
-  let claimed: { holder: string; leaseMs: number; at: number } | undefined
+  const pendingChanges = new Set<PendingChange<T>>()
+  let isProcessing = false
+  /** The claim of another writer, and the local time (ms) at which this writer first saw it. */
+  let observedClaim: { holder: string; leaseMs: number; observedAt: number } | undefined
   let attempts = 0
 
-  // --- changes that wait ---
+  // --- pending changes ---
 
-  function pendingOf<V>(change: TableChange<T, V>, done: (verdict: V | undefined) => void): Pending<T> {
+  function makePendingChange<V>(
+    change: TableChange<T, V>,
+    resolve: (verdict: V | undefined) => void,
+  ): PendingChange<T> {
     let verdict: V | undefined
-    function judge(table: T): Judgement<T, V> {
-      const judgement = change(table)
-      verdict = judgement.verdict
-      return judgement
+    function evaluate(table: T): Judgement<T, V> {
+      const result = change(table)
+      verdict = result.verdict
+      return result
     }
     function settle(): void {
-      done(verdict)
+      resolve(verdict)
     }
     function drop(): void {
-      done(undefined)
+      resolve(undefined)
     }
-    return { judge, settle, drop, endsAt: world.now() + TABLE_CHANGE_TIMEOUT_MS }
+    return { evaluate, settle, drop, deadline: world.now() + TABLE_CHANGE_TIMEOUT_MS }
   }
-  function settleAll(these: Iterable<Pending<T>>): void {
-    for (const one of [...these]) {
-      pending.delete(one)
-      one.settle()
+  function settleAll(changes: Iterable<PendingChange<T>>): void {
+    for (const change of [...changes]) {
+      pendingChanges.delete(change)
+      change.settle()
     }
   }
-  function dropLate(): void {
-    for (const one of [...pending]) {
-      if (world.now() < one.endsAt) continue
-      pending.delete(one)
-      one.drop()
+  function dropExpired(): void {
+    for (const change of [...pendingChanges]) {
+      if (world.now() < change.deadline) continue
+      pendingChanges.delete(change)
+      change.drop()
     }
   }
-  /** Ends those that need no lock, as readers don't see what they change; whether this writer may try to lock. */
-  async function settleUnlocked(): Promise<boolean> {
-    const asked = [...pending]
+  /**
+   * Settles the changes that need no lock, because they change nothing or nothing that matters to readers. Returns
+   * whether this writer may try to acquire the lock.
+   */
+  async function settleWithoutLock(): Promise<boolean> {
+    const changesBeforeRead = [...pendingChanges]
     const now = await store.read()
     if (!now) return false
     orphans.see(now)
-    const idle: Pending<T>[] = []
-    const notes: Pending<T>[] = []
-    for (const one of asked) {
-      const { table, isNote } = one.judge(now.table)
-      if (table === undefined) idle.push(one)
-      else if (isNote) notes.push(one)
+    const noOps: PendingChange<T>[] = []
+    const lockFreeChanges: PendingChange<T>[] = []
+    for (const change of changesBeforeRead) {
+      const { table, isNote: needsNoLock } = change.evaluate(now.table)
+      if (table === undefined) noOps.push(change)
+      else if (needsNoLock) lockFreeChanges.push(change)
     }
-    settleAll(idle)
-    return (notes.length === 0 || (await writeNotes(notes))) && !isTaken(now)
+    settleAll(noOps)
+    return (lockFreeChanges.length === 0 || (await writeWithoutLock(lockFreeChanges))) && !isLockTaken(now)
   }
-  /** The lock stays as it is, whoever holds it. */
-  async function writeNotes(notes: Pending<T>[]): Promise<boolean> {
-    let written: Pending<T>[] = []
+  /** Writes changes without the lock, and leaves the lock unchanged, whoever holds it. */
+  async function writeWithoutLock(lockFreeChanges: PendingChange<T>[]): Promise<boolean> {
+    let written: PendingChange<T>[] = []
     function edit({ lock, table }: TableValue<T>): ReturnType<TableEdit<T>> {
       written = []
       let next = table
-      for (const one of notes) {
-        const judgement = one.judge(next)
-        // The table changed meanwhile, and this one would now change it too.
-        if (judgement.table !== undefined && !judgement.isNote) continue
-        next = judgement.table ?? next
-        written.push(one)
+      for (const change of lockFreeChanges) {
+        const result = change.evaluate(next)
+        // The table has changed since it was read, and this change now needs the lock.
+        if (result.table !== undefined && !result.isNote) continue
+        next = result.table ?? next
+        written.push(change)
       }
       return next === table ? undefined : { lock, table: next }
     }
@@ -130,88 +154,95 @@
 
   // --- the lock ---
 
-  /** Whether another writer holds the lock, or is about to. */
-  function isTaken({ lock }: TableValue<T>): boolean {
+  /** Whether another writer holds the lock or has a claim on it that hasn't expired. */
+  function isLockTaken({ lock }: TableValue<T>): boolean {
     if (lock.lockType === 'WRITE') return true
     const { claim } = lock
     if (!claim || claim.holder.startsWith(`${view.name}#`)) return false
-    if (claimed?.holder !== claim.holder || claimed.leaseMs !== claim.leaseMs) claimed = { ...claim, at: world.now() }
-    return !hasPassed(world.now() - claimed.at, claim.leaseMs)
+    if (observedClaim?.holder !== claim.holder || observedClaim.leaseMs !== claim.leaseMs)
+      observedClaim = { ...claim, observedAt: world.now() }
+    return !hasPassed(world.now() - observedClaim.observedAt, claim.leaseMs)
   }
-  /** A version that changes nothing but the lock: the claim, and these readers suspended. */
+  /** Commits a version that changes only the lock record: sets this writer's claim and suspends these readers. */
   async function commitClaim(
     holder: string,
     leaseMs: number,
     readers: string[],
-  ): Promise<{ value: TableValue<T>; since: number } | undefined> {
+  ): Promise<{ value: TableValue<T>; committedAt: number } | undefined> {
     let isFree = false
     function edit(now: TableValue<T>): ReturnType<TableEdit<T>> {
       const suspended = suspend(now.lock, readers)
-      isFree = suspended.ok && !isTaken(now)
+      isFree = suspended.ok && !isLockTaken(now)
       return suspended.ok && isFree ? { lock: withClaim(suspended.val, holder, leaseMs), table: now.table } : undefined
     }
     const committed = await store.change(edit)
     if (!committed.done) return undefined
     orphans.see(committed.value)
-    return isFree ? { value: committed.value, since: world.now() } : undefined
+    return isFree ? { value: committed.value, committedAt: world.now() } : undefined
   }
   /**
-   * Readers that may serve a version before this one; none once the last read lease is over. since: local time (ms) after its
-   * commit. waitMs: how long this may wait for there to be none.
+   * Waits until no reader may serve a version before this one: until all have acknowledged it, except for excluded
+   * readers, which hold no lease, or until the last read lease has expired. Returns the readers that still may after
+   * timeoutMs; undefined: not all are known. committedAt: local time (ms), no earlier than the commit.
    */
   async function awaitReaders(
-    { value, since }: { value: TableValue<T>; since: number },
-    waitMs: number,
-    pollMs: number,
+    { value, committedAt }: { value: TableValue<T>; committedAt: number },
+    timeoutMs: number,
+    pollIntervalMs: number,
   ): Promise<string[] | undefined> {
     const { excluded = [], readLeaseMs } = value.lock
     function isNotExcluded(reader: string): boolean {
       return !excluded.includes(reader)
     }
     for (;;) {
-      if (hasPassed(world.now() - since, readLeaseMs)) return []
+      if (hasPassed(world.now() - committedAt, readLeaseMs)) return []
       const missing = (await view.missing(value.version))?.filter(isNotExcluded)
       if (missing?.length === 0) return []
-      if (world.now() - since >= waitMs) return missing
-      await pause(world, pollMs)
+      if (world.now() - committedAt >= timeoutMs) return missing
+      await pause(world, pollIntervalMs)
     }
   }
   /**
-   * A version with nothing new. Readers that don't acknowledge it are suspended, and their leases waited out, while all others
-   * serve. Undefined: another holds the lock, or it is not known.
+   * Commits a version with an unchanged table. Readers that don't acknowledge it are suspended and this waits until
+   * their leases expire, while all other readers continue to serve. undefined: another writer holds or claims the lock,
+   * or the outcome is unknown.
    */
-  async function announce(): Promise<Announced | undefined> {
+  async function announce(): Promise<Announcement | undefined> {
     const holder = `${view.name}#${++attempts}`
-    const announced = await commitClaim(holder, CLAIM_MARGIN_MS, [])
-    if (!announced) return undefined
-    let missing = await awaitReaders(announced, ANNOUNCEMENT_PATIENCE_MS, LOCK_POLL_INTERVAL_MS)
+    const claimed = await commitClaim(holder, CLAIM_MARGIN_MS, [])
+    if (!claimed) return undefined
+    let missing = await awaitReaders(claimed, ANNOUNCEMENT_PATIENCE_MS, LOCK_POLL_INTERVAL_MS)
     while (missing === undefined) {
       await pause(world, ANNOUNCEMENT_POLL_INTERVAL_MS)
-      missing = await awaitReaders(announced, ANNOUNCEMENT_PATIENCE_MS, ANNOUNCEMENT_POLL_INTERVAL_MS)
+      missing = await awaitReaders(claimed, ANNOUNCEMENT_PATIENCE_MS, ANNOUNCEMENT_POLL_INTERVAL_MS)
     }
-    if (missing.length === 0) return { holder, waited: [], admissions: 0 }
-    const suspended = await commitClaim(holder, announced.value.lock.readLeaseMs + CLAIM_MARGIN_MS, missing)
+    if (missing.length === 0) return { holder, expiredReaders: [], admissions: 0 }
+    const suspended = await commitClaim(holder, claimed.value.lock.readLeaseMs + CLAIM_MARGIN_MS, missing)
     if (!suspended) return undefined
     await awaitReaders(suspended, Infinity, ANNOUNCEMENT_POLL_INTERVAL_MS)
     const { lock } = suspended.value
-    return { holder, waited: lock.suspended ?? [], admissions: lock.admissions ?? 0 }
+    return { holder, expiredReaders: lock.suspended ?? [], admissions: lock.admissions ?? 0 }
   }
-  async function lock({ holder, waited, admissions }: Announced, patienceMs: number): Promise<HeldLock<T> | undefined> {
+  /** Acquires the write lock after an announcement; undefined: another writer has it, or the outcome is unknown. */
+  async function acquireLock(
+    { holder, expiredReaders, admissions }: Announcement,
+    ackTimeoutMs: number,
+  ): Promise<HeldLock<T> | undefined> {
     function edit({ lock, table }: TableValue<T>): ReturnType<TableEdit<T>> {
       if (isHeldBy(lock, holder)) return undefined
-      // Who was admitted since, and suspended again, may have a new lease.
-      const isStill = (lock.admissions ?? 0) === admissions
-      const locked = lockForWrite(lock, holder, 2 * patienceMs, isStill ? waited : [])
+      // A reader that was admitted since then and suspended again may have a new lease.
+      const isWaitStillValid = (lock.admissions ?? 0) === admissions
+      const locked = lockForWrite(lock, holder, 2 * ackTimeoutMs, isWaitStillValid ? expiredReaders : [])
       return locked.ok ? { lock: locked.val, table } : undefined
     }
     const committed = await store.change(edit)
     if (!committed.done) return undefined
     const { value } = committed
     orphans.see(value)
-    return isHeldBy(value.lock, holder) ? { holder, value, since: world.now() } : undefined
+    return isHeldBy(value.lock, holder) ? { holder, value, committedAt: world.now() } : undefined
   }
-  /** Change and unlock in one: what the pending changes make of the table, or the table as it is to give the lock back. */
-  async function unlock({ holder, value }: HeldLock<T>, changes: Pending<T>[]): Promise<boolean> {
+  /** Applies the changes to the table and releases the lock in one commit; without changes, only releases the lock. */
+  async function writeAndRelease({ holder, value }: HeldLock<T>, changes: PendingChange<T>[]): Promise<boolean> {
     const missing = barredOf(value.lock).length > 0 ? await view.missing(value.version) : []
     let isHeld = false
     function edit(now: TableValue<T>): ReturnType<TableEdit<T>> {
@@ -219,7 +250,7 @@
       isHeld = unlocked.ok
       if (unlocked.err) return undefined
       let { table } = now
-      for (const one of changes) table = one.judge(table).table ?? table
+      for (const change of changes) table = change.evaluate(table).table ?? table
       return { lock: unlocked.val, table }
     }
     const committed = await store.change(edit)
@@ -227,51 +258,53 @@
     orphans.see(committed.value)
     return isHeld
   }
-  async function attempt(patienceMs: number): Promise<AttemptEnd> {
-    const announced = await announce()
-    if (!announced) return 'blocked'
-    const held = await lock(announced, patienceMs)
-    if (!held) return 'blocked'
-    const missing = await awaitReaders(held, patienceMs, LOCK_POLL_INTERVAL_MS)
+  /** One attempt to write all pending changes under the lock. */
+  async function attempt(ackTimeoutMs: number): Promise<AttemptOutcome> {
+    const announcement = await announce()
+    if (!announcement) return 'blocked'
+    const heldLock = await acquireLock(announcement, ackTimeoutMs)
+    if (!heldLock) return 'blocked'
+    const missing = await awaitReaders(heldLock, ackTimeoutMs, LOCK_POLL_INTERVAL_MS)
     if (missing?.length !== 0) {
-      await unlock(held, [])
-      return 'readers'
+      await writeAndRelease(heldLock, [])
+      return 'unacknowledged'
     }
-    const changes = [...pending]
-    // One that was made by a commit whose answer was lost finds itself when it is judged anew.
-    if (!(await unlock(held, changes))) return 'blocked'
+    const changes = [...pendingChanges]
+    // A change that was committed although the answer was lost recognises its own effect in the next attempt.
+    if (!(await writeAndRelease(heldLock, changes))) return 'blocked'
     settleAll(changes)
     return 'written'
   }
-  async function work(): Promise<void> {
-    let patienceMs = LOCK_PATIENCE_MS
+  /** Retries until no change is pending; the timeout for acknowledgements doubles each time that it runs out. */
+  async function attemptUntilDone(): Promise<void> {
+    let ackTimeoutMs = LOCK_PATIENCE_MS
     for (;;) {
-      dropLate()
-      if (pending.size === 0) return
-      const isFree = await settleUnlocked()
-      if (pending.size === 0) return
-      const end = isFree ? await attempt(patienceMs) : 'blocked'
-      if (end === 'readers') patienceMs *= 2
-      if (end === 'blocked' && !(await orphans.clearIfDue())) await pause(world, ANNOUNCEMENT_POLL_INTERVAL_MS)
+      dropExpired()
+      if (pendingChanges.size === 0) return
+      const isFree = await settleWithoutLock()
+      if (pendingChanges.size === 0) return
+      const outcome = isFree ? await attempt(ackTimeoutMs) : 'blocked'
+      if (outcome === 'unacknowledged') ackTimeoutMs *= 2
+      if (outcome === 'blocked' && !(await orphans.clearIfDue())) await pause(world, ANNOUNCEMENT_POLL_INTERVAL_MS)
     }
   }
-  /** Works until nothing is pending. A store that throws is a fault of ours: callers are not left waiting for it. */
-  async function workOff(): Promise<void> {
-    if (isWorking) return
-    isWorking = true
+  /** Processes changes until none is pending. If the store throws, which is a bug, all callers are answered. */
+  async function processPending(): Promise<void> {
+    if (isProcessing) return
+    isProcessing = true
     try {
-      while (pending.size > 0) await work()
+      while (pendingChanges.size > 0) await attemptUntilDone()
     } catch (e) {
       world.log.error('table-writer-fault', { why: (e as Error).stack ?? String(e) })
-      for (const one of pending) one.drop()
-      pending.clear()
+      for (const change of pendingChanges) change.drop()
+      pendingChanges.clear()
     }
-    isWorking = false
+    isProcessing = false
   }
-  function change<V>(one: TableChange<T, V>): Promise<V | undefined> {
-    function start(done: (verdict: V | undefined) => void): void {
-      pending.add(pendingOf(one, done))
-      void workOff()
+  function change<V>(tableChange: TableChange<T, V>): Promise<V | undefined> {
+    function start(resolve: (verdict: V | undefined) => void): void {
+      pendingChanges.add(makePendingChange(tableChange, resolve))
+      void processPending()
     }
     return new Promise(start)
   }
