--- a/packages/peer/src/heard-summaries.ts
+++ b/packages/peer/src/heard-summaries.ts
@@ -2,44 +2,49 @@
 import { MAX_HEARD_SUMMARIES, OBSERVATION_LIFETIME_MS, SUMMARY_LIFETIME_MS, type World } from '@claynotch/base'
 import type { Summary } from './summary.js'
 
-/** The newest summary of each node; bounded, as names come from the network. */
+/** The newest summary received from each node. Its size is limited, because the names come from the network. */
 export type HeardSummaries = {
-  /** False: a newer one of that node is known. */
+  /** Records a summary. false: this or a newer summary of that node is known already. */
   add: (summary: Summary) => boolean
-  /** Those that are not too old, with the time since they came counted in. */
+  /**
+   * The summaries that haven't expired; the time since they were received is added to their ages. `seen` expires
+   * separately, after OBSERVATION_LIFETIME_MS.
+   */
   current: () => Summary[]
 }
 
-function aged(ages: [string, number][], by: number): [string, number][] {
-  const out: [string, number][] = []
-  for (const [name, ms] of ages) out.push([name, ms + by])
-  return out
+/** Adds this time (ms) to each age. */
+function withAddedAge(ages: [string, number][], addedMs: number): [string, number][] {
+  const currentAges: [string, number][] = []
+  for (const [name, ms] of ages) currentAges.push([name, ms + addedMs])
+  return currentAges
 }
 
+/** Makes an empty collection. */
 export function makeHeardSummaries(world: World): HeardSummaries {
-  const newest = new LRUCache<string, { heardAt: number; summary: Summary }>({ max: MAX_HEARD_SUMMARIES })
+  const newest = new LRUCache<string, { receivedAt: number; summary: Summary }>({ max: MAX_HEARD_SUMMARIES })
 
   function add(summary: Summary): boolean {
     const known = newest.get(summary.node)
-    // num starts at a clock's reading, so that a restarted node's summaries go on.
-    const isKnownFresh = known !== undefined && world.now() - known.heardAt < SUMMARY_LIFETIME_MS
-    if (isKnownFresh && known.summary.num >= summary.num) return false
-    newest.set(summary.node, { heardAt: world.now(), summary })
+    // num starts at a clock reading, so that it continues to grow after a restart of the node.
+    const isKnownValid = known !== undefined && world.now() - known.receivedAt < SUMMARY_LIFETIME_MS
+    if (isKnownValid && known.summary.num >= summary.num) return false
+    newest.set(summary.node, { receivedAt: world.now(), summary })
     return true
   }
   function current(): Summary[] {
-    const out: Summary[] = []
+    const summaries: Summary[] = []
     const now = world.now()
-    for (const [, { heardAt, summary }] of newest.entries()) {
-      const age = now - heardAt
-      if (age >= SUMMARY_LIFETIME_MS) continue
-      out.push({
+    for (const [, { receivedAt, summary }] of newest.entries()) {
+      const ageMs = now - receivedAt
+      if (ageMs >= SUMMARY_LIFETIME_MS) continue
+      summaries.push({
         ...summary,
-        seen: age < OBSERVATION_LIFETIME_MS ? aged(summary.seen, age) : [],
-        bad: aged(summary.bad ?? [], age),
+        seen: ageMs < OBSERVATION_LIFETIME_MS ? withAddedAge(summary.seen, ageMs) : [],
+        bad: withAddedAge(summary.bad ?? [], ageMs),
       })
     }
-    return out
+    return summaries
   }
   return { add, current }
 }
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -15,25 +15,27 @@
 
 export { Summary, type CommonSummary } from './summary.js'
 
-/** Summaries between nodes, by datagrams. */
+/** The exchange of summaries between nodes by datagrams. */
 export type Peers = {
-  /** The newest of each node, its times as of now. */
+  /** The newest summary of each node, with its ages as of now. */
   hints: () => Summary[]
-  /** A summary goes out at once. */
+  /** Sends a summary at once instead of after the interval. */
   ring: () => void
   close: () => Promise<void>
 }
 
-/** proxy: it feeds a proxy. */
+/** A node that receives summaries. proxy: it feeds a proxy. */
 export type Peer = { node: string; addr: Address; proxy: boolean }
 
-/** What a node says to all, by what it heard of the others; and what it saw of instances, which it says to those who need it. */
+/** Content of a node's own summaries. */
 export type Saying = {
+  /** The part for all receivers, computed from the summaries received from other nodes. */
   all: (heard: Summary[]) => CommonSummary
+  /** The observations of instances that this receiver needs. */
   seenFor: (node: string) => { seen: [string, number][]; bad: [string, number][] }
 }
 
-/** The summary as one datagram; where it is too long for that, what can be spared goes first. */
+/** Encodes a summary as one datagram; if it is too long, drops tries first, then also seen. */
 function encodeSummary(summary: Summary): Uint8Array {
   const whole = encode(summary)
   if (whole.length <= SUMMARY_LIMIT_BYTES) return whole
@@ -48,34 +50,35 @@
   return count
 }
 
+/** Starts to send and receive summaries. source: content of the summaries of this node. */
 export async function startPeers(
   world: World,
   addr: Address,
   stop: Flag,
   members: () => Peer[],
-  mine: Saying,
+  source: Saying,
   metrics: Metrics,
-  onHeard: (summary: Summary) => void,
+  onReceived: (summary: Summary) => void,
 ): Promise<Peers> {
-  const heard = makeHeardSummaries(world)
+  const received = makeHeardSummaries(world)
   const schedule = makeSummarySchedule(world)
   const sendNow = makeSignal()
 
-  function take(bytes: Uint8Array): void {
+  function receive(bytes: Uint8Array): void {
     const summary = readSummary(bytes, metrics)
-    if (!summary || !heard.add(summary)) return
+    if (!summary || !received.add(summary)) return
     metrics.add('claynotch_summaries_total')
-    onHeard(summary)
+    onReceived(summary)
   }
-  const wire = await world.wire(addr, take)
+  const wire = await world.wire(addr, receive)
 
   function send(): void {
-    const common = mine.all(heard.current())
+    const common = source.all(received.current())
     const peers = members()
     const isDue = schedule.isDue(common, countReceivers(peers))
     for (const peer of peers) {
       if (peer.addr === addr) continue
-      const { seen, bad } = mine.seenFor(peer.node)
+      const { seen, bad } = source.seenFor(peer.node)
       const isNeeded = seen.length > 0 || bad.length > 0 || (isDue && peer.proxy)
       if (isNeeded) wire.cast(peer.addr, encodeSummary({ ...common, seen, bad }))
     }
@@ -85,5 +88,5 @@
   async function close(): Promise<void> {
     wire.close()
   }
-  return { hints: heard.current, ring: sendNow.notify, close }
+  return { hints: received.current, ring: sendNow.notify, close }
 }
--- a/packages/peer/src/summary-schedule.ts
+++ b/packages/peer/src/summary-schedule.ts
@@ -8,11 +8,12 @@
 import type { CommonSummary } from './summary.js'
 
 /**
- * When a summary goes to every node that has a proxy: at once and a few times over when a promotion or a draining instance is news,
- * at each interval while promotions or retries are under way, else slowly.
+ * Decides when a summary is sent to every node that has a proxy: at once and with a few repeats when the promotions or
+ * draining instances change, at each interval while promotions or retries are in progress, rarely while it has other
+ * content, and not while it has none.
  */
 export type SummarySchedule = {
-  /** Whether this summary is due for all of so many receivers; it then counts as told. */
+  /** Whether this summary is due for this number of receivers; if so, it is recorded as sent. */
   isDue: (summary: CommonSummary, receivers: number) => boolean
 }
 
@@ -21,30 +22,34 @@
   return false
 }
 
-/** ms between two summaries that tell nothing new: each node hears so many of them, however many nodes there are. */
+/**
+ * Interval (ms) between two summaries without changes. It grows with the number of receivers, so that each node
+ * receives them at the same rate however many nodes there are.
+ */
 function intervalOf(summary: CommonSummary, receivers: number): number {
   const { moving, leaving, tries } = summary
   if (moving.length === 0 && leaving.length === 0 && tries.length === 0) return Infinity
-  const isQuick = moving.length > 0 || hasRetries(tries)
-  const spacing = receivers * SUMMARY_SPACING_MS
-  const least = isQuick ? 0 : SUMMARY_MAX_INTERVAL_MS
-  return spacing <= SUMMARY_INTERVAL_MS ? least : Math.max(least, spacing)
+  const isUrgent = moving.length > 0 || hasRetries(tries)
+  const spacingMs = receivers * SUMMARY_SPACING_MS
+  const minIntervalMs = isUrgent ? 0 : SUMMARY_MAX_INTERVAL_MS
+  return spacingMs <= SUMMARY_INTERVAL_MS ? minIntervalMs : Math.max(minIntervalMs, spacingMs)
 }
 
+/** Makes the schedule of one node. */
 export function makeSummarySchedule(world: World): SummarySchedule {
-  let toldNews = ''
+  let lastContent = ''
   let repeatsLeft = 0
-  let toldAt = -Infinity
+  let lastSentAt = -Infinity
 
   function isDue(summary: CommonSummary, receivers: number): boolean {
     const now = world.now()
-    const news = JSON.stringify([summary.moving, summary.leaving])
-    if (news !== toldNews) repeatsLeft = SUMMARY_REPEATS
-    toldNews = news
-    const due = repeatsLeft > 0 || now - toldAt >= intervalOf(summary, receivers)
+    const content = JSON.stringify([summary.moving, summary.leaving])
+    if (content !== lastContent) repeatsLeft = SUMMARY_REPEATS
+    lastContent = content
+    const isSummaryDue = repeatsLeft > 0 || now - lastSentAt >= intervalOf(summary, receivers)
     if (repeatsLeft > 0) repeatsLeft--
-    if (due) toldAt = now
-    return due
+    if (isSummaryDue) lastSentAt = now
+    return isSummaryDue
   }
   return { isDue }
 }
--- a/packages/peer/src/summary.ts
+++ b/packages/peer/src/summary.ts
@@ -2,12 +2,13 @@
 import { decode, readAs, SUMMARY_VERSION, type Metrics } from '@claynotch/base'
 
 /**
- * What one node tells another of itself in a datagram. Hints only: nothing that must hold rests on them, so a lost, late, doubled or
- * foreign one does no harm.
+ * State of one node as sent to another in a datagram. Summaries are hints only: no invariant depends on them, so a
+ * lost, late, duplicated or foreign one does no harm.
  *
- * num: grows with each summary of a node. seen: [instance, ms since its last good reply to this node]. moving: [group, epoch] that this
- * node knows to be under promotion. leaving: instances that drain. tries: [group, first sends, retries] within the last window. bad:
- * [instance, ms since the first send that failed there or still waits, with no sign of life after it].
+ * num: grows with each summary of a node. seen: [instance, ms since its last successful reply to this node]. moving:
+ * [group, epoch] of promotions in progress that this node knows of. leaving: instances that drain. tries: [group, first
+ * attempts, retries] within the last window. bad: [instance, ms since the first request that failed or is still
+ * unanswered, with no later sign of life].
  */
 export const Summary = t.intersection([
   t.type({
@@ -27,7 +28,7 @@
 /** The part of a summary that is the same for every receiver. */
 export type CommonSummary = Omit<Summary, 'seen' | 'bad'>
 
-/** Reads a datagram. Other versions are ignored and are no errors: a newer program may speak beside us. */
+/** Decodes a datagram. Other versions are ignored, not errors: nodes of a newer release may run at the same time. */
 export function readSummary(bytes: Uint8Array, metrics: Metrics): Summary | undefined {
   let body: unknown
   try {
