--- a/packages/register/src/messages.ts
+++ b/packages/register/src/messages.ts
@@ -44,6 +44,7 @@
 /**
  * Renewal of a lease: the changes since the last renewal that this core answered. core, count: the life of the core of
  * which the agent holds a view, and the count up to which it does. acks: [key, turn] applied by the agent's proxy.
+ * open: number of open client sessions at that proxy.
  */
 export const LeaseRenewal = t.intersection([
   t.type({
@@ -141,7 +142,7 @@
 /** The part of a member that every agent receives. */
 export const MemberEntry = t.intersection([t.type({ node: t.string, life: t.string }), MemberDescription])
 export type MemberEntry = t.TypeOf<typeof MemberEntry>
-/** A member with its acknowledgements, open connections and commit positions, sent only when asked for. */
+/** A member with its acknowledgements, open client sessions and commit positions, sent only when asked for. */
 export const Member = t.intersection([
   MemberEntry,
   t.type({
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -21,7 +21,7 @@
 export type Committed = { done: true; value: RegisterValue | undefined; ballot: Ballot } | { done: false; why: string }
 
 /** Computes a new body and tag from the present value; undefined leaves the value unchanged. */
-export type RegisterEdit = (now: RegisterValue | undefined) => { body: unknown; tag: string } | undefined
+export type RegisterEdit = (current: RegisterValue | undefined) => { body: unknown; tag: string } | undefined
 
 /** Runs Paxos rounds on registers. limit: ms. */
 export type Proposer = {
@@ -172,23 +172,23 @@
     if (world.now() - startedAt > ROUND_TIMEOUT_MS) return { done: false, why: 'prepare took too long' }
     let highest = promises[0]
     for (const vote of promises) if (compareBallots(vote.ballot, highest.ballot) > 0) highest = vote
-    const now = highest.value ?? undefined
-    const edited = edit(now)
+    const current = highest.value ?? undefined
+    const edited = edit(current)
     if (!edited) {
       const highestHolders = new Set<string>()
       for (const vote of promises) if (compareBallots(vote.ballot, highest.ballot) === 0) highestHolders.add(vote.id)
       // A quorum holds the same ballot: the value is committed already, or nothing was ever proposed.
       if (roundQuorum.met(highestHolders)) {
-        if (now) sendLearn(roundVoters, key, highest.ballot)
-        return { done: true, value: now, ballot: highest.ballot }
+        if (current) sendLearn(roundVoters, key, highest.ballot)
+        return { done: true, value: current, ballot: highest.ballot }
       }
     }
     const value: RegisterValue = edited
-      ? { turn: (now?.turn ?? 0) + 1, tag: edited.tag, body: edited.body }
-      : (now as RegisterValue)
+      ? { turn: (current?.turn ?? 0) + 1, tag: edited.tag, body: edited.body }
+      : (current as RegisterValue)
     const pendingAccepts: { id: string; got: Promise<Vote> }[] = []
     const wholeMessage = { t: 'accept', epoch, key, ballot, value }
-    const delta = now ? makeDelta(now, value) : undefined
+    const delta = current ? makeDelta(current, value) : undefined
     const deltaMessage = delta && { t: 'accept', epoch, key, ballot, base: highest.ballot, delta }
     // A voter that promised with another ballot is sent the whole value at once; one that hasn't answered yet most
     // likely holds the base.
--- a/packages/register/src/proxy-messages.ts
+++ b/packages/register/src/proxy-messages.ts
@@ -41,6 +41,7 @@
 /**
  * Report from a proxy to its agent. acks: [key, turn] that it applied. highs: [group, epoch, position] of the highest
  * acknowledged commit. seen: [instance, ms since its last successful answer]. tries: [group, first attempts, retries].
+ * open: number of open client sessions.
  */
 export const ProxyReport = t.intersection([
   t.type({
--- a/packages/table-cache/src/admission-watch.ts
+++ b/packages/table-cache/src/admission-watch.ts
@@ -39,9 +39,9 @@
     }
     const returned = barredOf(lock).filter(hasReturned)
     if (returned.length === 0) return
-    function edit(now: TableValue<T>): ReturnType<TableEdit<T>> {
-      const admitted = admit(now.lock, returned)
-      return admitted.ok && admitted.val !== now.lock ? { lock: admitted.val, table: now.table } : undefined
+    function edit(current: TableValue<T>): ReturnType<TableEdit<T>> {
+      const admitted = admit(current.lock, returned)
+      return admitted.ok && admitted.val !== current.lock ? { lock: admitted.val, table: current.table } : undefined
     }
     await store.change(edit)
   }
--- a/packages/table-cache/src/table-store.ts
+++ b/packages/table-cache/src/table-store.ts
@@ -4,7 +4,7 @@
 export type TableValue<T> = { version: number; lock: LockRecord; table: T }
 
 /** Computes the next value from the present one; undefined leaves it unchanged. */
-export type TableEdit<T> = (now: TableValue<T>) => { lock: LockRecord; table: T } | undefined
+export type TableEdit<T> = (current: TableValue<T>) => { lock: LockRecord; table: T } | undefined
 
 /** done: the value that the edit committed or left unchanged. Not done: the edit may have been committed or not. */
 export type TableCommit<T> = { done: true; value: TableValue<T> } | { done: false }
--- a/packages/table-cache/src/writer.ts
+++ b/packages/table-cache/src/writer.ts
@@ -119,18 +119,18 @@
    */
   async function settleWithoutLock(): Promise<boolean> {
     const changesBeforeRead = [...pendingChanges]
-    const now = await store.read()
-    if (!now) return false
-    orphans.see(now)
+    const current = await store.read()
+    if (!current) return false
+    orphans.see(current)
     const noOps: PendingChange<T>[] = []
     const lockFreeChanges: PendingChange<T>[] = []
     for (const change of changesBeforeRead) {
-      const { table, isNote: needsNoLock } = change.evaluate(now.table)
+      const { table, isNote: needsNoLock } = change.evaluate(current.table)
       if (table === undefined) noOps.push(change)
       else if (needsNoLock) lockFreeChanges.push(change)
     }
     settleAll(noOps)
-    return (lockFreeChanges.length === 0 || (await writeWithoutLock(lockFreeChanges))) && !isLockTaken(now)
+    return (lockFreeChanges.length === 0 || (await writeWithoutLock(lockFreeChanges))) && !isLockTaken(current)
   }
   /** Writes changes without the lock, and leaves the lock unchanged, whoever holds it. */
   async function writeWithoutLock(lockFreeChanges: PendingChange<T>[]): Promise<boolean> {
@@ -170,10 +170,12 @@
     readers: string[],
   ): Promise<{ value: TableValue<T>; committedAt: number } | undefined> {
     let isFree = false
-    function edit(now: TableValue<T>): ReturnType<TableEdit<T>> {
-      const suspended = suspend(now.lock, readers)
-      isFree = suspended.ok && !isLockTaken(now)
-      return suspended.ok && isFree ? { lock: withClaim(suspended.val, holder, leaseMs), table: now.table } : undefined
+    function edit(current: TableValue<T>): ReturnType<TableEdit<T>> {
+      const suspended = suspend(current.lock, readers)
+      isFree = suspended.ok && !isLockTaken(current)
+      return suspended.ok && isFree
+        ? { lock: withClaim(suspended.val, holder, leaseMs), table: current.table }
+        : undefined
     }
     const committed = await store.change(edit)
     if (!committed.done) return undefined
@@ -245,11 +247,11 @@
   async function writeAndRelease({ holder, value }: HeldLock<T>, changes: PendingChange<T>[]): Promise<boolean> {
     const missing = barredOf(value.lock).length > 0 ? await view.missing(value.version) : []
     let isHeld = false
-    function edit(now: TableValue<T>): ReturnType<TableEdit<T>> {
-      const unlocked = writeAndUnlock(now.lock, holder, value.lock.token, missing)
+    function edit(current: TableValue<T>): ReturnType<TableEdit<T>> {
+      const unlocked = writeAndUnlock(current.lock, holder, value.lock.token, missing)
       isHeld = unlocked.ok
       if (unlocked.err) return undefined
-      let { table } = now
+      let { table } = current
       for (const change of changes) table = change.evaluate(table).table ?? table
       return { lock: unlocked.val, table }
     }
