--- a/packages/agent/src/adapter.ts
+++ b/packages/agent/src/adapter.ts
@@ -8,27 +8,27 @@
   type HttpListener,
   type World,
 } from '@claynotch/base'
-import { promote, takeProbe, type PromotionEdge } from '@claynotch/host'
+import { promote, answerProbe, type PromotionAdapter } from '@claynotch/host'
 import { httpInstanceAdapter, handleAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
-import type { Body, Change, Verdict } from '@claynotch/operator'
+import type { ConfigurationBody, Change, ChangeAnswer } from '@claynotch/operator'
 import type { CoreSet } from '@claynotch/register'
 
 // What operators, instances and probes may have of an agent, whatever they speak.
 export type ControlService = {
   metrics: Metrics
   // An instance's word of itself; false: not kept, as too many are known.
-  heardInstance: (a: Announcement) => boolean
+  recordAnnouncement: (a: Announcement) => boolean
   // An instance's last word, where it tells its name alone; false: not known here.
-  instanceLeft: (name: string) => boolean
+  recordSignOff: (name: string) => boolean
   // Why an instance's word that was heard here can't be acknowledged; undefined, within CHANGE_ANSWER: a majority of the
   // cores has it.
-  reportFailure: (name: string) => Promise<string | undefined>
+  awaitAcknowledgement: (name: string) => Promise<string | undefined>
   // One numbered change, decided at the cores, or unclear, after CHANGE_ANSWER at most. stream: a digest of all that it is, so
   // that under one number there is one change alone.
-  change: (stream: string, change: Change) => Promise<Verdict>
+  change: (stream: string, change: Change) => Promise<ChangeAnswer>
   // The configuration, read at a majority; undefined after CHANGE_ANSWER at most: no majority. body: as known here.
-  read: () => Promise<Body | undefined>
-  body: () => Body | undefined
+  read: () => Promise<ConfigurationBody | undefined>
+  body: () => ConfigurationBody | undefined
   coreSet: () => CoreSet
   // Why this node is not ready, if so.
   ready: () => string | undefined
@@ -38,7 +38,7 @@
 export type ControlAdapter = (world: World, addr: Address, desk: ControlService) => Promise<HttpListener>
 
 // How an agent speaks with its peers, chosen when the process starts.
-export type AgentAdapters = { instance: InstanceAdapter; promotion: PromotionEdge; control: ControlAdapter }
+export type AgentAdapters = { instance: InstanceAdapter; promotion: PromotionAdapter; control: ControlAdapter }
 
 // Where nodes that look for the cores are answered.
 export function answerSeeds(ask: HttpRequest, { epoch, ...set }: CoreSet): HttpResponse | undefined {
@@ -50,10 +50,10 @@
 
 function httpControl(world: World, addr: Address, desk: ControlService): Promise<HttpListener> {
   async function announced(a: Announcement): Promise<string | undefined> {
-    return desk.heardInstance(a) ? await desk.reportFailure(a.name) : 'too many instances are known'
+    return desk.recordAnnouncement(a) ? await desk.awaitAcknowledgement(a.name) : 'too many instances are known'
   }
   async function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
-    const first = takeProbe(ask, desk) ?? answerSeeds(ask, desk.coreSet())
+    const first = answerProbe(ask, desk) ?? answerSeeds(ask, desk.coreSet())
     if (first) return first
     if (ask.path === '/announcement') return await handleAnnouncement(ask, announced)
     return await desk.operator.take(ask)
@@ -61,4 +61,4 @@
   return serveHttp(world, addr, handle, { raw: desk.operator.raw, limit: OPERATOR_BODY_LIMIT_BYTES })
 }
 
-export const ownAdapters: AgentAdapters = { instance: httpInstanceAdapter, promotion: promote, control: httpControl }
+export const defaultAdapters: AgentAdapters = { instance: httpInstanceAdapter, promotion: promote, control: httpControl }
--- a/packages/agent/src/agent-settings.ts
+++ b/packages/agent/src/agent-settings.ts
@@ -31,7 +31,7 @@
   operators?: Credential[]
   build: string
   /** ms; default: SUSPICION_TIMEOUT_MS. */
-  suspect?: number
+  suspicionTimeoutMs?: number
 }
 
 /** What a changed settings file may change while the agent runs. */
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -19,7 +19,7 @@
   type World,
 } from '@claynotch/base'
 import { startFailover, startRouteMoves } from '@claynotch/failover'
-import { makeOperatorEdge, type Credential, type Edit } from '@claynotch/operator'
+import { makeOperatorApi, type Credential, type Edit } from '@claynotch/operator'
 import { startPeers, type Summary } from '@claynotch/peer'
 import type { QuotaAnswer, QuotaQuestion } from '@claynotch/quota'
 import {
@@ -36,7 +36,7 @@
   type RegisterValue,
 } from '@claynotch/register'
 import { makeAcknowledgements } from './acknowledgements.js'
-import { ownAdapters, type AgentAdapters } from './adapter.js'
+import { defaultAdapters, type AgentAdapters } from './adapter.js'
 import type { Agent, AgentReload, AgentSettings } from './agent-settings.js'
 import { startConnectionShare } from './connection-share.js'
 import { makeControlService } from './control-service.js'
@@ -66,7 +66,7 @@
 export async function startAgent(
   world: World,
   settings: AgentSettings,
-  adapters: AgentAdapters = ownAdapters,
+  adapters: AgentAdapters = defaultAdapters,
 ): Promise<Agent> {
   const { node, area } = settings
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
@@ -101,7 +101,7 @@
   }
   /** The first lease isn't waited for longer than it takes to reach the cores. */
   function coreUp(core: string): void {
-    subscription.linkedAnew(core)
+    subscription.linkReestablished(core)
     if (lease.expiresAt() === 0) renewNow.notify()
   }
   function corePushed(core: string, push: RegisterPush): void {
@@ -109,7 +109,7 @@
     void takePush(core, push)
   }
   async function takePush(core: string, push: RegisterPush): Promise<void> {
-    await registers.takePush(core, push)
+    await registers.applyPush(core, push)
     acknowledgements.tell(core, push.key)
   }
 
@@ -142,8 +142,8 @@
       const next = readAs(CoreSet, value.body)
       if (next.ok) links.adopt(next.val)
     }
-    failover.ring()
-    routeMoves.ring()
+    failover.notify()
+    routeMoves.notify()
     proxy.changed()
     registerChanged.notify()
   }
@@ -197,7 +197,7 @@
     }
     membership.merge(cores)
     mergeInstances()
-    registers.takeSummaries(summaries, links.quorum(), beganAt)
+    registers.applySummaries(summaries, links.quorum(), beganAt)
     judgeCurrent()
     void subscription.choose(sourcesOf(links, membership), epochNow())
   }
@@ -205,7 +205,7 @@
   function mergeInstances(): void {
     const views = []
     for (const { view } of links.all().values()) views.push(view)
-    if (instances.merge(views)) failover.ring()
+    if (instances.merge(views)) failover.notify()
   }
   /** What was heard while a round ran is told by another at once: its acknowledgement waits for it. */
   async function renew(): Promise<void> {
@@ -228,8 +228,8 @@
   function judgeCurrent(): void {
     if (isCurrent || registers.isBehind()) return
     setCurrent(true)
-    failover.ring()
-    routeMoves.ring()
+    failover.notify()
+    routeMoves.notify()
   }
   async function catchUp(): Promise<void> {
     // A notification between two intervals must not be lost: the loop looks at what is wanted.
@@ -286,10 +286,10 @@
   }
   function instanceFailing(): void {
     peers.ring()
-    failover.ring()
+    failover.notify()
   }
   function summaryHeard(summary: Summary): void {
-    if (summarySource.isNewFailure(summary)) failover.ring()
+    if (summarySource.isNewFailure(summary)) failover.notify()
   }
   function feedIfDue(): void {
     proxy.feedIfDue(LEASE_RENEWAL_INTERVAL_MS / 2)
@@ -306,7 +306,7 @@
   }
   const dutyView = {
     node,
-    suspect: settings.suspect ?? SUSPICION_TIMEOUT_MS,
+    suspect: settings.suspicionTimeoutMs ?? SUSPICION_TIMEOUT_MS,
     instance: adapters.instance,
     promotion: adapters.promotion,
     platform: platformNow,
@@ -384,7 +384,7 @@
   if (operators === undefined && settings.http !== undefined)
     world.log.warn('operators-open', { why: 'no operators in the settings: anyone may change the configuration' })
   const views = makeOperatorViews(world.now, { node, proposer, registers, membership, instances, proxy, groups })
-  const operator = makeOperatorEdge(
+  const operator = makeOperatorApi(
     world,
     proposer,
     { ...views, tenants: makeTenantView(config, directory), cores: readCores, hinders, body, news: registerChanged },
--- a/packages/agent/src/control-service.ts
+++ b/packages/agent/src/control-service.ts
@@ -1,7 +1,7 @@
 import { CHANGE_ANSWER_TIMEOUT_MS, type Flag, type Metrics, type Signal, type World } from '@claynotch/base'
 import type { Duty } from '@claynotch/failover'
 import type { Announcement } from '@claynotch/instance'
-import type { Body } from '@claynotch/operator'
+import type { ConfigurationBody } from '@claynotch/operator'
 import type { CoreSet, Proposer } from '@claynotch/register'
 import type { ControlService } from './adapter.js'
 import { makeConfigurationService } from './configuration-service.js'
@@ -22,7 +22,7 @@
   /** Has the next renewal begin now. */
   renewNow: Signal
   failover: Duty
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   coreSet: () => CoreSet
   operator: ControlService['operator']
   metrics: Metrics
@@ -48,7 +48,7 @@
     }
     // The proxy is told at once of what changed, and of all else with the next renewal.
     if (heard.isChanged) {
-      parts.failover.ring()
+      parts.failover.notify()
       parts.proxy.feed()
     }
     return heard.isKept
@@ -82,9 +82,9 @@
   const configuration = makeConfigurationService(world, parts.proposer, isCutOff, metrics)
   return {
     metrics,
-    heardInstance,
-    instanceLeft,
-    reportFailure,
+    recordAnnouncement: heardInstance,
+    recordSignOff: instanceLeft,
+    awaitAcknowledgement: reportFailure,
     change: configuration.change,
     read: configuration.read,
     body: parts.body,
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -8,8 +8,8 @@
   readAs,
   REFILL_BATCH_SIZE,
   ROUND_TIMEOUT_MS,
-  VOTER_GONE_MS,
-  VOTER_SILENCE_MS,
+  VOTER_REMOVAL_TIMEOUT_MS,
+  VOTER_REPLACEMENT_TIMEOUT_MS,
   type Flag,
   type PersistentLink,
   type World,
@@ -107,8 +107,8 @@
   function couldChange(set: CoreSet, fresh: number): boolean {
     let longest = 0
     for (const voter of set.cores) longest = Math.max(longest, silence(voter.id))
-    if (fresh === 0) return set.cores.length % 2 === 0 && longest > VOTER_GONE_MS
-    return longest > VOTER_SILENCE_MS || set.cores.length < view.mostVoters
+    if (fresh === 0) return set.cores.length % 2 === 0 && longest > VOTER_REMOVAL_TIMEOUT_MS
+    return longest > VOTER_REPLACEMENT_TIMEOUT_MS || set.cores.length < view.mostVoters
   }
   async function change(set: CoreSet): Promise<void> {
     const fresh = freshMachines()
@@ -121,7 +121,7 @@
       for (const state of states.values()) if (state.hears.includes(id)) return true
       return false
     }
-    const next = planVoters({ set, fresh, silence, well, isHeardByOthers, mostVoters: view.mostVoters })
+    const next = planVoters({ set, joining: fresh, silence, serving: well, isHeardByOthers, mostVoters: view.mostVoters })
     if (!next) return
     const got = await propose(set, { epoch: set.epoch + 1, cores: set.cores, next })
     world.log.info('core-set-change', {
@@ -178,7 +178,7 @@
     const missing = newcomers.filter(isMissing)
     const waited = world.now() - since
     function isGone(place: CoreMember): boolean {
-      return waited > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
+      return waited > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_REPLACEMENT_TIMEOUT_MS)
     }
     const gone = missing.filter(isGone)
     if (missing.length > 0 && gone.length === 0) return
--- a/packages/agent/src/proxy-link.ts
+++ b/packages/agent/src/proxy-link.ts
@@ -1,5 +1,5 @@
 import { LEASE_DURATION_MS, readAs, type Hello, type Link, type Metrics, type World } from '@claynotch/base'
-import { CONFIG_KEY, withoutTenantLabels, inForce, type Body } from '@claynotch/operator'
+import { CONFIG_KEY, withoutTenantLabels, withoutHistory, type ConfigurationBody } from '@claynotch/operator'
 import type { Summary } from '@claynotch/peer'
 import { QuotaQuestion, type QuotaAnswer } from '@claynotch/quota'
 import {
@@ -60,7 +60,7 @@
 
 /** Past changes and decisions are no matter of the proxy's, nor are keys in plain text. */
 function fedBody(key: string, value: RegisterValue): unknown {
-  return key === CONFIG_KEY ? withoutTenantLabels(inForce(value.body as Body)) : value.body
+  return key === CONFIG_KEY ? withoutTenantLabels(withoutHistory(value.body as ConfigurationBody)) : value.body
 }
 
 function hasNewFailure(report: ProxyReport, old: ProxyReport | undefined): boolean {
--- a/packages/agent/src/register-cache.ts
+++ b/packages/agent/src/register-cache.ts
@@ -42,9 +42,9 @@
   /** from: when a round that showed this very value began. */
   learn: (key: string, value: RegisterValue, ballot: Ballot, from?: number) => void
   /** What a majority that answered since from holds of each key, by core. */
-  takeSummaries: (tables: Map<string, Map<string, RegisterSummary>>, enough: Quorum, from: number) => void
+  applySummaries: (tables: Map<string, Map<string, RegisterSummary>>, enough: Quorum, from: number) => void
   /** A push of one core. */
-  takePush: (id: string, push: RegisterPush) => Promise<void>
+  applyPush: (id: string, push: RegisterPush) => Promise<void>
   isBehind: () => boolean
   /** Works off what is wanted, register by register. */
   catchUp: () => Promise<void>
@@ -160,8 +160,8 @@
     held,
     ballots,
     learn: learned,
-    takeSummaries: shown,
-    takePush: pushed,
+    applySummaries: shown,
+    applyPush: pushed,
     isBehind: wants,
     catchUp,
   }
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -3,7 +3,7 @@
   LEASE_RENEWAL_TIMEOUT_MS,
   RESUBSCRIBE_DELAY_MS,
   MAX_SUBSCRIPTION_LAGS,
-  SUBSCRIPTION_LAG_MS,
+  SUBSCRIPTION_CHECK_INTERVAL_MS,
   SUBSCRIPTION_SILENCE_MS,
   type PersistentLink,
   type World,
@@ -44,7 +44,7 @@
   /** Looks, after a renewal, whether another core should be subscribed at. */
   choose: (sources: SubscriptionSource[], epoch: number) => Promise<void>
   /** The link to this core was dialled anew: it knows of no subscription. */
-  linkedAnew: (id: string) => void
+  linkReestablished: (id: string) => void
   at: () => string | undefined
 }
 
@@ -96,7 +96,7 @@
   }
   function look(now: SubscriptionSource): void {
     const at = world.now()
-    if (before && at - before.at < SUBSCRIPTION_LAG_MS) return
+    if (before && at - before.at < SUBSCRIPTION_CHECK_INTERVAL_MS) return
     if (before && now.heard > before.at) behind = lacks(now, before.ballots) ? behind + 1 : 0
     before = { at, ballots: ballots() }
   }
@@ -141,5 +141,5 @@
   function at(): string | undefined {
     return current
   }
-  return { choose, linkedAnew, at }
+  return { choose, linkReestablished: linkedAnew, at }
 }
--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -1,4 +1,4 @@
-import { MAX_KNOWN_INSTANCES, RETRIES_WORTH_TELLING, SUMMARY_VERSION, WITNESS_COUNT, type World } from '@claynotch/base'
+import { MAX_KNOWN_INSTANCES, RETRY_REPORT_THRESHOLD, SUMMARY_VERSION, WITNESS_COUNT, type World } from '@claynotch/base'
 import { dutyHolderOf, type InstanceObservations } from '@claynotch/failover'
 import type { Saying, Summary } from '@claynotch/peer'
 import { groupKey, type GroupRecord, type ProxyReport } from '@claynotch/register'
@@ -86,7 +86,7 @@
     for (const { tries } of heard)
       for (const [group, , retries] of tries) retriesOf.set(group, (retriesOf.get(group) ?? 0) + retries)
     function isWorthTelling([group, , retries]: [string, number, number]): boolean {
-      return retries > 0 || (retriesOf.get(group) ?? 0) > RETRIES_WORTH_TELLING
+      return retries > 0 || (retriesOf.get(group) ?? 0) > RETRY_REPORT_THRESHOLD
     }
     return mine.filter(isWorthTelling)
   }
--- a/packages/agent/src/voter-plan.ts
+++ b/packages/agent/src/voter-plan.ts
@@ -1,4 +1,4 @@
-import { CORE_GONE_MS, VOTER_DOUBT_MS, VOTER_GONE_MS, VOTER_SILENCE_MS } from '@claynotch/base'
+import { SPARE_REPLACEMENT_TIMEOUT_MS, VOTER_SUSPICION_TIMEOUT_MS, VOTER_REMOVAL_TIMEOUT_MS, VOTER_REPLACEMENT_TIMEOUT_MS } from '@claynotch/base'
 import { quorumOf, type CoreMember, type CoreSet } from '@claynotch/register'
 
 // Which set of voters is to follow the present one: a pure function of what the holder of the duty sees.
@@ -8,11 +8,11 @@
 export type VoterView = {
   set: CoreSet
   /** Core machines that are no voters and may become one, the best first. */
-  fresh: CoreMember[]
+  joining: CoreMember[]
   /** For how long a voter was not heard. */
   silence: (id: string) => number
   /** Voters that answer under this set and vote. */
-  well: Set<string>
+  serving: Set<string>
   /** Whether a voter that answers still holds a link to this one. */
   isHeardByOthers: (id: string) => boolean
   mostVoters: number
@@ -28,7 +28,7 @@
 /** Voters that were silent for longer than this and that nobody hears, the one that was silent for longest first. */
 function goneFor(view: VoterView, ms: number): CoreMember[] {
   function isGone(voter: CoreMember): boolean {
-    return view.silence(voter.id) > ms && !view.well.has(voter.id) && !view.isHeardByOthers(voter.id)
+    return view.silence(voter.id) > ms && !view.serving.has(voter.id) && !view.isHeardByOthers(voter.id)
   }
   function bySilence(a: CoreMember, b: CoreMember): number {
     return view.silence(b.id) - view.silence(a.id) || byId(a, b)
@@ -55,12 +55,12 @@
  * Whatever is chosen, those that vote now are a quorum of the joint set by themselves: no newcomer is needed to end it.
  */
 export function planVoters(view: VoterView): CoreMember[] | undefined {
-  const { set, fresh, well } = view
+  const { set, joining: fresh, serving: well } = view
   const voters = set.cores
   const isFull = voters.length >= view.mostVoters
-  const gone = goneFor(view, isFull ? CORE_GONE_MS : VOTER_SILENCE_MS)
+  const gone = goneFor(view, isFull ? SPARE_REPLACEMENT_TIMEOUT_MS : VOTER_REPLACEMENT_TIMEOUT_MS)
   function isInDoubt(voter: CoreMember): boolean {
-    return view.silence(voter.id) > VOTER_DOUBT_MS && !gone.includes(voter)
+    return view.silence(voter.id) > VOTER_SUSPICION_TIMEOUT_MS && !gone.includes(voter)
   }
   const candidates = swapsAndJoins(view, gone, voters.some(isInDoubt))
   if (fresh.length === 0) candidates.push(...smaller(view))
@@ -76,7 +76,7 @@
 
 /** Every choice of how many are replaced and how many join, the one that changes most first. */
 function swapsAndJoins(view: VoterView, gone: CoreMember[], isDoubtful: boolean): CoreMember[][] {
-  const { fresh } = view
+  const { joining: fresh } = view
   const voters = view.set.cores
   const room = isDoubtful ? 0 : Math.max(0, view.mostVoters - voters.length)
   const out: CoreMember[][] = []
@@ -93,7 +93,7 @@
 function smaller(view: VoterView): CoreMember[][] {
   const voters = view.set.cores
   if (voters.length % 2 !== 0 || voters.length <= FEWEST_VOTERS) return []
-  const gone = goneFor(view, VOTER_GONE_MS)
+  const gone = goneFor(view, VOTER_REMOVAL_TIMEOUT_MS)
   if (gone.length === 0) return []
   function stays(voter: CoreMember): boolean {
     return voter !== gone[0]
--- a/packages/claynotch/src/machine.ts
+++ b/packages/claynotch/src/machine.ts
@@ -1,6 +1,6 @@
 import { parseAddr, type Address, type World } from '@claynotch/base'
 import {
-  ownAdapters,
+  defaultAdapters,
   startAgent,
   type Agent,
   type AgentAdapters,
@@ -36,7 +36,7 @@
 export async function startCoreMachine(
   world: World,
   set: CoreMachineSettings,
-  edges: AgentAdapters = ownAdapters,
+  edges: AgentAdapters = defaultAdapters,
 ): Promise<CoreMachine> {
   let { seeds } = set
   function seedsNow(): Address[] {
@@ -87,7 +87,7 @@
 export async function startFrontAgent(
   world: World,
   set: FrontAgentSettings,
-  edges: AgentAdapters = ownAdapters,
+  edges: AgentAdapters = defaultAdapters,
 ): Promise<Agent> {
   const { corePort, first, ...rest } = set
   const founders = first ? foundersFromSeeds(set.seeds, corePort) : []
--- a/packages/failover/src/failover-view.ts
+++ b/packages/failover/src/failover-view.ts
@@ -1,7 +1,7 @@
 import { LEASE_CLOCK_SLACK_MS, LEASE_DURATION_MS, type Metrics, type World } from '@claynotch/base'
 import type { InstanceAdapter, Status } from '@claynotch/instance'
-import type { Body } from '@claynotch/operator'
-import type { PromotionEdge } from '@claynotch/host'
+import type { ConfigurationBody } from '@claynotch/operator'
+import type { PromotionAdapter } from '@claynotch/host'
 import type { GroupRecord, InstanceStatus, Member, Proposer, RegisterValue } from '@claynotch/register'
 import type { InstanceObservations } from './evidence.js'
 
@@ -10,9 +10,9 @@
   /** The name of this node. */
   node: string
   /** Time in ms without a good answer after which a leader is suspected. */
-  suspect: number
+  suspicionTimeoutMs: number
   instance: InstanceAdapter
-  promotion: PromotionEdge
+  promotion: PromotionAdapter
   /** The address that receives promotion calls. */
   platform: () => string | undefined
   proposer: Proposer
@@ -29,11 +29,11 @@
   /** The last known status of each of the group's instances. */
   instancesOf: (group: string) => InstanceStatus[]
   /** The latest observations of the nodes that run a proxy. */
-  reports: () => InstanceObservations[]
+  observations: () => InstanceObservations[]
   /** Reads the members from a quorum; undefined if no majority answers. */
   askMembers: () => Promise<{ members: Member[]; isComplete: boolean } | undefined>
   /** The configuration as this node knows it. */
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   metrics: Metrics
 }
 
--- a/packages/failover/src/failover.ts
+++ b/packages/failover/src/failover.ts
@@ -4,7 +4,7 @@
 import { limitToOneCallPerGroup } from './promotion-calls.js'
 
 /** A background duty that can be told to run its next step at once. */
-export type Duty = { ring: () => void }
+export type Duty = { notify: () => void }
 
 type GroupTask = { stopFlag: Flag; signal: Signal }
 
@@ -33,5 +33,5 @@
     for (const { signal } of tasks.values()) signal.notify()
   }
   void loop(world, 'failover', FAILOVER_INTERVAL_MS, stop, reconcile)
-  return { ring }
+  return { notify: ring }
 }
--- a/packages/failover/src/first-record.ts
+++ b/packages/failover/src/first-record.ts
@@ -50,7 +50,7 @@
 export async function writeFirstRecord(context: GroupContext, memory: GroupMemory): Promise<boolean> {
   const { world, view, instances } = context
   // Only announced leaders are probed at first. All instances are probed once announcements have had time to arrive.
-  const hasWaited = world.now() - memory.since >= view.suspect
+  const hasWaited = world.now() - memory.since >= view.suspicionTimeoutMs
   const leaders = leadersOf(instances.list())
   if (leaders.length === 0 && !hasWaited) return false
   const probed = await instances.probe(hasWaited ? instances.list() : leaders)
--- a/packages/failover/src/leader-watch.ts
+++ b/packages/failover/src/leader-watch.ts
@@ -4,7 +4,7 @@
   LEADER_PROBE_INTERVAL_MS,
   LEASE_DURATION_MS,
   PROMOTION_INTERVAL_MS,
-  TAKEOVER_DOUBT_MS,
+  TAKEOVER_SUSPICION_WINDOW_MS,
 } from '@claynotch/base'
 import type { GroupRecord, InstanceStatus } from '@claynotch/register'
 import { weighEvidence, type Evidence } from './evidence.js'
@@ -104,7 +104,7 @@
  */
 function failedWithHolder(now: number, memory: GroupMemory, status: InstanceStatus | undefined, good: number): boolean {
   const { takeoverAt } = memory
-  return takeoverAt !== undefined && now - takeoverAt < TAKEOVER_DOUBT_MS && status === undefined && good === 0
+  return takeoverAt !== undefined && now - takeoverAt < TAKEOVER_SUSPICION_WINDOW_MS && status === undefined && good === 0
 }
 
 /**
@@ -148,7 +148,7 @@
   // leaderHealthyAt is only as precise as this node's checks; the reports of several failing nodes are more precise.
   const silenceMs = isStrong && !isLeadershipDenied ? evidence.since : world.now() - memory.leaderHealthyAt
   const isCorroborated = isStrong || failedWithHolder(world.now(), memory, status, evidence.good)
-  const requiredSilenceMs = isCorroborated ? Math.min(CONFIRMED_SUSPICION_TIMEOUT_MS, view.suspect) : view.suspect
+  const requiredSilenceMs = isCorroborated ? Math.min(CONFIRMED_SUSPICION_TIMEOUT_MS, view.suspicionTimeoutMs) : view.suspicionTimeoutMs
   if (silenceMs < requiredSilenceMs) {
     if (isStrong) scheduleCheck(Math.min(requiredSilenceMs - silenceMs, PROMOTION_INTERVAL_MS * 2))
     return false
@@ -179,7 +179,7 @@
   const status = instances.get(name)
   const reportsFollowing =
     status !== undefined && status.role !== 'leader' && isReportedSinceRecord(context, status, memory)
-  let evidence = weighEvidence(view.reports(), name)
+  let evidence = weighEvidence(view.observations(), name)
   let isLeadershipDenied = false
   const isHealthy = isLeaderHealthy(evidence, status, reportsFollowing)
   if (isHealthy) memory.leaderHealthyAt = now
@@ -187,7 +187,7 @@
     const probeResult = await probeLeader(context, leader, record, memory)
     if (probeResult.laterLeader) return await enterStopPhase(context, version, record, false, probeResult.laterLeader)
     isLeadershipDenied = probeResult.isLeadershipDenied
-    evidence = weighEvidence(view.reports(), name)
+    evidence = weighEvidence(view.observations(), name)
   }
   if (isHealthy || memory.lastProbe?.isHealthy === true) {
     if (memory.isSuspected) world.log.info('leader-back', { group, leader: name })
--- a/packages/failover/src/planned-replacement.ts
+++ b/packages/failover/src/planned-replacement.ts
@@ -117,7 +117,7 @@
     return instance.name === name
   }
   if (!leader)
-    return elapsedMs > DRAIN_TIMEOUT_MS + view.suspect && (await enterStopPhase(context, version, record, false))
+    return elapsedMs > DRAIN_TIMEOUT_MS + view.suspicionTimeoutMs && (await enterStopPhase(context, version, record, false))
   const successor = instances.mostAdvanced(eligibleSuccessors(probed, leader, record), undefined)
   if (successor && comparePositions(successor.status.mark, leader.status.mark) >= 0)
     return await enterStopPhase(context, version, record, true, successor)
--- a/packages/failover/src/replica-tracking.ts
+++ b/packages/failover/src/replica-tracking.ts
@@ -22,7 +22,7 @@
   absence: ReplicaAbsence,
 ): Replica[] {
   const announced = instances.list()
-  const reports = view.reports()
+  const reports = view.observations()
   const previousSince = absence.since
   absence.since = new Map()
   const longAbsent: Replica[] = []
--- a/packages/fleet/src/control/fleet.ts
+++ b/packages/fleet/src/control/fleet.ts
@@ -4,7 +4,7 @@
  * A box is one core machine (a core and its agent, as `startCoreMachine` makes them); a front is one agent without a core.
  * Orders are taken through the same desk that the platform's operator edge uses.
  */
-import { ownAdapters, answerSeeds, type Agent, type AgentAdapters, type ControlService } from '@claynotch/agent'
+import { defaultAdapters, answerSeeds, type Agent, type AgentAdapters, type ControlService } from '@claynotch/agent'
 import {
   readAs,
   serveHttp,
@@ -96,7 +96,7 @@
   }
   return serveHttp(world, addr, handle, { limit: 4 * 1024 * 1024 })
 }
-const edges: AgentAdapters = { ...ownAdapters, control }
+const edges: AgentAdapters = { ...defaultAdapters, control }
 
 /** The http address of a box. */
 export function httpOf(box: Box): Address {
--- a/packages/fleet/src/scenarios/fronts.ts
+++ b/packages/fleet/src/scenarios/fronts.ts
@@ -73,13 +73,13 @@
   const late = [f.addFront(), f.addFront()]
   await wait(f, 4000)
   for (const k of late)
-    if (f.fronts[k].proxy?.state.share())
+    if (f.fronts[k].proxy?.state.hasConnectionShare())
       f.watched.push({ rule: 'shares', what: `${f.fronts[k].node} holds a share though all were held` })
   f.sim.kill(f.fronts[0].agentProc)
   f.sim.kill(f.fronts[0].proxyProc)
   const from = f.sim.now()
   function taken(): boolean {
-    for (const k of late) if (f.fronts[k].proxy?.state.share()) return true
+    for (const k of late) if (f.fronts[k].proxy?.state.hasConnectionShare()) return true
     return false
   }
   const did = await f.sim.until(taken, 15000)
@@ -92,7 +92,7 @@
   f.startProxyAt(0)
   await wait(f, 9000)
   for (const x of f.fronts)
-    if (!x.proxy?.state.share())
+    if (!x.proxy?.state.hasConnectionShare())
       f.watched.push({ rule: 'shares', what: `${x.node} holds no share though there are five` })
 }
 
--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -84,7 +84,7 @@
           seeds,
           platform: `${platform.ip}:80`,
           ...(shape.operators ? { operators: shape.operators } : {}),
-          ...(shape.suspect !== undefined ? { suspect: shape.suspect } : {}),
+          ...(shape.suspect !== undefined ? { suspicionTimeoutMs: shape.suspect } : {}),
           build: 'sim',
         },
         opt.agentEdges,
@@ -262,7 +262,7 @@
   }
   function allReady(): boolean {
     for (const f of fronts) {
-      if (!f.proxy?.state.valid() || !f.proxy.state.share()) return false
+      if (!f.proxy?.state.hasValidLease() || !f.proxy.state.hasConnectionShare()) return false
       for (const g of shape.groups) if (f.proxy.state.group(g)?.record.phase !== 'steady') return false
     }
     return true
--- a/packages/fleet/src/simwatch.ts
+++ b/packages/fleet/src/simwatch.ts
@@ -41,7 +41,7 @@
       if (epoch < old)
         watched.push({ rule: 'slipped back', what: `${f.node} went from configuration ${old} to ${epoch}` })
       lastEpoch.set(f.proxy, epoch)
-      if (!f.proxy.state.valid()) continue
+      if (!f.proxy.state.hasValidLease()) continue
       for (const d of decided) {
         if (d.told.decision === 'accepted' && (d.told.epoch ?? 0) > epoch && sim.now() - d.at > 3000) {
           watched.push({
--- a/packages/fleet/src/test/changes.test.ts
+++ b/packages/fleet/src/test/changes.test.ts
@@ -2,18 +2,18 @@
 import { encode, MAX_ANNOUNCEMENT_DELAY_MS, MAX_NAMED_CHANGES } from '@claynotch/base'
 import {
   allDecisions,
-  decide,
+  evaluateChange,
   emptyBody,
   findDecision,
-  lendable,
+  usableConnectionsPerProxy,
   readConfig,
-  type Body,
+  type ConfigurationBody,
   type Change,
   type Config,
   type Decision,
   type Edit,
 } from '@claynotch/operator'
-import { compile } from '@claynotch/proxy'
+import { compileRules } from '@claynotch/proxy'
 import { laterStatus, type InstanceStatus } from '@claynotch/register'
 import { makeRandom } from '../sim.js'
 
@@ -30,8 +30,8 @@
   label: { limits: { deep: { er: 1 } } },
 }
 
-function ruled(body: Body, stream: string, change: Change): { decision: Decision; body: Body; wrote: boolean } {
-  const got = decide(body, { stream, change })
+function ruled(body: ConfigurationBody, stream: string, change: Change): { decision: Decision; body: ConfigurationBody; wrote: boolean } {
+  const got = evaluateChange(body, { stream, change })
   if ('unclear' in got) throw new Error(`unclear: ${got.unclear}`)
   return 'known' in got
     ? { decision: got.known, body, wrote: false }
@@ -243,25 +243,25 @@
   }
   c.strictSame(
     [
-      lendable(base, 'g', 9),
-      lendable(base, 'g', 1),
-      lendable(base, 'g', 200),
-      lendable(base, 'g', 0),
-      lendable(base, 'g'),
-      lendable(base, 'none', 3),
+      usableConnectionsPerProxy(base, 'g', 9),
+      usableConnectionsPerProxy(base, 'g', 1),
+      usableConnectionsPerProxy(base, 'g', 200),
+      usableConnectionsPerProxy(base, 'g', 0),
+      usableConnectionsPerProxy(base, 'g'),
+      usableConnectionsPerProxy(base, 'none', 3),
     ],
     [9, 91, 1, 91, 1, 0],
   )
   c.strictSame(
-    [lendable({ ...base, proxies: 9 }, 'g'), lendable({ ...base, proxies: 9 }, 'g', 3)],
+    [usableConnectionsPerProxy({ ...base, proxies: 9 }, 'g'), usableConnectionsPerProxy({ ...base, proxies: 9 }, 'g', 3)],
     [8, 8],
     'a number is a number',
   )
-  const rules = compile({ ...base, lanes: [lane('a', { limit: 700, aim: 200, sends: 2 }), lane('b')] }, 4, [], 0)
+  const rules = compileRules({ ...base, lanes: [lane('a', { limit: 700, aim: 200, sends: 2 }), lane('b')] }, 4, [], 0)
   const a = rules.lanes.get('a')!
-  c.strictSame([a.limit, a.aim, a.sends, rules.transactionIdle], [700, 200, 2, 3000])
+  c.strictSame([a.statementTimeoutMs, a.targetLatencyMs, a.maxAttempts, rules.transactionIdleMs], [700, 200, 2, 3000])
   const b = rules.lanes.get('b')!
-  c.strictSame([b.limit, b.aim, b.sends], [undefined, undefined, undefined])
+  c.strictSame([b.statementTimeoutMs, b.targetLatencyMs, b.maxAttempts], [undefined, undefined, undefined])
 }
 
 // --- the order of an instance's words ---
--- a/packages/fleet/src/test/deltas.test.ts
+++ b/packages/fleet/src/test/deltas.test.ts
@@ -579,23 +579,23 @@
       }
     }
     r.learn('k', wide(3, 3), ballot(3))
-    await r.takePush('c', push(3, 4))
+    await r.applyPush('c', push(3, 4))
     c.same(r.held('k'), { ballot: ballot(4), value: wide(4, 4) }, 'on its base it is applied')
-    await r.takePush('c', push(2, 3))
+    await r.applyPush('c', push(2, 3))
     c.same(r.held('k')?.value, wide(4, 4), 'an old one changes nothing')
-    await r.takePush('c', { t: 'push', num: 1, key: 'k', ballot: ballot(2), value: wide(2, 2) })
+    await r.applyPush('c', { t: 'push', num: 1, key: 'k', ballot: ballot(2), value: wide(2, 2) })
     c.same(r.held('k')?.value, wide(4, 4), 'nor does an old value')
     c.equal(asked.length, 0)
     // Its base is not what is known here: the value is asked for, and only what was chosen at that ballot is taken.
     answer = { ok: true, ballot: ballot(9), value: wide(9, 9) }
-    await r.takePush('c', push(5, 6))
+    await r.applyPush('c', push(5, 6))
     c.same(asked, [{ t: 'get', epoch: 0, key: 'k', have: ballot(4) }])
     c.same(r.held('k')?.value, wide(4, 4), 'another ballot than the one pushed proves nothing')
     answer = { ok: true, ballot: ballot(6), base: ballot(5), deltas: [deltaOf(wide(5, 5), wide(6, 6))] }
-    await r.takePush('c', push(5, 6))
+    await r.applyPush('c', push(5, 6))
     c.same(r.held('k')?.value, wide(4, 4), 'nor do deltas on another base')
     answer = { ok: true, ballot: ballot(6), value: wide(6, 6) }
-    await r.takePush('c', push(5, 6))
+    await r.applyPush('c', push(5, 6))
     c.same(r.held('k'), { ballot: ballot(6), value: wide(6, 6) })
     c.equal(r.all().get('k')?.currentUntil, 0, 'a push proves nothing of time')
     // A renewal at a majority does, and shows what is missing.
@@ -605,9 +605,9 @@
       return new Map([['c', new Map([['k', { key: 'k', ballot: ballot(n), turn: n, chosen: true }]])]])
     }
     const enough = quorumOf({ epoch: 0, cores: [{ id: 'c', addr: '' }] })
-    r.takeSummaries(lines(6), enough, 1000)
+    r.applySummaries(lines(6), enough, 1000)
     c.equal(r.all().get('k')?.currentUntil, 3500)
-    r.takeSummaries(lines(7), enough, 2000)
+    r.applySummaries(lines(7), enough, 2000)
     c.ok(r.isBehind(), 'something newer is wanted')
     c.equal(r.all().get('k')?.currentUntil, 3500, 'and nothing older is worked by for longer')
     answer = { ok: true, ballot: ballot(7), base: ballot(6), deltas: [deltaOf(wide(6, 6), wide(7, 7))] }
@@ -683,7 +683,7 @@
     await beat()
     c.equal(sub.at(), 'near', 'it is back')
     c.same(other.told, ['on 1', 'off'])
-    sub.linkedAnew('near')
+    sub.linkReestablished('near')
     await beat()
     c.same(near.told, ['on 1', 'on 1', 'on 1'], 'a link dialled anew is subscribed on anew')
     for (let n = 0; n < 3; n++) await beat(near)
--- a/packages/fleet/src/test/deltastorms.test.ts
+++ b/packages/fleet/src/test/deltastorms.test.ts
@@ -66,7 +66,7 @@
   function all(): boolean {
     for (const one of f.fronts) {
       if (one.proxyProc.state !== 'up' || one.agentProc.state !== 'up') continue
-      if (!one.proxy?.state.valid() || one.proxy.state.rules()?.epoch !== epoch) return false
+      if (!one.proxy?.state.hasValidLease() || one.proxy.state.rules()?.epoch !== epoch) return false
     }
     return true
   }
@@ -150,7 +150,7 @@
     const newest = epochNow(f)
     function look(): void {
       const state = f.fronts[k].proxy!.state
-      if (state.valid() && (state.rules()?.epoch ?? 0) >= newest) current = f.sim.now()
+      if (state.hasValidLease() && (state.rules()?.epoch ?? 0) >= newest) current = f.sim.now()
       else f.sim.at(5, look)
     }
     look()
--- a/packages/fleet/src/test/edges.test.ts
+++ b/packages/fleet/src/test/edges.test.ts
@@ -321,9 +321,9 @@
       ),
       'a newer program that does not',
     )
-    const wire = await world.wire('10.0.6.1:9', ignore)
+    const wire = await world.bindDatagrams('10.0.6.1:9', ignore)
     for (const body of [Buffer.from('junk'), encode({ v: 99, node: 'later' }), encode({ v: 1, node: 5 })])
-      wire.cast('10.0.2.1:7200', body)
+      wire.send('10.0.2.1:7200', body)
     await pause(world, 500)
     const metrics = f.fronts[0].agent!.metrics
     c.equal(metrics.get('claynotch_summary_garbage_total'), 2, 'garbage is counted')
@@ -331,7 +331,7 @@
   }
   await beside(f, run)
   c.strictSame(f.sim.lines, [], 'no process minds')
-  c.ok(f.fronts[0].proxy!.state.valid())
+  c.ok(f.fronts[0].proxy!.state.hasValidLease())
 }
 
 // Two agents under one name: the newer takes the node over, the older loses its term and says why.
@@ -354,7 +354,7 @@
   f.sim.spawn(other, 'twin', start)
   await f.sim.run(f.sim.now() + 6000)
   c.ok((twin?.leaseExpiresAt() ?? 0) > 0, 'the newer holds the term')
-  c.equal(f.fronts[0].proxy!.state.valid(), false, "the older one's proxy takes no work")
+  c.equal(f.fronts[0].proxy!.state.hasValidLease(), false, "the older one's proxy takes no work")
   c.ok(f.fronts[0].agent!.metrics.get('claynotch_renewals_total', [['end', 'replaced']]) > 0)
   c.ok(f.sim.lines.some(isReplaced), 'and the log says why')
 }
--- a/packages/fleet/src/test/key-refusals.test.ts
+++ b/packages/fleet/src/test/key-refusals.test.ts
@@ -1,14 +1,14 @@
 import t, { type Test } from 'tap'
 import {
   KEY_REFUSAL_LOG_INTERVAL_MS,
-  MAX_KEYS_REMEMBERED,
+  MAX_REMEMBERED_KEYS,
   logTo,
   makeMetrics,
   type Metrics,
   type World,
 } from '@claynotch/base'
 import { hashKey, type Config, type Tenant } from '@claynotch/operator'
-import { compile, makeKeyRefusals, type KeyRefusals, type LaneRules, type Rules, type State } from '@claynotch/proxy'
+import { compileRules, makeKeyRefusals, type KeyRefusals, type LaneRules, type Rules, type State } from '@claynotch/proxy'
 
 // What an operator is told of clients that a proxy refused for their keys: which of the causes it was, and nothing of the key.
 
@@ -42,11 +42,11 @@
     return rules
   }
   const world = { now: time, log: logTo(sink) } as Pick<World, 'now' | 'log'> as World
-  const state = { rules: rulesNow, valid } as Pick<State, 'rules' | 'valid'> as State
+  const state = { rules: rulesNow, hasValidLease: valid } as Pick<State, 'rules' | 'valid'> as State
   const keys = makeKeyRefusals(world, state, metrics)
   function advance(ms: number): void {
     now += ms
-    keys.look()
+    keys.refresh()
   }
   function setLease(to: boolean): void {
     isValid = to
@@ -60,12 +60,12 @@
       lanes: [{ name: 'book', database: 'book', group: 'kiln', reads: 'leader' }],
       tenants,
     }
-    rules = compile(config, epoch, [], now, rules)
-    keys.look()
+    rules = compileRules(config, epoch, [], now, rules)
+    keys.refresh()
   }
   function deny(key: string | undefined): string {
     const lane = rules!.lanes.get('book') as LaneRules
-    const { outcome, class: cls } = keys.deny(lane, key === undefined ? undefined : hashKey(key))
+    const { outcome, class: cls } = keys.refuse(lane, key === undefined ? undefined : hashKey(key))
     return `${outcome} ${cls}`
   }
   return { keys, metrics, lines, advance, setLease, apply, deny }
@@ -133,7 +133,7 @@
 function flood(c: Test): void {
   const r = makeRig()
   r.apply(3, [['amber', ['key-one']]])
-  const many = MAX_KEYS_REMEMBERED * 3
+  const many = MAX_REMEMBERED_KEYS * 3
   for (let k = 0; k < many; k++) r.deny(`key-${k}`)
   c.equal(r.lines.length, 1, 'one line at once')
   r.advance(KEY_REFUSAL_LOG_INTERVAL_MS - 1)
@@ -142,7 +142,7 @@
   c.equal(r.lines.length, 2)
   c.match(
     r.lines[1],
-    new RegExp(`refused=${many - 1} keys=${MAX_KEYS_REMEMBERED} `),
+    new RegExp(`refused=${many - 1} keys=${MAX_REMEMBERED_KEYS} `),
     'then all since, and no more memory',
   )
   r.advance(KEY_REFUSAL_LOG_INTERVAL_MS)
--- a/packages/fleet/src/test/parts.test.ts
+++ b/packages/fleet/src/test/parts.test.ts
@@ -9,16 +9,16 @@
   type World,
 } from '@claynotch/base'
 import {
-  decide,
+  evaluateChange,
   digestOf,
   emptyBody,
   readConfig,
-  type Body,
+  type ConfigurationBody,
   type Change,
   type Config,
   type Decision,
 } from '@claynotch/operator'
-import { backoff, floorOf, isFresh, makeBreaker, makeTokens, needOf, type Sample } from '@claynotch/proxy'
+import { backoffDelayMs, freshnessFloor, isFresh, makeBreaker, makeRetryTokens, requiredPositionOf, type Sample } from '@claynotch/proxy'
 import { dutyHolderOf } from '@claynotch/failover'
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
@@ -55,13 +55,13 @@
     for (let k = 0; k < 20; k++) {
       const asked = rnd() * now
       const mark = positionAt(Math.min(now, asked + rnd() * 600))
-      samples.push({ asked, reign: mark.epoch, mark })
+      samples.push({ askedAt: asked, epoch: mark.epoch, position: mark })
     }
     const mark = commits[Math.floor(rnd() * commits.length)]
     const follower = { epoch: rnd() < 0.8 ? epoch : mark.epoch, position: mark.position }
     let token: { epoch: number; position: number } | undefined
     for (const m of commits) if (m.session) token = { epoch: m.epoch, position: m.position }
-    const need = needOf(floorOf(samples, epoch, within, now), epoch, token)
+    const need = requiredPositionOf(freshnessFloor(samples, epoch, within, now), epoch, token)
     if (need === undefined || !isFresh(follower, need, true)) continue
     allowed++
     // The plain model: every commit owed must lie at or under what the follower holds.
@@ -152,13 +152,13 @@
 // what must come of each.
 async function decisions(c: Test): Promise<void> {
   const rnd = makeRandom(9)
-  let body: Body = emptyBody()
+  let body: ConfigurationBody = emptyBody()
   let epoch = 0
   const first = new Map<string, { told: string; change: Change }>()
   const last = new Map<string, number>()
   let rivals = 0
-  function ruled(stream: string, change: Change): { decision: Decision; body: Body | undefined } {
-    const got = decide(body, { stream, change, digest: digestOf(change) })
+  function ruled(stream: string, change: Change): { decision: Decision; body: ConfigurationBody | undefined } {
+    const got = evaluateChange(body, { stream, change, digest: digestOf(change) })
     if ('unclear' in got) throw new Error(got.unclear)
     return 'known' in got ? { decision: got.known, body: undefined } : got
   }
@@ -213,7 +213,7 @@
   async function run(world: World): Promise<void> {
     for (let n = 0; n < 4; n++) {
       for (let k = 0; k < 50; k++) {
-        const ms = backoff(world, n)
+        const ms = backoffDelayMs(world, n)
         if (ms < 2 ** n * BACKOFF_BASE_MS || ms >= 1.5 * 2 ** n * BACKOFF_BASE_MS) c.fail(`pause ${ms} after send ${n}`)
       }
     }
@@ -221,34 +221,34 @@
     function others(): { firsts: number; retries: number } {
       return rest
     }
-    const alone = makeTokens(world, others)
+    const alone = makeRetryTokens(world, others)
     let spent = 0
     while (alone.spend()) spent++
     c.equal(spent, RETRY_TOKENS, 'tokens are bounded')
     // The rest of the fleet retries far too much: each retry costs double here.
     rest = { firsts: 100, retries: 400 }
-    const shared = makeTokens(world, others)
+    const shared = makeRetryTokens(world, others)
     spent = 0
     while (shared.spend()) spent++
     c.ok(spent <= RETRY_TOKENS / 2 + 1, `${spent} retries while the fleet retries too much`)
     const breaker = makeBreaker(world, 'g', makeMetrics())
-    for (let k = 0; k < BREAKER_MIN_RESULTS - 1; k++) breaker.note(false, false)
+    for (let k = 0; k < BREAKER_MIN_RESULTS - 1; k++) breaker.record(false, false)
     c.equal(breaker.state(), 'closed', 'a few failures are no sustained rate')
-    breaker.note(false, false)
+    breaker.record(false, false)
     c.equal(breaker.state(), 'open')
-    c.notOk(breaker.pass())
+    c.notOk(breaker.allows())
     function start(ok: () => void): void {
       world.later(4000, ok)
     }
     await new Promise<void>(start)
-    c.ok(breaker.pass(), 'a probe goes through')
-    c.notOk(breaker.pass(), 'one at a time')
-    breaker.note(false, true)
+    c.ok(breaker.allows(), 'a probe goes through')
+    c.notOk(breaker.allows(), 'one at a time')
+    breaker.record(false, true)
     c.equal(breaker.state(), 'open', 'a bad probe opens it again')
     await new Promise<void>(start)
     for (let k = 0; k < 3; k++) {
-      c.ok(breaker.pass())
-      breaker.note(true, true)
+      c.ok(breaker.allows())
+      breaker.record(true, true)
     }
     c.equal(breaker.state(), 'closed', 'good probes in a row close it')
   }
@@ -277,12 +277,12 @@
 // Guards against move-lagging: a route's commits of before its move are in no sample that the new group's leader gave before it.
 function samplesBeforeMove(c: Test): void {
   const samples: Sample[] = [
-    { asked: 100, reign: 2, mark: { epoch: 2, position: 7 } },
-    { asked: 300, reign: 2, mark: { epoch: 2, position: 9 } },
+    { askedAt: 100, epoch: 2, position: { epoch: 2, position: 7 } },
+    { askedAt: 300, epoch: 2, position: { epoch: 2, position: 9 } },
   ]
-  c.strictSame(floorOf(samples, 2, 1000, 400), { epoch: 2, position: 7 }, 'a route that was always here')
-  c.strictSame(floorOf(samples, 2, 1000, 400, 200), { epoch: 2, position: 9 }, 'one that came at 200')
-  c.equal(floorOf(samples, 2, 1000, 400, 350), undefined, 'one that came after all samples')
+  c.strictSame(freshnessFloor(samples, 2, 1000, 400), { epoch: 2, position: 7 }, 'a route that was always here')
+  c.strictSame(freshnessFloor(samples, 2, 1000, 400, 200), { epoch: 2, position: 9 }, 'one that came at 200')
+  c.equal(freshnessFloor(samples, 2, 1000, 400, 350), undefined, 'one that came after all samples')
   c.end()
 }
 
--- a/packages/fleet/src/test/quota-holder-fleet.ts
+++ b/packages/fleet/src/test/quota-holder-fleet.ts
@@ -1,11 +1,11 @@
-import { ownAdapters, startAgent, type Agent } from '@claynotch/agent'
+import { defaultAdapters, startAgent, type Agent } from '@claynotch/agent'
 import {
   makeFlag,
   makeHello,
   makeMetrics,
   makePersistentLink,
   pause,
-  QUOTA_QUESTION_TIMEOUT_MS,
+  QUOTA_REQUEST_TIMEOUT_MS,
   QUOTA_WINDOW_MS,
   readAs,
   requestOnce,
@@ -132,7 +132,7 @@
           core: { place: core.place, adopt: core.adopt, serveQuotas },
           build: 'sim',
         },
-        ownAdapters,
+        defaultAdapters,
       )
     }
     box.agent = undefined
@@ -162,7 +162,7 @@
       const life = Math.floor(world.random() * 2 ** 40).toString(36)
       function take(message: unknown): undefined {
         const feed = readAs(AgentFeed, message)
-        if (feed.ok) state.take(feed.val)
+        if (feed.ok) state.applyFeed(feed.val)
         return undefined
       }
       const hello = makeHello('proxy', front.node)
@@ -173,13 +173,13 @@
       }
       async function ask(question: QuotaQuestion): Promise<QuotaAnswer['grants'] | undefined> {
         if (front.isMute) return undefined
-        const answer = readAs(QuotaAnswer, await agent.ask(question, QUOTA_QUESTION_TIMEOUT_MS))
+        const answer = readAs(QuotaAnswer, await agent.ask(question, QUOTA_REQUEST_TIMEOUT_MS))
         return answer.ok ? answer.val.grants : undefined
       }
       function isActive(): boolean {
         return true
       }
-      const { valid: isLeased, leasedSince } = state
+      const { hasValidLease: isLeased, leasedSince } = state
       const options = { life, isLeased, leasedSince, isActive, ask }
       const allowances = makeAllowances(world, options, makeMetrics(), stop)
       front.allowances = allowances
--- a/packages/fleet/src/test/register.test.ts
+++ b/packages/fleet/src/test/register.test.ts
@@ -364,7 +364,7 @@
   for (let k = 0; k < f.cores.length; k++) f.startCoreAt(k)
   await f.sim.run(f.sim.now() + 15000)
   for (const x of f.cores) c.equal(x.core?.serving(), false, `${x.id} does not serve`)
-  for (const x of f.fronts) c.equal(x.proxy?.state.valid(), false, `${x.node} takes no work`)
+  for (const x of f.fronts) c.equal(x.proxy?.state.hasValidLease(), false, `${x.node} takes no work`)
   c.ok(f.sim.lines.some(isTold), 'and the log says why')
 }
 function isTold(line: string): boolean {
--- a/packages/fleet/src/test/replicated-group.ts
+++ b/packages/fleet/src/test/replicated-group.ts
@@ -1,8 +1,8 @@
 import { makeFlag, makeMetrics, Err, Ok, type Result, type World } from '@claynotch/base'
 import { startFailover, type FailoverView, type InstanceObservations } from '@claynotch/failover'
-import type { Promotion, PromotionEnd } from '@claynotch/host'
+import type { PromotionRequest, PromotionResult } from '@claynotch/host'
 import type { InstanceAddress, InstanceAdapter, Status } from '@claynotch/instance'
-import type { Body } from '@claynotch/operator'
+import type { ConfigurationBody } from '@claynotch/operator'
 import {
   groupKey,
   ZERO_BALLOT,
@@ -214,7 +214,7 @@
       { goodAgeMs, badAgeMs },
     ]
   }
-  function promotion(_world: World, _at: unknown, { instance: name }: Promotion): Promise<PromotionEnd> {
+  function promotion(_world: World, _at: unknown, { instance: name }: PromotionRequest): Promise<PromotionResult> {
     const one = instances.get(name)
     if (!one?.isUp) return Promise.resolve({ end: 'refused', why: 'not running' })
     function lead(): void {
@@ -249,7 +249,7 @@
     const member = { node: 'front', life: 'x', ...described, acks, highs, open: 0 }
     return Promise.resolve({ members: [member], isComplete: true })
   }
-  function body(): Body {
+  function body(): ConfigurationBody {
     const groups = [{ name: GROUP, connections: 90, sync: sync.value }]
     return { epoch: 1, config: { proxies: 'live', groups, lanes: [] }, streams: [], history: [] }
   }
@@ -260,7 +260,7 @@
   const proposer: Proposer = { change, read: done, look: done }
   const view: FailoverView = {
     node: NODE,
-    suspect: 2500,
+    suspicionTimeoutMs: 2500,
     instance,
     promotion,
     platform,
@@ -271,7 +271,7 @@
     register,
     learn,
     instancesOf,
-    reports,
+    observations: reports,
     askMembers,
     body,
     metrics: makeMetrics(),
--- a/packages/fleet/src/test/summary-source.test.ts
+++ b/packages/fleet/src/test/summary-source.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import { makeSummarySource } from '@claynotch/agent/dist/summary-source.js'
-import { RETRIES_WORTH_TELLING, WITNESS_COUNT, type World } from '@claynotch/base'
+import { RETRY_REPORT_THRESHOLD, WITNESS_COUNT, type World } from '@claynotch/base'
 import type { Summary } from '@claynotch/peer'
 import { makeSim } from '../sim.js'
 import { task } from './beside.js'
@@ -82,8 +82,8 @@
   function play(world: World): void {
     const calm = sourceOf(world, { name: 'front-1', proxies: 7, tries: [['g', 100, 0]] })
     c.strictSame(calm.all([]).tries, [], 'nobody retries')
-    c.strictSame(calm.all(heardOf(RETRIES_WORTH_TELLING)).tries, [], 'few do')
-    c.strictSame(calm.all(heardOf(RETRIES_WORTH_TELLING + 1)).tries, [['g', 100, 0]], 'many do')
+    c.strictSame(calm.all(heardOf(RETRY_REPORT_THRESHOLD)).tries, [], 'few do')
+    c.strictSame(calm.all(heardOf(RETRY_REPORT_THRESHOLD + 1)).tries, [['g', 100, 0]], 'many do')
     const retrying = sourceOf(world, { name: 'front-1', proxies: 7, tries: [['g', 100, 1]] })
     c.strictSame(retrying.all([]).tries, [['g', 100, 1]], 'this node does')
   }
--- a/packages/fleet/src/test/voterplan.test.ts
+++ b/packages/fleet/src/test/voterplan.test.ts
@@ -20,9 +20,9 @@
   }
   const view: VoterView = {
     set: { epoch: 1, cores: places(voters) },
-    fresh: places(fresh),
+    joining: places(fresh),
     silence,
-    well: new Set(well),
+    serving: new Set(well),
     isHeardByOthers,
     mostVoters: MAX_VOTERS,
   }
--- a/packages/peer/src/heard-summaries.ts
+++ b/packages/peer/src/heard-summaries.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from 'lru-cache'
-import { MAX_HEARD_SUMMARIES, OBSERVATION_LIFETIME_MS, SUMMARY_LIFETIME_MS, type World } from '@claynotch/base'
+import { MAX_CACHED_SUMMARIES, OBSERVATION_LIFETIME_MS, SUMMARY_LIFETIME_MS, type World } from '@claynotch/base'
 import type { Summary } from './summary.js'
 
 /** The newest summary received from each node. Its size is limited, because the names come from the network. */
@@ -22,7 +22,7 @@
 
 /** Makes an empty collection. */
 export function makeHeardSummaries(world: World): HeardSummaries {
-  const newest = new LRUCache<string, { receivedAt: number; summary: Summary }>({ max: MAX_HEARD_SUMMARIES })
+  const newest = new LRUCache<string, { receivedAt: number; summary: Summary }>({ max: MAX_CACHED_SUMMARIES })
 
   function add(summary: Summary): boolean {
     const known = newest.get(summary.node)
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -70,7 +70,7 @@
     metrics.add('claynotch_summaries_total')
     onReceived(summary)
   }
-  const wire = await world.wire(addr, receive)
+  const wire = await world.bindDatagrams(addr, receive)
 
   function send(): void {
     const common = source.all(received.current())
@@ -80,7 +80,7 @@
       if (peer.addr === addr) continue
       const { seen, bad } = source.seenFor(peer.node)
       const isNeeded = seen.length > 0 || bad.length > 0 || (isDue && peer.proxy)
-      if (isNeeded) wire.cast(peer.addr, encodeSummary({ ...common, seen, bad }))
+      if (isNeeded) wire.send(peer.addr, encodeSummary({ ...common, seen, bad }))
     }
   }
   void loop(world, 'summaries', SUMMARY_INTERVAL_MS, stop, send, sendNow)
--- a/packages/proxy/src/call.ts
+++ b/packages/proxy/src/call.ts
@@ -24,7 +24,7 @@
   lane: LaneRules
   /** Hash of the key that the client came with. */
   keyHash: string | undefined
-  need: ConnectionRequirements
+  requirements: ConnectionRequirements
   token: Token | undefined
   mustLead: boolean
   body: { text?: string; shape?: string; args: unknown[]; id?: string }
@@ -46,17 +46,17 @@
   target?: { instance: Instance; epoch: number; floor: LogPosition | undefined }
   loan?: CheckedOutConnection
   got?: Result<StatementResult, RequestError>
-  asked: number
+  sentAt: number
   /** Of the tenant's limit, for the next send. */
   reservation?: Reservation
   // place: the lane and team that this call is counted under as pending.
   place?: { lane: string; team: string }
 }
 
-export type Settled = {
+export type CallResult = {
   verdict: Verdict
-  mark?: LogPosition
-  loan?: CheckedOutConnection
+  position?: LogPosition
+  connection?: CheckedOutConnection
   epoch?: number
   instance?: string
 }
@@ -98,7 +98,7 @@
 ): Call {
   const now = world.now()
   const byCaller = parts.ms !== undefined && parts.ms < RETRY_BUDGET_MS
-  const budget = Math.min(RETRY_BUDGET_MS, parts.ms ?? RETRY_BUDGET_MS, lane.limit ?? RETRY_BUDGET_MS)
+  const budget = Math.min(RETRY_BUDGET_MS, parts.ms ?? RETRY_BUDGET_MS, lane.statementTimeoutMs ?? RETRY_BUDGET_MS)
   return {
     kind,
     rules,
@@ -109,10 +109,10 @@
     body: parts.body,
     gone: parts.gone,
     byCaller,
-    need: needFor(lane, rules, parts, parts.tenant),
+    requirements: needFor(lane, rules, parts, parts.tenant),
     find: parts.find,
-    hold: now + (lane.aim === undefined ? budget : lane.aim * QUEUE_TIMEOUT_SHARE),
-    moveHold: now + (lane.aim === undefined ? budget : budget * PROMOTION_WAIT_SHARE),
+    hold: now + (lane.targetLatencyMs === undefined ? budget : lane.targetLatencyMs * QUEUE_TIMEOUT_SHARE),
+    moveHold: now + (lane.targetLatencyMs === undefined ? budget : budget * PROMOTION_WAIT_SHARE),
     behind: new Set(),
     deadline: now + budget,
     sends: 0,
@@ -120,6 +120,6 @@
     ran: 'no',
     last: undefined,
     probe: false,
-    asked: now,
+    sentAt: now,
   }
 }
--- a/packages/proxy/src/identity.ts
+++ b/packages/proxy/src/identity.ts
@@ -9,11 +9,11 @@
 /** keyHash: of the key that the client came with. */
 export function identify(rules: Rules, lane: LaneRules, keyHash: string | undefined): Identity {
   if (!rules.tenants) return { isAllowed: true, tenant: undefined }
-  const tenant = holderOfKey(rules, keyHash)
+  const tenant = tenantOfKey(rules, keyHash)
   return tenant !== undefined || lane.isPublic ? { isAllowed: true, tenant } : { isAllowed: false }
 }
 
 /** The tenant that has the key, whatever the route. */
-export function holderOfKey(rules: Rules, keyHash: string | undefined): string | undefined {
+export function tenantOfKey(rules: Rules, keyHash: string | undefined): string | undefined {
   return keyHash === undefined ? undefined : rules.tenants?.get(keyHash)?.name
 }
--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -19,16 +19,16 @@
   type World,
 } from '@claynotch/base'
 import type { InstanceAdapter, LogPosition } from '@claynotch/instance'
-import { isShareBelowOne, lendable } from '@claynotch/operator'
+import { isShareBelowOne, usableConnectionsPerProxy } from '@claynotch/operator'
 import { refusal, type Verdict } from '@claynotch/requester'
-import { isForeign, isFresh } from './freshness.js'
+import { isForOtherGroup, isFresh } from './freshness.js'
 import { makeAdmission } from './admission.js'
 import { identify } from './identity.js'
 import { makeKeyRefusals, type KeyRefusals } from './key-refusals.js'
-import { needFor, type Call, type Settled } from './call.js'
+import { needFor, type Call, type CallResult } from './call.js'
 import type { CheckedOutConnection, Pool } from './pool.js'
 import type { QuotaStep } from './quota-step.js'
-import { backoff, makeAlert, makeBreaker, makeTokens, type Alert, type Breaker, type Tokens } from './retry.js'
+import { backoffDelayMs, makeAlert, makeBreaker, makeRetryTokens, type Alert, type Breaker, type Tokens } from './retry.js'
 import type { Step } from './rules.js'
 import type { State } from './state.js'
 import { makeTargetSelection, type TargetSelection } from './target-selection.js'
@@ -37,24 +37,24 @@
 export type Tools = { breaker: Breaker; tokens: Tokens; alert: Alert }
 
 export type Runner = {
-  run: (call: Call) => Promise<Settled>
+  run: (call: Call) => Promise<CallResult>
   tools: (group: string) => Tools
-  groups: () => Map<string, Tools>
+  retryControlsByGroup: () => Map<string, Tools>
   // Whether the record that a leader's answer was asked under still stands.
-  stands: (group: string, epoch: number) => boolean
+  isEpochCurrent: (group: string, epoch: number) => boolean
   // Sends in flight that may write, by group and by lane.
-  writing: (group: string, lane?: string) => number
-  holdWrite: (group: string, lane: string, by: number) => void
+  writesInFlight: (group: string, lane?: string) => number
+  addWritesInFlight: (group: string, lane: string, by: number) => void
   // Transactions whose begin went out and that no session has yet. A call counts from the send until it aims anew, ends
   // without a transaction, or kept() says that its session has it.
-  opening: (group: string, lane: string | undefined, kind: 'begin read' | 'begin write') => number
-  kept: (call: Call) => void
+  beginsInFlight: (group: string, lane: string | undefined, kind: 'begin read' | 'begin write') => number
+  releaseBegin: (call: Call) => void
   // The position that a follower must hold for a read that begins now; undefined: it can't be proved.
-  needNow: TargetSelection['requiredPosition']
-  highs: () => Map<string, LogPosition>
-  sawWrite: (group: string, mark: LogPosition) => void
-  quiet: ReturnType<typeof makeSignal>
-  keys: KeyRefusals
+  requiredPosition: TargetSelection['requiredPosition']
+  lastWritePositions: () => Map<string, LogPosition>
+  recordWritePosition: (group: string, mark: LogPosition) => void
+  inFlightEnded: ReturnType<typeof makeSignal>
+  keyRefusals: KeyRefusals
 }
 
 export function makeRunner(
@@ -84,7 +84,7 @@
       }
       got = {
         breaker: makeBreaker(world, group, metrics),
-        tokens: makeTokens(world, others),
+        tokens: makeRetryTokens(world, others),
         alert: makeAlert(world, group, metrics),
       }
       tools.set(group, got)
@@ -124,7 +124,7 @@
   // --- ends of a call ---
 
   function sendsOf(call: Call): number {
-    return Math.min(MAX_ATTEMPTS, call.lane.sends ?? MAX_ATTEMPTS)
+    return Math.min(MAX_ATTEMPTS, call.lane.maxAttempts ?? MAX_ATTEMPTS)
   }
   function isWrite(call: Call): boolean {
     return call.kind === 'write'
@@ -160,26 +160,26 @@
     if (!rules) return refusal('UNAVAILABLE', 'no configuration is known here', true, RETRY_AFTER_PROMOTION_S)
     const lane = call.find(rules)
     // Without a valid term a later configuration may have the lane again.
-    if (!lane && !state.valid())
+    if (!lane && !state.hasValidLease())
       return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     if (!lane) return { ...refusal('NOT_FOUND', `the lane ${call.lane.name} was dropped`, false), lacks: 'lane' }
     const identity = identify(rules, lane, call.keyHash)
-    if (!identity.isAllowed) return keys.deny(lane, call.keyHash)
+    if (!identity.isAllowed) return keys.refuse(lane, call.keyHash)
     admission.release(call)
     if (lane.group !== call.lane.group) {
-      if (call.probe) toolsOf(call.lane.group).breaker.note(false, true)
+      if (call.probe) toolsOf(call.lane.group).breaker.record(false, true)
       call.probe = false
     }
     metrics.add('claynotch_calls_rematched_total', [['lane', lane.name]])
     call.rules = rules
     call.lane = lane
-    call.need = needFor(lane, rules, call.need, identity.tenant)
+    call.requirements = needFor(lane, rules, call.requirements, identity.tenant)
     return 'start'
   }
   function gate(call: Call): Turn {
     if (stopping()) return refusal('UNAVAILABLE', 'this node is stopping', true, RETRY_AFTER_OVERLOAD_S)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
-    if (!state.share())
+    if (!state.hasValidLease()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.hasConnectionShare())
       return refusal('UNAVAILABLE', 'this node holds no share of the connections', true, RETRY_AFTER_PROMOTION_S)
     if (call.gone.fired()) return refusal('ABORTED', 'the requester went away', false)
     return undefined
@@ -187,7 +187,7 @@
   function breakerStep(call: Call): Turn {
     if (call.probe) return undefined
     const { breaker } = toolsOf(call.lane.group)
-    if (!breaker.pass())
+    if (!breaker.allows())
       return refusal('UNAVAILABLE', `the breaker of group ${call.lane.group} is open`, true, RETRY_AFTER_BREAKER_S)
     call.probe = breaker.probing()
     return undefined
@@ -203,8 +203,8 @@
     const wake = makeFlag()
     const unwatch = call.gone.watch(wake.fire)
     const left = Math.max(1, Math.min(call.deadline - world.now(), holdOf(call) - world.now(), 250))
-    void state.bell.wait(world, left, wake).then(wake.fire)
-    void watch.bell.wait(world, left, wake).then(wake.fire)
+    void state.changed.wait(world, left, wake).then(wake.fire)
+    void watch.doubtCleared.wait(world, left, wake).then(wake.fire)
     await wake.wait()
     unwatch()
   }
@@ -216,7 +216,7 @@
       if (isOld(call)) return heed(call)
       if (world.now() >= call.deadline) return exhausted(call)
       const known = state.group(call.lane.group)
-      if (step.at === 'fresh' && !call.mustLead && !isForeign(call.token, call.lane.group) && known) {
+      if (step.at === 'fresh' && !call.mustLead && !isForOtherGroup(call.token, call.lane.group) && known) {
         const got = targets.followerFor(call, known, step)
         if (got) {
           call.target = got
@@ -228,7 +228,7 @@
         call.target = { ...lead, floor: undefined }
         break
       }
-      if (!state.valid() || !state.share()) return unavailable(call, 'this node lost its term', RETRY_AFTER_PROMOTION_S)
+      if (!state.hasValidLease() || !state.hasConnectionShare()) return unavailable(call, 'this node lost its term', RETRY_AFTER_PROMOTION_S)
       // A call that only waits is told now, so that its requester can go elsewhere.
       if (stopping()) return unavailable(call, 'this node is stopping', RETRY_AFTER_OVERLOAD_S)
       if (world.now() >= holdOf(call))
@@ -260,7 +260,7 @@
   // time that it waited for a leader, so that a dial cut short by that is not taken for an instance's silence.
   function waits(call: Call): { free: number; dial: number } {
     const left = Math.max(1, call.deadline - world.now())
-    const { aim } = call.lane
+    const { targetLatencyMs: aim } = call.lane
     if (aim === undefined) return { free: Math.min(CHECK_OUT_TIMEOUT_MS, left), dial: Math.min(DIAL_TIMEOUT_MS, left) }
     return {
       free: Math.min(left, aim * QUEUE_TIMEOUT_SHARE),
@@ -271,12 +271,12 @@
     const { instance } = call.target!
     const config = state.config()
     const { group } = call.lane
-    const limit = config ? lendable(config, group, state.live()) : 0
+    const limit = config ? usableConnectionsPerProxy(config, group, state.live()) : 0
     const closesAfterUse = config !== undefined && isShareBelowOne(config, group, state.live())
-    instance.usage++
+    instance.callsInFlight++
     const asked = world.now()
-    const got = await pool.borrow(instance, limit, { ...call.need, closesAfterUse }, waits(call), call.gone)
-    instance.usage--
+    const got = await pool.checkOut(instance, limit, { ...call.requirements, closesAfterUse }, waits(call), call.gone)
+    instance.callsInFlight--
     if (got.ok) {
       call.loan = got.val
       return undefined
@@ -316,11 +316,11 @@
     ])
     const left = Math.max(1, Math.min(ATTEMPT_TIMEOUT_MS, call.deadline - world.now()))
     const limit =
-      call.lane.aim !== undefined && !isWrite(call) && call.sends < sendsOf(call)
-        ? Math.min(left, call.lane.aim * ATTEMPT_TIMEOUT_SHARE)
+      call.lane.targetLatencyMs !== undefined && !isWrite(call) && call.sends < sendsOf(call)
+        ? Math.min(left, call.lane.targetLatencyMs * ATTEMPT_TIMEOUT_SHARE)
         : left
-    call.asked = world.now()
-    instance.usage++
+    call.sentAt = world.now()
+    instance.callsInFlight++
     const { group, name } = call.lane
     if (writes) holdWrite(group, name, 1)
     if (begins) begun.add(call)
@@ -329,12 +329,12 @@
       ...(floor !== undefined && !edge.sampler ? { after: floor } : {}),
     }
     if (call.kind === 'begin read' || call.kind === 'begin write')
-      call.got = await loan.port.begin(call.kind === 'begin read' ? 'read' : 'write', limit, sent)
+      call.got = await loan.instanceConnection.begin(call.kind === 'begin read' ? 'read' : 'write', limit, sent)
     else {
       const text = call.body.text
-      call.got = await loan.port.statement(
+      call.got = await loan.instanceConnection.statement(
         {
-          ...(text !== undefined ? { text } : { shape: loan.shapeId(call.need.shapes.get(call.body.shape!)!) }),
+          ...(text !== undefined ? { text } : { shape: loan.shapeId(call.requirements.shapes.get(call.body.shape!)!) }),
           args: call.body.args,
           mode: call.kind === 'write' ? 'write' : 'read',
           ...sent,
@@ -343,7 +343,7 @@
       )
     }
     if (writes) holdWrite(group, name, -1)
-    instance.usage--
+    instance.callsInFlight--
     return undefined
   }
   async function judge(call: Call): Promise<Turn> {
@@ -355,13 +355,13 @@
     const lead = floor === undefined
     if (got.ok) {
       const { mark, rows, stamp } = got.val
-      watch.saw(instance.name, call.asked, mark, lead ? epoch : undefined)
-      const counted = !isWrite(call) || state.counts(call.lane.name, group, call.asked)
+      watch.recordAnswer(instance.name, call.sentAt, mark, lead ? epoch : undefined)
+      const counted = !isWrite(call) || state.canAcknowledgeWrite(call.lane.name, group, call.sentAt)
       const good = lead
         ? stands(group, epoch) && (!edge.exact || mark.epoch === epoch) && counted
         : isFresh(mark, floor, edge.exact)
       if (good) {
-        breaker.note(true, call.probe)
+        breaker.record(true, call.probe)
         if (call.sends > 1 || call.waited) {
           metrics.add('claynotch_retry_success_on_attempt', [['send', String(call.sends)]])
           alert.note(false)
@@ -407,16 +407,16 @@
       // One that says it doesn't lead lives, and yet fails as a leader.
       watch.failed(
         instance.name,
-        call.asked,
+        call.sentAt,
         trouble.reach === 'answered' && trouble.lead !== false,
         trouble.lead === false,
       )
       // A known promotion is no reason to open the breaker: it has its own end.
-      if (!state.moving(group)) breaker.note(false, call.probe)
+      if (!state.moving(group)) breaker.record(false, call.probe)
       if (trouble.reach === 'maybe' && isWrite(call)) return unknown(trouble.why)
       return await again(call)
     }
-    breaker.note(true, call.probe)
+    breaker.record(true, call.probe)
     if (trouble.class === 'UNKNOWN' && isWrite(call)) return unknown(trouble.why)
     const after = trouble.class === 'RESOURCE_EXHAUSTED' ? RETRY_AFTER_OVERLOAD_S : undefined
     if (call.ran !== 'no' && isWrite(call)) return unknown(trouble.why)
@@ -443,10 +443,10 @@
       metrics.add('claynotch_retry_tokens_out_total', [['group', call.lane.group]])
       return unavailable(call, `the group's retries are used up: ${call.last?.why ?? ''}`, RETRY_AFTER_OVERLOAD_S)
     }
-    const wait = backoff(
+    const wait = backoffDelayMs(
       world,
       Math.max(0, call.sends - 1),
-      call.lane.aim === undefined ? BACKOFF_BASE_MS : Math.min(BACKOFF_BASE_MS, call.lane.aim * BACKOFF_SHARE),
+      call.lane.targetLatencyMs === undefined ? BACKOFF_BASE_MS : Math.min(BACKOFF_BASE_MS, call.lane.targetLatencyMs * BACKOFF_SHARE),
     )
     // A sleep that would outlast the deadline is not slept: the final answer goes out at once.
     if (world.now() + wait >= call.deadline) return exhausted(call)
@@ -456,7 +456,7 @@
 
   // --- the interpreter ---
 
-  async function run(call: Call): Promise<Settled> {
+  async function run(call: Call): Promise<CallResult> {
     const from = world.now()
     let at = 0
     let turn: Turn
@@ -497,7 +497,7 @@
     turn = honest(call, turn)
     admission.release(call)
     quota.release(call)
-    if (call.probe && turn.outcome !== 'done') toolsOf(call.lane.group).breaker.note(false, true)
+    if (call.probe && turn.outcome !== 'done') toolsOf(call.lane.group).breaker.record(false, true)
     metrics.add('claynotch_calls_total', [
       ['lane', call.lane.name],
       ['kind', call.kind],
@@ -505,12 +505,12 @@
       ['class', turn.class ?? ''],
     ])
     metrics.add('claynotch_call_ms_total', [['lane', call.lane.name]], Math.round(world.now() - from))
-    const out: Settled = { verdict: turn }
+    const out: CallResult = { verdict: turn }
     if (turn.outcome === 'done' && call.got?.ok) {
-      out.mark = call.got.val.mark
+      out.position = call.got.val.mark
       out.epoch = call.target!.epoch
       out.instance = call.target!.instance.name
-      if (call.loan) out.loan = call.loan
+      if (call.loan) out.connection = call.loan
     } else {
       if (call.loan) call.loan.end(false)
       kept(call)
@@ -529,16 +529,16 @@
   return {
     run,
     tools: toolsOf,
-    groups,
-    stands,
-    writing,
-    holdWrite,
-    opening,
-    kept,
-    needNow: targets.requiredPosition,
-    highs: highsNow,
-    sawWrite,
-    quiet,
-    keys,
+    retryControlsByGroup: groups,
+    isEpochCurrent: stands,
+    writesInFlight: writing,
+    addWritesInFlight: holdWrite,
+    beginsInFlight: opening,
+    releaseBegin: kept,
+    requiredPosition: targets.requiredPosition,
+    lastWritePositions: highsNow,
+    recordWritePosition: sawWrite,
+    inFlightEnded: quiet,
+    keyRefusals: keys,
   }
 }
--- a/packages/proxy/src/key-refusals.ts
+++ b/packages/proxy/src/key-refusals.ts
@@ -1,7 +1,7 @@
 import { LRUCache } from 'lru-cache'
 import {
   KEY_REFUSAL_LOG_INTERVAL_MS,
-  MAX_KEYS_REMEMBERED,
+  MAX_REMEMBERED_KEYS,
   RETRY_AFTER_PROMOTION_S,
   type Metrics,
   type World,
@@ -24,9 +24,9 @@
  */
 export type KeyRefusals = {
   /** What a client of the lane is told; keyHash: of the key that it came with. */
-  deny: (lane: LaneRules, keyHash: string | undefined) => Verdict
+  refuse: (lane: LaneRules, keyHash: string | undefined) => Verdict
   /** Compares the rules in force with those before, and tells what was refused since it was told last. To be called often. */
-  look: () => void
+  refresh: () => void
 }
 
 /** A key that was taken away here: who had it last, and the first configuration without it. */
@@ -37,8 +37,8 @@
 type Untold = { times: number; keys: Set<string>; lane: string; removed: Removed | undefined }
 
 export function makeKeyRefusals(world: World, state: State, metrics: Metrics): KeyRefusals {
-  const removed = new LRUCache<string, Removed>({ max: MAX_KEYS_REMEMBERED })
-  const refused = new LRUCache<string, Refused>({ max: MAX_KEYS_REMEMBERED })
+  const removed = new LRUCache<string, Removed>({ max: MAX_REMEMBERED_KEYS })
+  const refused = new LRUCache<string, Refused>({ max: MAX_REMEMBERED_KEYS })
   const untold = new Map<KeyRefusalReason, Untold>()
   const toldAt = new Map<KeyRefusalReason, number>()
   let seen: Rules | undefined
@@ -94,7 +94,7 @@
   // --- refusals ---
 
   function reasonFor(keyHash: string | undefined): KeyRefusalReason {
-    if (!state.valid()) return 'no-lease'
+    if (!state.hasValidLease()) return 'no-lease'
     if (keyHash === undefined) return 'no-key'
     return removed.has(keyHash) ? 'removed' : 'unknown'
   }
@@ -122,7 +122,7 @@
     what.times++
     what.lane = lane
     if (keyHash !== undefined) {
-      if (what.keys.size < MAX_KEYS_REMEMBERED) what.keys.add(keyHash)
+      if (what.keys.size < MAX_REMEMBERED_KEYS) what.keys.add(keyHash)
       what.removed = removed.get(keyHash)
       if (reason === 'unknown' || reason === 'no-lease') remember(keyHash)
     }
@@ -141,5 +141,5 @@
     compare()
     for (const [reason, what] of untold) tell(reason, what)
   }
-  return { deny, look }
+  return { refuse: deny, refresh: look }
 }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,7 +1,7 @@
 import {
   CLIENT_DESCRIPTORS_SHARE,
   DRAIN_TIMEOUT_MS,
-  DRAIN_TAIL_MS,
+  CLOSE_TIMEOUT_MS,
   makeHello,
   makePersistentLink,
   loop,
@@ -9,7 +9,7 @@
   makeFlag,
   makeMetrics,
   makeSignal,
-  MAX_EDGE_CONNECTIONS,
+  MAX_LISTENER_CONNECTIONS,
   PROXY_REPORT_INTERVAL_MS,
   NOT_READY_NOTICE_MS,
   pause,
@@ -24,15 +24,15 @@
   type HttpResponse,
   type World,
 } from '@claynotch/base'
-import { CONFIG_KEY, lendable } from '@claynotch/operator'
+import { CONFIG_KEY, usableConnectionsPerProxy } from '@claynotch/operator'
 import { AgentFeed, groupOf, type ProxyReport } from '@claynotch/register'
-import { provedWithin } from './freshness.js'
+import { provedStalenessMs } from './freshness.js'
 import { makeClientMemory } from './client-memory.js'
 import { makeRunner, type Runner } from './interpret.js'
 import { makePool, type Pool } from './pool.js'
 import { makeQuotaStep } from './quota-step.js'
 import { makeSessions, type Sessions } from './sessions.js'
-import { ownAdapters, type ProxyAdapters } from './adapter.js'
+import { httpAdapters, type ProxyAdapters } from './adapter.js'
 import { makeState, type State } from './state.js'
 import { startWatch, type Watch } from './watch.js'
 
@@ -51,7 +51,7 @@
   pool: Pool
 }
 
-export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = ownAdapters): Promise<Proxy> {
+export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = httpAdapters): Promise<Proxy> {
   const stop = makeFlag()
   const metrics = makeMetrics()
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
@@ -75,15 +75,15 @@
 
   function ready(): string | undefined {
     if (leaving) return 'draining'
-    if (!state.valid()) return 'no valid term'
-    if (!state.share()) return 'no share of the connections'
+    if (!state.hasValidLease()) return 'no valid term'
+    if (!state.hasConnectionShare()) return 'no share of the connections'
     return undefined
   }
   // The requester's address is bound before the agent is dialled: a second proxy of this machine fails
   // here, so an agent never feeds one while another may still work.
   const clientMemory = makeClientMemory(metrics)
   const connections =
-    set.descriptors === undefined ? MAX_EDGE_CONNECTIONS : Math.floor(set.descriptors * CLIENT_DESCRIPTORS_SHARE)
+    set.descriptors === undefined ? MAX_LISTENER_CONNECTIONS : Math.floor(set.descriptors * CLIENT_DESCRIPTORS_SHARE)
   const listen = { addr: set.listen, connections }
   const http = await edges.requester(world, listen, sessions, clientMemory)
   function admin(ask: HttpRequest): HttpResponse {
@@ -94,8 +94,8 @@
   // Open transactions, and those whose begin has gone out.
   function transactions(group: string, lane?: string): number {
     return (
-      runner.opening(group, lane, 'begin read') +
-      runner.opening(group, lane, 'begin write') +
+      runner.beginsInFlight(group, lane, 'begin read') +
+      runner.beginsInFlight(group, lane, 'begin write') +
       sessions.transactions(group, lane)
     )
   }
@@ -106,18 +106,18 @@
       const config = state.config()
       let whole = true
       if (config && config.proxies !== 'live')
-        for (const [name, one] of watch.all()) if (!pool.shrink(name, lendable(config, one.group))) whole = false
+        for (const [name, one] of watch.all()) if (!pool.shrink(name, usableConnectionsPerProxy(config, one.group))) whole = false
       // A lane whose move eases or drains has done so once what was to end has ended.
       for (const lane of state.rules()?.lanes.values() ?? []) {
         if (
-          lane.move === 'ease' &&
-          (runner.opening(lane.group, lane.name, 'begin read') > 0 ||
+          lane.movePhase === 'ease' &&
+          (runner.beginsInFlight(lane.group, lane.name, 'begin read') > 0 ||
             sessions.transactions(lane.group, lane.name, 'read') > 0)
         )
           whole = false
         if (
-          lane.move === 'drain' &&
-          (runner.writing(lane.group, lane.name) > 0 || transactions(lane.group, lane.name) > 0)
+          lane.movePhase === 'drain' &&
+          (runner.writesInFlight(lane.group, lane.name) > 0 || transactions(lane.group, lane.name) > 0)
         )
           whole = false
       }
@@ -126,14 +126,14 @@
     if (group === undefined) return true
     const known = state.group(group)
     if (known?.record.phase !== 'drain' || known.turn !== version) return true
-    return runner.writing(group) === 0 && transactions(group) === 0
+    return runner.writesInFlight(group) === 0 && transactions(group) === 0
   }
   // waits: since when calls to an instance have waited there without one good answer.
   const waits = new Map<string, number>()
   function badNow(now: number): [string, number][] {
     const out: [string, number][] = []
     for (const [name, one] of watch.all()) {
-      if (one.usage === 0) waits.delete(name)
+      if (one.callsInFlight === 0) waits.delete(name)
       else waits.set(name, Math.max(waits.get(name) ?? now, one.lastOk))
       const from = Math.min(
         one.failing ?? now,
@@ -150,7 +150,7 @@
   function acknowledge(): boolean {
     let isNew = false
     isAckAwaited = false
-    for (const [key, version] of state.turns()) {
+    for (const [key, version] of state.versions()) {
       if ((acked.get(key) ?? 0) >= version) continue
       if (applied(key, version)) {
         acked.set(key, version)
@@ -162,7 +162,7 @@
   function note(): void {
     acknowledge()
     const highs: [string, number, number][] = []
-    for (const [g, m] of runner.highs()) highs.push([g, m.epoch, m.position])
+    for (const [g, m] of runner.lastWritePositions()) highs.push([g, m.epoch, m.position])
     const seen: [string, number][] = []
     const now = world.now()
     const lags: [string, number][] = []
@@ -171,13 +171,13 @@
       const rec = state.group(one.group)?.record
       const lag =
         rec?.leader !== undefined && rec.leader !== name && one.mark
-          ? provedWithin(watch.get(rec.leader)?.samples ?? [], rec.epoch, one.mark, now)
+          ? provedStalenessMs(watch.get(rec.leader)?.samples ?? [], rec.epoch, one.mark, now)
           : undefined
       if (lag !== undefined) lags.push([name, lag])
     }
     const moving: [string, number][] = []
     const tries: [string, number, number][] = []
-    for (const [g, tools] of runner.groups()) {
+    for (const [g, tools] of runner.retryControlsByGroup()) {
       const recent = tools.tokens.recent()
       tries.push([g, recent.firsts, recent.retries])
       const rec = state.group(g)?.record
@@ -185,7 +185,7 @@
     }
     metrics.set('claynotch_client_memory_bytes', [], clientMemory.totalBytes())
     metrics.set('claynotch_ready', [], ready() === undefined ? 1 : 0)
-    for (const [g] of runner.groups()) metrics.set('claynotch_transactions', [['group', g]], sessions.transactions(g))
+    for (const [g] of runner.retryControlsByGroup()) metrics.set('claynotch_transactions', [['group', g]], sessions.transactions(g))
     const word: ProxyReport = {
       t: 'note',
       life,
@@ -207,14 +207,14 @@
       metrics.add('claynotch_link_garbage_total')
       throw new Error('unknown word from the agent')
     }
-    state.take(got.val)
+    state.applyFeed(got.val)
     if (acknowledge()) note()
     return undefined
   }
   const agent = makePersistentLink(world, set.agent, makeHello('proxy', life), take, stop, note)
   // The end of a write or a transaction is worth a note only where an acknowledgement waits for it.
   const mayAck = makeSignal()
-  runner.quiet.watch(ringIfAwaited)
+  runner.inFlightEnded.watch(ringIfAwaited)
   function ringIfAwaited(): void {
     if (isAckAwaited) mayAck.notify()
   }
@@ -247,12 +247,12 @@
       world.now() < until &&
       (world.now() < from + NOT_READY_NOTICE_MS || sessions.transactions() > 0 || http.lines() > 0)
     )
-      await runner.quiet.wait(world, Math.min(100, until - world.now()))
+      await runner.inFlightEnded.wait(world, Math.min(100, until - world.now()))
     draining = true
     sessions.cut('the node stops')
     // No new connections from here on; those that are left are answered to the end.
-    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : half - CONNECTION_GRACE_MS)
-    state.halt()
+    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + CLOSE_TIMEOUT_MS : half - CONNECTION_GRACE_MS)
+    state.expireLeases()
     note()
     await pause(world, 20)
     stop.fire()
--- a/packages/proxy/src/quota-step.ts
+++ b/packages/proxy/src/quota-step.ts
@@ -1,6 +1,6 @@
 import {
   CHECK_OUT_TIMEOUT_MS,
-  QUOTA_QUESTION_TIMEOUT_MS,
+  QUOTA_REQUEST_TIMEOUT_MS,
   QUOTA_WAIT_SHARE,
   readAs,
   RETRY_AFTER_PROMOTION_S,
@@ -38,7 +38,7 @@
 /** ms that the call waits for an allowance. */
 function waitOf(call: Call, now: number): number {
   const most = Math.max(1, call.deadline - now) * QUOTA_WAIT_SHARE
-  return Math.min(most, call.lane.aim ?? CHECK_OUT_TIMEOUT_MS)
+  return Math.min(most, call.lane.targetLatencyMs ?? CHECK_OUT_TIMEOUT_MS)
 }
 
 export function makeQuotaStep(
@@ -50,14 +50,14 @@
   stop: Flag,
 ): QuotaStep {
   async function ask(question: QuotaQuestion): Promise<QuotaGrant[] | undefined> {
-    const answer = readAs(QuotaAnswer, await askAgent(question, QUOTA_QUESTION_TIMEOUT_MS))
+    const answer = readAs(QuotaAnswer, await askAgent(question, QUOTA_REQUEST_TIMEOUT_MS))
     return answer.ok ? answer.val.grants : undefined
   }
   function isActive(): boolean {
     for (const { rate } of state.rules()?.tenants?.values() ?? []) if (rate !== undefined) return true
     return false
   }
-  const { valid: isLeased, leasedSince } = state
+  const { hasValidLease: isLeased, leasedSince } = state
   const allowances = makeAllowances(world, { life, isLeased, leasedSince, isActive, ask }, metrics, stop)
 
   function release(call: Call): void {
@@ -71,7 +71,7 @@
     call.reservation = await allowances.reserve(tenant, waitOf(call, world.now()), call.gone)
     if (call.reservation) return undefined
     if (call.gone.fired()) return refusal('ABORTED', 'the requester went away', false)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.hasValidLease()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     return refusal('RESOURCE_EXHAUSTED', `the tenant ${tenant} is at its limit`, true, RETRY_AFTER_QUOTA_S)
   }
   function sent(call: Call): boolean {
--- a/packages/proxy/src/retry.ts
+++ b/packages/proxy/src/retry.ts
@@ -16,7 +16,7 @@
 
 // The retry policy of one node, by group: pauses, tokens, breaker, alert. docs/retry.md tells where each comes from.
 
-export function backoff(world: World, sends: number, first = BACKOFF_BASE_MS): number {
+export function backoffDelayMs(world: World, sends: number, first = BACKOFF_BASE_MS): number {
   const base = 2 ** sends * first
   return base + world.random() * (base / 2)
 }
@@ -26,7 +26,7 @@
 // A retry costs double while the fleet as a whole, by the summaries, retries more than it may.
 export type Tokens = { first: () => void; spend: () => boolean; recent: () => { firsts: number; retries: number } }
 
-export function makeTokens(world: World, others: () => { firsts: number; retries: number }): Tokens {
+export function makeRetryTokens(world: World, others: () => { firsts: number; retries: number }): Tokens {
   let left = RETRY_TOKENS
   let cut = world.now()
   let last = { firsts: 0, retries: 0 }
@@ -66,8 +66,8 @@
 // closed -> open when the failure rate over a window is sustained; open -> half after a pause with jitter;
 // half lets one probe through at a time: enough good ones in a row close it, a bad one opens it again.
 export type Breaker = {
-  pass: () => boolean
-  note: (good: boolean, probe: boolean) => void
+  allows: () => boolean
+  record: (good: boolean, probe: boolean) => void
   probing: () => boolean
   state: () => 'closed' | 'open' | 'half'
 }
@@ -144,7 +144,7 @@
   function stateNow(): 'closed' | 'open' | 'half' {
     return state
   }
-  return { pass, note, probing, state: stateNow }
+  return { allows: pass, record: note, probing, state: stateNow }
 }
 
 // --- alert: budgets exhausted over calls that were retried or waited ---
--- a/packages/proxy/src/rules.ts
+++ b/packages/proxy/src/rules.ts
@@ -1,7 +1,7 @@
 import { MAX_QUEUED_CALLS } from '@claynotch/base'
 import {
   compilePolicy,
-  moveOf,
+  findOpenMove,
   tenantsByKey,
   type Config,
   type Move,
@@ -34,26 +34,26 @@
   team: string
   database: string
   pending: number
-  limit: number | undefined
-  aim: number | undefined
-  sends: number | undefined
+  statementTimeoutMs: number | undefined
+  targetLatencyMs: number | undefined
+  maxAttempts: number | undefined
   programs: Map<Kind, Step[]>
   /** Nobody is asked for a key. */
   isPublic: boolean
-  move: Exclude<Move['phase'], 'copy'> | undefined
+  movePhase: Exclude<Move['phase'], 'copy'> | undefined
 }
 // share, sessions and pending by team; a lane without a team belongs to the team ''.
 // transactionIdle: ms; a transaction that rests for longer may be ended.
 // since: when this node began to work by them. bases: the first lane of each database.
 export type Rules = {
   epoch: number
-  since: number
+  appliedAt: number
   lanes: Map<string, LaneRules>
-  bases: Map<string, LaneRules>
+  laneByDatabase: Map<string, LaneRules>
   shares: Map<string, number>
-  sessions: Map<string, number>
+  maxSessions: Map<string, number>
   pending: Map<string, number>
-  transactionIdle: number | undefined
+  transactionIdleMs: number | undefined
   /** By the hash of each of their keys; undefined: no key is asked for. */
   tenants: Map<string, Tenant> | undefined
   policy: { policy: Policy; fallback: string } | undefined
@@ -66,7 +66,7 @@
 }
 
 /** previous: the rules that these replace. */
-export function compile(
+export function compileRules(
   config: Config,
   epoch: number,
   moves: Move[],
@@ -77,7 +77,7 @@
   const bases = new Map<string, LaneRules>()
   for (const lane of config.lanes) {
     const pending = lane.pending ?? MAX_QUEUED_CALLS
-    const phase = moveOf(moves, lane.name)?.phase
+    const phase = findOpenMove(moves, lane.name)?.phase
     const lead: Step = { op: 'aim', at: 'leader' }
     const near: Step =
       lane.reads === 'leader'
@@ -108,12 +108,12 @@
       team: lane.team ?? '',
       database: lane.database,
       pending,
-      limit: lane.limit,
-      aim: lane.aim,
-      sends: lane.sends,
+      statementTimeoutMs: lane.limit,
+      targetLatencyMs: lane.aim,
+      maxAttempts: lane.sends,
       programs,
       isPublic: lane.public === true,
-      move: phase === 'copy' ? undefined : phase,
+      movePhase: phase === 'copy' ? undefined : phase,
     }
     lanes.set(lane.name, one)
     if (!bases.has(lane.database)) bases.set(lane.database, one)
@@ -130,13 +130,13 @@
   const policy = config.policy ? compilePolicy(config.policy.lua) : undefined
   return {
     epoch,
-    since,
+    appliedAt: since,
     lanes,
-    bases,
+    laneByDatabase: bases,
     shares,
-    sessions,
+    maxSessions: sessions,
     pending,
-    transactionIdle: config.transactionIdle,
+    transactionIdleMs: config.transactionIdle,
     tenants: tenantsByKey(config.tenants),
     policy: config.policy && policy?.ok ? { policy: policy.val, fallback: config.policy.fallback } : undefined,
   }
--- a/packages/proxy/src/session.ts
+++ b/packages/proxy/src/session.ts
@@ -60,7 +60,7 @@
 
 /** The route of that name, or else the first one of the database. */
 export function findLane(rules: Rules, name: string | undefined, database: string): LaneRules | undefined {
-  return name === undefined ? rules.bases.get(database) : rules.lanes.get(name)
+  return name === undefined ? rules.laneByDatabase.get(database) : rules.lanes.get(name)
 }
 
 /** What reads of the route are held to at a follower; undefined where they go to the leader. */
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -12,9 +12,9 @@
 } from '@claynotch/base'
 import type { InstanceAdapter } from '@claynotch/instance'
 import { AUTO, hashKey } from '@claynotch/operator'
-import { refusal, type Kind, type Verdict, type Word } from '@claynotch/requester'
-import { makeCall, type Call, type Settled } from './call.js'
-import { isForeign, readToken, writeToken, type Token } from './freshness.js'
+import { refusal, type Kind, type Verdict, type ClientRequest } from '@claynotch/requester'
+import { makeCall, type Call, type CallResult } from './call.js'
+import { isForOtherGroup, parseToken, formatToken, type Token } from './freshness.js'
 import { identify } from './identity.js'
 import type { Runner } from './interpret.js'
 import type { LaneRules, Rules } from './rules.js'
@@ -25,7 +25,7 @@
 
 export type Sessions = {
   /** One request of a client. ms: how long it will wait; gone: it went away. */
-  run: (request: Word, ms: number | undefined, gone: Flag) => Promise<Verdict>
+  run: (request: ClientRequest, ms: number | undefined, gone: Flag) => Promise<Verdict>
   open: () => number
   /** Open transactions of a group, or of all. Reading ones count too: they get their time like any other. */
   transactions: (group?: string, lane?: string, kind?: 'read' | 'write') => number
@@ -33,9 +33,9 @@
   cut: (why: string) => void
 }
 
-type OpenRequest = Extract<Word, { w: 'open' }>
-type BeginRequest = Extract<Word, { w: 'begin' }>
-type SingleCallRequest = Extract<Word, { w: 'call' }>
+type OpenRequest = Extract<ClientRequest, { w: 'open' }>
+type BeginRequest = Extract<ClientRequest, { w: 'begin' }>
+type SingleCallRequest = Extract<ClientRequest, { w: 'call' }>
 
 function pairsOf(list: { name: string; value: string }[] | undefined): [string, string][] {
   const out: [string, string][] = []
@@ -100,7 +100,7 @@
   function noLane(name: string): Verdict {
     if (!state.rules())
       return refusal('UNAVAILABLE', 'no configuration is known here yet', true, RETRY_AFTER_PROMOTION_S)
-    if (!state.valid()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
+    if (!state.hasValidLease()) return refusal('UNAVAILABLE', 'this node holds no valid term', true, RETRY_AFTER_PROMOTION_S)
     return { ...refusal('NOT_FOUND', `no lane is named ${name}`, false), lacks: 'lane' }
   }
 
@@ -127,7 +127,7 @@
     if (session.transaction && !session.isBusy) void transactions.rollBack(session)
   }
   function sweep(): void {
-    runner.keys.look()
+    runner.keyRefusals.refresh()
     for (const session of all.values()) {
       transactions.endIfOver(session)
       if (!session.isBusy && world.now() - session.lastUsedAt > SESSION_IDLE_TIMEOUT_MS) close(session)
@@ -140,8 +140,8 @@
 
   /** A token of another group is let in: its lane may have gone elsewhere since. One that was never ours is not. */
   function tokenOf(text: string | undefined): Token | undefined | 'bad' {
-    const token = readToken(text ?? '')
-    return token !== undefined && token !== 'bad' && !state.knows(token.group) ? 'bad' : token
+    const token = parseToken(text ?? '')
+    return token !== undefined && token !== 'bad' && !state.isGroupKnown(token.group) ? 'bad' : token
   }
   function badToken(): Verdict {
     return refusal('INVALID_ARGUMENT', 'the token is none of ours', false)
@@ -165,10 +165,10 @@
     if (!found) return noLane(name ?? database)
     const { lane, rules } = found
     const keyHash = hashOf(body.key)
-    if (!identify(rules, lane, keyHash).isAllowed) return runner.keys.deny(lane, keyHash)
+    if (!identify(rules, lane, keyHash).isAllowed) return runner.keyRefusals.refuse(lane, keyHash)
     const token = tokenOf(body.token)
     if (token === 'bad') return badToken()
-    const refused = whyFull(lane.team, rules.sessions.get(lane.team))
+    const refused = whyFull(lane.team, rules.maxSessions.get(lane.team))
     if (refused) return refused
     const sessionState = memory.open()
     for (const [setting, value] of settings) {
@@ -193,7 +193,7 @@
       isClosed: false,
     })
     countTeam(lane.team, 1)
-    return { outcome: 'done', session: id, token: writeToken(token) }
+    return { outcome: 'done', session: id, token: formatToken(token) }
   }
 
   // --- requests ---
@@ -203,39 +203,39 @@
     return session.state.set(name, value) ? { outcome: 'done' } : tooMuchState()
   }
   /** A transaction that has begun is the session's own from now on. */
-  function begun(session: Session, call: Call, settled: Settled, kind: Kind, gone: Flag): Verdict | undefined {
+  function begun(session: Session, call: Call, settled: CallResult, kind: Kind, gone: Flag): Verdict | undefined {
     if (session.isClosed || gone.fired()) {
-      settled.loan?.end(false)
+      settled.connection?.end(false)
       return refusal('ABORTED', 'the session was closed', false)
     }
     const isAtLeader = call.target?.floor === undefined
     session.transaction = {
-      connection: settled.loan!,
+      connection: settled.connection!,
       kind,
       lane: call.lane.name,
       database: call.lane.database,
       keyHash: call.keyHash,
-      tenant: call.need.tenant,
+      tenant: call.requirements.tenant,
       disallowedSince: undefined,
       group: call.lane.group,
       epoch: settled.epoch!,
       isAtLeader,
       hasRun: false,
-      begunAt: call.asked,
+      begunAt: call.sentAt,
       lastUsedAt: world.now(),
       freshness: isAtLeader || !edge.sampler ? undefined : freshnessOf(call.lane),
     }
     return undefined
   }
   /** What the answer of a single statement says of what the session's next reads are owed. */
-  function noteAnswer(session: Session, call: Call, settled: Settled, kind: Kind): void {
+  function noteAnswer(session: Session, call: Call, settled: CallResult, kind: Kind): void {
     const { group } = call.lane
     const isAtLeader = call.target?.floor === undefined
-    if (kind === 'write') session.token = { group, mark: settled.mark! }
-    else if (isAtLeader && (session.mustReadLeader || isForeign(session.token, group))) {
+    if (kind === 'write') session.token = { group, position: settled.position! }
+    else if (isAtLeader && (session.mustReadLeader || isForOtherGroup(session.token, group))) {
       // What the leader answered stands for all that this session may be owed.
       session.mustReadLeader = false
-      session.token = { group, mark: settled.mark! }
+      session.token = { group, position: settled.position! }
     }
   }
   /** A single statement, or the beginning of a transaction: a call through the interpreter. */
@@ -248,7 +248,7 @@
     const found = laneOf(session.lane, session.database)
     if (!found) return noLane(session.lane ?? session.database)
     const identity = identify(found.rules, found.lane, session.keyHash)
-    if (!identity.isAllowed) return runner.keys.deny(found.lane, session.keyHash)
+    if (!identity.isAllowed) return runner.keyRefusals.refuse(found.lane, session.keyHash)
     const shapeName = request.w === 'statement' ? request.body.shape : undefined
     const shape = shapeName !== undefined ? session.state.prepared(shapeName) : undefined
     if (shapeName !== undefined && !shape) return noSuchShape(shapeName)
@@ -270,14 +270,14 @@
       gone,
     })
     const settled = await runner.run(call)
-    const { verdict, mark } = settled
+    const { verdict, position: mark } = settled
     let refused: Verdict | undefined
     if (verdict.outcome === 'unknown') session.mustReadLeader = true
     else if (verdict.outcome === 'done' && mark) {
       if (request.w === 'begin') refused = begun(session, call, settled, kind, gone)
       else noteAnswer(session, call, settled, kind)
     }
-    runner.kept(call)
+    runner.releaseBegin(call)
     return refused ?? { ...verdict, reads: kind === 'read', ...(mark ? { mark } : {}) }
   }
   async function rollBackAsked(session: Session, hadEnded: boolean): Promise<Verdict> {
@@ -285,10 +285,10 @@
     await transactions.rollBack(session)
     return { outcome: 'done', transaction: 'over' }
   }
-  async function onSession(session: Session, request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function onSession(session: Session, request: ClientRequest, ms: number | undefined, gone: Flag): Promise<Verdict> {
     const tx = session.transaction
     const lane = state.rules()?.lanes.get(tx?.lane ?? '')
-    const left = Math.min(ms ?? ATTEMPT_TIMEOUT_MS, lane?.limit ?? ATTEMPT_TIMEOUT_MS)
+    const left = Math.min(ms ?? ATTEMPT_TIMEOUT_MS, lane?.statementTimeoutMs ?? ATTEMPT_TIMEOUT_MS)
     const { ended } = session
     if (ended && request.w !== 'shape' && request.w !== 'unshape') {
       session.ended = undefined
@@ -326,7 +326,7 @@
     if (!found) return noLane(name)
     const keyHash = hashOf(body.key)
     const identity = identify(found.rules, found.lane, keyHash)
-    if (!identity.isAllowed) return runner.keys.deny(found.lane, keyHash)
+    if (!identity.isAllowed) return runner.keyRefusals.refuse(found.lane, keyHash)
     function find(rules: Rules): LaneRules | undefined {
       return rules.lanes.get(name)
     }
@@ -344,17 +344,17 @@
       ms,
       gone,
     })
-    const { verdict, mark } = await runner.run(call)
+    const { verdict, position: mark } = await runner.run(call)
     if (verdict.outcome !== 'done') return verdict
-    const isTokenNew = body.kind === 'write' || isForeign(token, call.lane.group)
-    return { ...verdict, token: writeToken(isTokenNew && mark ? { group: call.lane.group, mark } : token) }
+    const isTokenNew = body.kind === 'write' || isForOtherGroup(token, call.lane.group)
+    return { ...verdict, token: formatToken(isTokenNew && mark ? { group: call.lane.group, position: mark } : token) }
   }
-  async function runOn(session: Session, request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function runOn(session: Session, request: ClientRequest, ms: number | undefined, gone: Flag): Promise<Verdict> {
     session.isBusy = true
     session.lastUsedAt = world.now()
     try {
       const verdict = await onSession(session, request, ms, gone)
-      return verdict.outcome === 'done' ? { ...verdict, token: writeToken(session.token) } : verdict
+      return verdict.outcome === 'done' ? { ...verdict, token: formatToken(session.token) } : verdict
     } finally {
       session.isBusy = false
       session.lastUsedAt = world.now()
@@ -364,7 +364,7 @@
         transactions.endUnasked(session, 'ABORTED', 'the requester went away')
     }
   }
-  async function run(request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function run(request: ClientRequest, ms: number | undefined, gone: Flag): Promise<Verdict> {
     if (request.w === 'open') return open(request)
     if (request.w === 'call') return await callOnce(request, ms, gone)
     const session = all.get(request.session)
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -1,5 +1,5 @@
 import { makeSignal, type Signal, type World } from '@claynotch/base'
-import { CONFIG_KEY, configFor, type Body, type Config } from '@claynotch/operator'
+import { CONFIG_KEY, configurationForArea, type ConfigurationBody, type Config } from '@claynotch/operator'
 import {
   groupKey,
   groupOf,
@@ -10,7 +10,7 @@
   type InstanceStatus,
   type ConnectionShares,
 } from '@claynotch/register'
-import { compile, type Rules } from './rules.js'
+import { compileRules, type Rules } from './rules.js'
 
 // Invariants: a turn never goes back; work under a cell is done only while now < until;
 // rules are those of the configuration in the cell and of no other.
@@ -19,34 +19,34 @@
 export type Known = { record: GroupRecord; turn: number; until: number; since: number }
 
 export type State = {
-  take: (f: AgentFeed) => void
+  applyFeed: (f: AgentFeed) => void
   // Ends all terms at once, at shutdown.
-  halt: () => void
+  expireLeases: () => void
   rules: () => Rules | undefined
   config: () => Config | undefined
   // Whether the configuration's term runs.
-  valid: () => boolean
+  hasValidLease: () => boolean
   // Since when (local time, ms) that term has run without a break, if it runs.
   leasedSince: () => number
   // Whether this node holds a share of the instances' connections.
-  share: () => boolean
+  hasConnectionShare: () => boolean
   // Live members that have a proxy, at least 1.
   live: () => number
   group: (name: string) => Known | undefined
   // Whether a write of the lane that went to the group at that time may be told done, if a move was on its way.
-  counts: (lane: string, group: string, sent: number) => boolean
+  canAcknowledgeWrite: (lane: string, group: string, sent: number) => boolean
   // Whether a group of that name is configured, or ever had a leader here.
-  knows: (name: string) => boolean
-  sights: () => Map<string, InstanceStatus>
+  isGroupKnown: (name: string) => boolean
+  instanceStatuses: () => Map<string, InstanceStatus>
   gone: (name: string) => boolean
   // ms since any node that we heard of learned that the instance leaves; 0 if it doesn't.
-  goneFor: (name: string) => number
+  leavingForMs: (name: string) => number
   moving: (group: string) => boolean
   others: (group: string) => { firsts: number; retries: number }
   node: () => string
   area: () => string
-  turns: () => Map<string, number>
-  bell: Signal
+  versions: () => Map<string, number>
+  changed: Signal
 }
 
 export function makeState(world: World): State {
@@ -90,12 +90,12 @@
       if (c.key === CONFIG_KEY && (!old || old.until <= world.now())) unbroken = world.now()
       cells.set(c.key, { turn: c.turn, until: Math.max(old?.until ?? 0, c.until), body: c.body, since: world.now() })
       if (c.key === CONFIG_KEY) {
-        const body = c.body as Body
-        const mine = configFor(body, area)
+        const body = c.body as ConfigurationBody
+        const mine = configurationForArea(body, area)
         // A turn that only kept a decision leaves the rules as they are.
         const next = `${mine.epoch} ${JSON.stringify(mine.moves)}`
         if (next !== made)
-          rules = mine.config ? compile(mine.config, mine.epoch, mine.moves, world.now(), rules) : undefined
+          rules = mine.config ? compileRules(mine.config, mine.epoch, mine.moves, world.now(), rules) : undefined
         made = next
         for (const m of mine.moves)
           if (m.phase === 'quiet' || m.phase === 'held') for (const lane of m.lanes) shut.set(lane, world.now())
@@ -143,8 +143,8 @@
     signal.notify()
   }
   function config(): Config | undefined {
-    const body = cells.get(CONFIG_KEY)?.body as Body | undefined
-    return body ? (configFor(body, area).config ?? undefined) : undefined
+    const body = cells.get(CONFIG_KEY)?.body as ConfigurationBody | undefined
+    return body ? (configurationForArea(body, area).config ?? undefined) : undefined
   }
   function valid(): boolean {
     const c = cells.get(CONFIG_KEY)
@@ -215,25 +215,25 @@
     return out
   }
   return {
-    take,
-    halt,
+    applyFeed: take,
+    expireLeases: halt,
     rules: rulesNow,
     config,
-    valid,
+    hasValidLease: valid,
     leasedSince,
-    share,
+    hasConnectionShare: share,
     live: liveNow,
     group,
-    counts,
-    knows,
-    sights: sightsNow,
+    canAcknowledgeWrite: counts,
+    isGroupKnown: knows,
+    instanceStatuses: sightsNow,
     gone,
-    goneFor,
+    leavingForMs: goneFor,
     moving: movingNow,
     others,
     node: nodeNow,
     area: areaNow,
-    turns,
-    bell: signal,
+    versions: turns,
+    changed: signal,
   }
 }
--- a/packages/proxy/src/target-selection.ts
+++ b/packages/proxy/src/target-selection.ts
@@ -1,8 +1,8 @@
 import { LEAVING_GRACE_MS, OTHER_ZONE_LOAD_COST, type Metrics, type World } from '@claynotch/base'
 import type { InstanceAdapter, LogPosition } from '@claynotch/instance'
-import { guardOf } from '@claynotch/operator'
+import { replicationGuardMsOf } from '@claynotch/operator'
 import type { Call } from './call.js'
-import { floorOf, isFresh, needOf, provedWithin, type Token } from './freshness.js'
+import { freshnessFloor, isFresh, requiredPositionOf, provedStalenessMs, type Token } from './freshness.js'
 import type { Known, State } from './state.js'
 import type { Instance, Watch } from './watch.js'
 
@@ -45,28 +45,28 @@
     const calm = rec.phase === 'steady' || (rec.phase === 'drain' && call.kind === 'read')
     if (!calm || rec.leader === undefined) return undefined
     const instance = watch.get(rec.leader)
-    if (!instance || !watch.usable(instance, false)) return undefined
+    if (!instance || !watch.isUsable(instance, false)) return undefined
     if (stopsHere(call)) return undefined
     const writes = call.kind === 'write' || call.kind === 'begin write'
     if (writes && !guarded(call.lane.group, rec.leader, rec.epoch)) return undefined
     // A leaving leader still leads until its successor does, but not for ever.
-    if (state.goneFor(rec.leader) > LEAVING_GRACE_MS) return undefined
-    watch.usable(instance, true)
+    if (state.leavingForMs(rec.leader) > LEAVING_GRACE_MS) return undefined
+    watch.isUsable(instance, true)
     return { instance, epoch: rec.epoch }
   }
   // A lane under move takes no writes and no transactions, and in its last phase no reads either.
   function stopsHere(call: Call): boolean {
-    if (call.lane.move === 'ease') return call.kind === 'begin read'
-    return call.lane.move === 'held' || (call.lane.move !== undefined && call.kind !== 'read')
+    if (call.lane.movePhase === 'ease') return call.kind === 'begin read'
+    return call.lane.movePhase === 'held' || (call.lane.movePhase !== undefined && call.kind !== 'read')
   }
   // Whether some follower is proved to hold what the leader had within the group's guard, where it has one.
   function guarded(group: string, leader: string, epoch: number): boolean {
-    const guard = guardOf(state.config(), group)
+    const guard = replicationGuardMsOf(state.config(), group)
     if (guard === undefined) return true
     const samples = watch.get(leader)?.samples ?? []
     for (const one of watch.all().values()) {
-      if (one.group !== group || one.name === leader || !one.mark || one.doubt) continue
-      const age = provedWithin(samples, epoch, one.mark, world.now())
+      if (one.group !== group || one.name === leader || !one.mark || one.isInDoubt) continue
+      const age = provedStalenessMs(samples, epoch, one.mark, world.now())
       if (age !== undefined && age <= guard) return true
     }
     metrics.add('claynotch_guard_waits_total', [['group', group]])
@@ -89,7 +89,7 @@
       if (
         one.group !== call.lane.group ||
         one.name === rec.leader ||
-        !watch.usable(one, false) ||
+        !watch.isUsable(one, false) ||
         state.gone(one.name) ||
         call.behind.has(one.name)
       )
@@ -98,7 +98,7 @@
       if (edge.sampler && (!one.mark || one.status?.role !== 'follower' || !isFresh(one.mark, need, edge.exact)))
         continue
       // The own area first, then the least usage.
-      const cost = one.usage + (one.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST)
+      const cost = one.callsInFlight + (one.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST)
       if (cost < least) {
         least = cost
         best = one
@@ -107,9 +107,9 @@
     if (!best) return undefined
     // A leader in the own area is nearer than any follower elsewhere, as long as it has no more to do.
     const head = watch.get(rec.leader)
-    if (head && rec.phase === 'steady' && head.area === state.area() && head.usage < least && watch.usable(head, false))
+    if (head && rec.phase === 'steady' && head.area === state.area() && head.callsInFlight < least && watch.isUsable(head, false))
       return undefined
-    watch.usable(best, true)
+    watch.isUsable(best, true)
     return { instance: best, epoch: rec.epoch, floor: need }
   }
   function requiredPosition(
@@ -121,10 +121,10 @@
     const rec = state.group(group)?.record
     const head = rec?.leader !== undefined ? watch.get(rec.leader) : undefined
     if (!rec || !head) return undefined
-    return needOf(
-      floorOf(head.samples, rec.epoch, fresh.within, world.now(), groupSince),
+    return requiredPositionOf(
+      freshnessFloor(head.samples, rec.epoch, fresh.within, world.now(), groupSince),
       rec.epoch,
-      fresh.own && token?.group === group ? token.mark : undefined,
+      fresh.own && token?.group === group ? token.position : undefined,
     )
   }
   return { leaderFor, followerFor, requiredPosition }
--- a/packages/proxy/src/transactions.ts
+++ b/packages/proxy/src/transactions.ts
@@ -12,16 +12,16 @@
   type World,
 } from '@claynotch/base'
 import type { InstanceAdapter, RequestError, StatementResult } from '@claynotch/instance'
-import { refusal, type Verdict, type Word } from '@claynotch/requester'
+import { refusal, type Verdict, type ClientRequest } from '@claynotch/requester'
 import { isFresh } from './freshness.js'
-import { holderOfKey, identify } from './identity.js'
+import { tenantOfKey, identify } from './identity.js'
 import type { Runner } from './interpret.js'
 import type { LaneRules, Rules } from './rules.js'
 import type { PreparedStatement } from './session-state.js'
 import { freshnessOf, type Session, type Transaction } from './session.js'
 import type { State } from './state.js'
 
-export type StatementRequest = Extract<Word, { w: 'statement' }>
+export type StatementRequest = Extract<ClientRequest, { w: 'statement' }>
 
 /** The open transactions of sessions: their statements, and how they end. */
 export type Transactions = {
@@ -96,9 +96,9 @@
     const tx = session.transaction
     if (!tx) return
     session.transaction = undefined
-    const got = await tx.connection.port.rollback(ATTEMPT_TIMEOUT_MS)
+    const got = await tx.connection.instanceConnection.rollback(ATTEMPT_TIMEOUT_MS)
     tx.connection.end(got.ok)
-    runner.quiet.notify()
+    runner.inFlightEnded.notify()
   }
   function endUnasked(session: Session, cls: string, why: string): void {
     if (session.transaction) session.ended = endedEarly(session.transaction, cls, why)
@@ -107,7 +107,7 @@
   function end(session: Session, tx: Transaction): void {
     session.transaction = undefined
     tx.connection.end(false)
-    runner.quiet.notify()
+    runner.inFlightEnded.notify()
   }
   function over(session: Session, tx: Transaction, cls: string, why: string): Verdict {
     if (session.transaction === tx) end(session, tx)
@@ -126,7 +126,7 @@
     const lane = state.rules()?.lanes.get(tx.lane)
     if (!lane) return `the lane ${tx.lane} was dropped`
     if (lane.group !== tx.group || lane.database !== tx.database) return `the lane ${tx.lane} was moved`
-    if (lane.move && (lane.move !== 'ease' || tx.kind === 'read')) return `the lane ${tx.lane} is being moved`
+    if (lane.movePhase && (lane.movePhase !== 'ease' || tx.kind === 'read')) return `the lane ${tx.lane} is being moved`
     if (tx.freshness && !freshnessOf(lane)) return `reads of the lane ${tx.lane} go to the leader now`
     return undefined
   }
@@ -139,14 +139,14 @@
     const rules = state.rules()
     const lane = rules?.lanes.get(tx.lane)
     if (!rules) return undefined
-    const isStillTheirs = lane ? isTenantOf(rules, lane, tx) : holderOfKey(rules, tx.keyHash) === tx.tenant
+    const isStillTheirs = lane ? isTenantOf(rules, lane, tx) : tenantOfKey(rules, tx.keyHash) === tx.tenant
     return isStillTheirs ? undefined : "the key was taken away, or is another tenant's now"
   }
   /** Why the configuration ends this transaction, if so: it has had its time since the route changed. */
   function whyOverByConfiguration(tx: Transaction): string | undefined {
     const why = whyDisallowed(tx)
     const now = world.now()
-    tx.disallowedSince = why === undefined ? undefined : (tx.disallowedSince ?? state.rules()?.since ?? now)
+    tx.disallowedSince = why === undefined ? undefined : (tx.disallowedSince ?? state.rules()?.appliedAt ?? now)
     if (tx.disallowedSince !== undefined && now - tx.disallowedSince > DRAIN_TIMEOUT_MS)
       return `${why}; open transactions had their time`
     return undefined
@@ -155,7 +155,7 @@
   function whyOverByGroup(tx: Transaction): string | undefined {
     const known = state.group(tx.group)
     if (!known || world.now() >= known.until) return 'this node lost its term'
-    if (tx.isAtLeader && !runner.stands(tx.group, tx.epoch)) return 'the leader is being replaced'
+    if (tx.isAtLeader && !runner.isEpochCurrent(tx.group, tx.epoch)) return 'the leader is being replaced'
     if (known.record.epoch !== tx.epoch) return 'the leader was replaced'
     if (known.record.phase === 'drain' && world.now() - known.since > DRAIN_TIMEOUT_MS)
       return 'the leader is being replaced; open transactions had their time'
@@ -166,17 +166,17 @@
     if (whyCut !== undefined) return whyCut
     const { instance } = tx.connection
     // An instance that leaves gets no new work, and a statement is work.
-    if (state.goneFor(instance) > LEAVING_GRACE_MS) return `the instance ${instance} leaves`
+    if (state.leavingForMs(instance) > LEAVING_GRACE_MS) return `the instance ${instance} leaves`
     // A move's fence went by meanwhile: nothing of this transaction may count any more.
-    if (!state.counts(tx.lane, tx.group, tx.begunAt)) return `the lane ${tx.lane} was moved`
+    if (!state.canAcknowledgeWrite(tx.lane, tx.group, tx.begunAt)) return `the lane ${tx.lane} was moved`
     const why = whyDenied(tx) ?? whyOverByConfiguration(tx) ?? whyOverByGroup(tx)
     if (why !== undefined) return why
-    return tx.connection.port.alive() ? undefined : 'the connection to the instance broke'
+    return tx.connection.instanceConnection.alive() ? undefined : 'the connection to the instance broke'
   }
   function endIfOver(session: Session): void {
     const tx = session.transaction
     if (!tx || session.isBusy) return
-    const idleLimit = state.rules()?.transactionIdle ?? TRANSACTION_IDLE_TIMEOUT_MS
+    const idleLimit = state.rules()?.transactionIdleMs ?? TRANSACTION_IDLE_TIMEOUT_MS
     if (world.now() - tx.lastUsedAt > idleLimit) {
       metrics.add('claynotch_transactions_idle_total')
       return endUnasked(session, 'ABORTED', 'the transaction rested too long')
@@ -190,7 +190,7 @@
     // A bound that was changed meanwhile holds from now on.
     const freshness = tx.freshness && ((lane && freshnessOf(lane)) ?? tx.freshness)
     const groupSince = lane?.group === tx.group ? lane.groupSince : 0
-    return freshness ? runner.needNow(tx.group, freshness, session.token, groupSince) : undefined
+    return freshness ? runner.requiredPosition(tx.group, freshness, session.token, groupSince) : undefined
   }
   async function sendStatement(
     tx: Transaction,
@@ -207,7 +207,7 @@
     if (why !== undefined) return Err(notSent(why))
     const what = shape ? { shape: connection.shapeId(shape.text) } : { text: body.text ?? '' }
     const sent = { ...what, args: body.args ?? [], mode, ...(id !== undefined ? { id } : {}) }
-    return await connection.port.statement(sent, Math.min(ms, ATTEMPT_TIMEOUT_MS))
+    return await connection.instanceConnection.statement(sent, Math.min(ms, ATTEMPT_TIMEOUT_MS))
   }
   async function statement(
     session: Session,
@@ -230,10 +230,10 @@
     if (tx.freshness && need === undefined)
       return over(session, tx, 'UNAVAILABLE', 'the follower can no longer be proved fresh')
     tx.hasRun = true
-    const limit = lane?.aim !== undefined ? Math.min(ms, lane.aim * STATEMENT_TIMEOUT_SHARE) : ms
-    if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, 1)
+    const limit = lane?.targetLatencyMs !== undefined ? Math.min(ms, lane.targetLatencyMs * STATEMENT_TIMEOUT_SHARE) : ms
+    if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, 1)
     const got = await sendStatement(tx, request, shape, kind, limit)
-    if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, -1)
+    if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, -1)
     tx.lastUsedAt = world.now()
     if (session.transaction !== tx) {
       session.ended = undefined
@@ -263,21 +263,21 @@
   /** Whether the answer came while what the transaction was begun under still stood. */
   function stillStands(tx: Transaction, mark: StatementResult['mark']): boolean {
     return (
-      runner.stands(tx.group, tx.epoch) &&
+      runner.isEpochCurrent(tx.group, tx.epoch) &&
       (!edge.exact || mark.epoch === tx.epoch) &&
-      state.counts(tx.lane, tx.group, tx.begunAt)
+      state.canAcknowledgeWrite(tx.lane, tx.group, tx.begunAt)
     )
   }
   async function commit(session: Session, tx: Transaction, ms: number, id: string | undefined): Promise<Verdict> {
     const why = whyOver(tx)
     if (why !== undefined) return over(session, tx, 'UNAVAILABLE', why)
-    if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, 1)
+    if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, 1)
     const sent = id !== undefined ? { id } : undefined
-    const got = await tx.connection.port.commit(Math.min(ms, ATTEMPT_TIMEOUT_MS), sent)
-    if (tx.kind === 'write') runner.holdWrite(tx.group, tx.lane, -1)
+    const got = await tx.connection.instanceConnection.commit(Math.min(ms, ATTEMPT_TIMEOUT_MS), sent)
+    if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, -1)
     if (session.transaction === tx) session.transaction = undefined
     tx.connection.end(got.ok || got.val.reach === 'answered')
-    runner.quiet.notify()
+    runner.inFlightEnded.notify()
     if (got.err) return commitFailed(session, tx, got.val)
     if (tx.kind === 'write') {
       if (!stillStands(tx, got.val.mark))
@@ -285,8 +285,8 @@
           session,
           'the answer came after the leader had been replaced, the lane moved, or the term had ended',
         )
-      runner.sawWrite(tx.group, got.val.mark)
-      session.token = { group: tx.group, mark: got.val.mark }
+      runner.recordWritePosition(tx.group, got.val.mark)
+      session.token = { group: tx.group, position: got.val.mark }
     }
     return { outcome: 'done', rows: got.val.rows, transaction: 'over', ...proofOf(got.val) }
   }
@@ -295,7 +295,7 @@
     if (why !== undefined) return over(session, tx, 'UNAVAILABLE', why)
     const before = session.state.value(name)
     if (!session.state.set(name, value)) return tooMuchState()
-    const error = await tx.connection.setting(name, value)
+    const error = await tx.connection.applySetting(name, value)
     if (!error) return { outcome: 'done' }
     session.state.restore(name, before)
     return overByError(session, tx, error)
--- a/packages/quota/src/allocation.ts
+++ b/packages/quota/src/allocation.ts
@@ -1,10 +1,10 @@
 import {
   QUOTA_EXTRA_SHARE,
-  QUOTA_LEAST_EXTRA,
+  QUOTA_MIN_EXTRA,
   QUOTA_METER_WINDOW_MS,
   QUOTA_REPORT_INTERVAL_MS,
   QUOTA_SPARE_SHARE,
-  QUOTA_THIN_SPARE_SHARE,
+  QUOTA_SCARCE_SPARE_SHARE,
 } from '@claynotch/base'
 
 /** How the limit of one tenant is divided among proxies. Pure arithmetic: it says what a proxy should have, not what is free. */
@@ -47,10 +47,10 @@
     extrasOfOthers += Math.max(0, other.answered - other.need)
     if (isActive(other)) active++
   }
-  const wished = QUOTA_LEAST_EXTRA + Math.ceil(mine.need * QUOTA_EXTRA_SHARE)
+  const wished = QUOTA_MIN_EXTRA + Math.ceil(mine.need * QUOTA_EXTRA_SHARE)
   const each = Math.floor((unneeded * QUOTA_SPARE_SHARE) / active)
   // Not one for each: few are given one, as whoever begins to want finds none free where the others have them.
-  const spare = Math.floor(unneeded * (each >= 1 ? QUOTA_SPARE_SHARE : QUOTA_THIN_SPARE_SHARE))
+  const spare = Math.floor(unneeded * (each >= 1 ? QUOTA_SPARE_SHARE : QUOTA_SCARCE_SPARE_SHARE))
   return mine.need + Math.min(wished, Math.max(1, each), Math.max(0, spare - extrasOfOthers))
 }
 
--- a/packages/quota/src/allowances.ts
+++ b/packages/quota/src/allowances.ts
@@ -2,18 +2,18 @@
   loop,
   makeSignal,
   noop,
-  QUOTA_DENIAL_MS,
-  QUOTA_IDLE_MS,
+  QUOTA_DENIAL_BACKOFF_MS,
+  QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS,
   QUOTA_IDLE_REPORT_INTERVAL_MS,
   QUOTA_LOG_INTERVAL_MS,
   QUOTA_LOW_SHARE,
   QUOTA_METER_WINDOW_MS,
   QUOTA_MIN_LOW_ALLOWANCE,
-  QUOTA_QUESTION_RETRY_MS,
-  QUOTA_QUESTION_SPACING_MS,
-  QUOTA_QUESTION_TIMEOUT_MS,
+  QUOTA_REQUEST_RETRY_DELAY_MS,
+  QUOTA_REQUEST_MIN_INTERVAL_MS,
+  QUOTA_REQUEST_TIMEOUT_MS,
   QUOTA_REPORT_INTERVAL_MS,
-  QUOTA_SOON_MS,
+  QUOTA_REQUEST_DELAY_MS,
   TIMED_OUT,
   withTimeout,
   type Cancel,
@@ -205,7 +205,7 @@
     account.isGivenBack = false
     if (account.waiters.size === 0 && isFree(account)) {
       const reservation = makeReservation(account)
-      if (isLow(account)) askWithin(QUOTA_SOON_MS)
+      if (isLow(account)) askWithin(QUOTA_REQUEST_DELAY_MS)
       return reservation
     }
     const isDenied = world.now() < account.deniedUntil
@@ -235,7 +235,7 @@
     return account.isGivenBack && heldOf(account) === 0 && account.wanted.count() === 0 && account.waiters.size === 0
   }
   function giveBackIdle(account: Account): void {
-    if (world.now() - account.lastWantedAt > QUOTA_IDLE_MS) account.allowance = 0
+    if (world.now() - account.lastWantedAt > QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS) account.allowance = 0
   }
   function linesNow(): QuotaLine[] {
     const lines: QuotaLine[] = []
@@ -254,7 +254,7 @@
     account.isGivenBack = held === 0 && wanted === 0 && allowance === 0
     metrics.set('claynotch_quota_allowance', [['tenant', tenant]], allowance)
     // What it can let go is told at once, as others may wait for it.
-    if (allowance < held && used < held) askWithin(QUOTA_SOON_MS)
+    if (allowance < held && used < held) askWithin(QUOTA_REQUEST_DELAY_MS)
     account.isShort = allowance < wanted
     serveWaiters(account)
     refuseWaiters(account)
@@ -264,7 +264,7 @@
     for (const waiter of account.waiters) {
       if (waiter.firstQuestion > lastQuestion) continue
       waiter.settle(undefined)
-      account.deniedUntil = world.now() + QUOTA_DENIAL_MS
+      account.deniedUntil = world.now() + QUOTA_DENIAL_BACKOFF_MS
     }
   }
   function applyGrants(grants: QuotaGrant[], lines: QuotaLine[]): void {
@@ -287,17 +287,17 @@
     lastQuestion++
     dueAt = askedAt + (lines.length > 0 ? QUOTA_REPORT_INTERVAL_MS : QUOTA_IDLE_REPORT_INTERVAL_MS)
     metrics.add('claynotch_quota_questions_total')
-    const grants = await withTimeout(world, QUOTA_QUESTION_TIMEOUT_MS, options.ask(question))
+    const grants = await withTimeout(world, QUOTA_REQUEST_TIMEOUT_MS, options.ask(question))
     if (grants === undefined || grants === TIMED_OUT) {
       metrics.add('claynotch_quota_unanswered_total')
-      askWithin(QUOTA_QUESTION_RETRY_MS)
+      askWithin(QUOTA_REQUEST_RETRY_DELAY_MS)
       return
     }
     // Granted under a lease that has lapsed meanwhile: the holder may have given it to others.
     if (!isLeaseUnbroken() || leasedSince !== askedUnder) return
     applyGrants(grants, lines)
     // Whoever nobody answered for may be answered a little later.
-    if (isAnyoneWaiting()) askWithin(QUOTA_QUESTION_RETRY_MS)
+    if (isAnyoneWaiting()) askWithin(QUOTA_REQUEST_RETRY_DELAY_MS)
   }
   function mayAsk(): boolean {
     return isLeaseUnbroken() && (accounts.size > 0 || options.isActive())
@@ -308,7 +308,7 @@
     if (mayAsk()) await askOnce()
     else dueAt = world.now() + QUOTA_REPORT_INTERVAL_MS
   }
-  void loop(world, 'quota', QUOTA_QUESTION_SPACING_MS, stop, step)
+  void loop(world, 'quota', QUOTA_REQUEST_MIN_INTERVAL_MS, stop, step)
 
   function heldNow(tenant: string): number {
     const account = accounts.get(tenant)
--- a/packages/quota/src/window-meter.ts
+++ b/packages/quota/src/window-meter.ts
@@ -1,4 +1,4 @@
-import { QUOTA_METER_GRAIN_MS } from '@claynotch/base'
+import { QUOTA_METER_RESOLUTION_MS } from '@claynotch/base'
 
 /**
  * Counts events within the last window.
@@ -23,7 +23,7 @@
     const at = now()
     const last = lots.at(-1)
     total++
-    if (last && at - last.firstAt <= QUOTA_METER_GRAIN_MS) {
+    if (last && at - last.firstAt <= QUOTA_METER_RESOLUTION_MS) {
       last.events++
       last.lastAt = at
     } else lots.push({ firstAt: at, lastAt: at, events: 1 })
--- a/packages/table-cache/src/writer.ts
+++ b/packages/table-cache/src/writer.ts
@@ -1,8 +1,8 @@
 import {
-  ANNOUNCEMENT_PATIENCE_MS,
+  ANNOUNCEMENT_ACK_TIMEOUT_MS,
   ANNOUNCEMENT_POLL_INTERVAL_MS,
-  CLAIM_MARGIN_MS,
-  LOCK_PATIENCE_MS,
+  LOCK_CLAIM_MARGIN_MS,
+  INITIAL_LOCK_WAIT_MS,
   LOCK_POLL_INTERVAL_MS,
   pause,
   TABLE_CHANGE_TIMEOUT_MS,
@@ -211,15 +211,15 @@
    */
   async function announce(): Promise<Announcement | undefined> {
     const holder = `${view.name}#${++attempts}`
-    const claimed = await commitClaim(holder, CLAIM_MARGIN_MS, [])
+    const claimed = await commitClaim(holder, LOCK_CLAIM_MARGIN_MS, [])
     if (!claimed) return undefined
-    let missing = await awaitReaders(claimed, ANNOUNCEMENT_PATIENCE_MS, LOCK_POLL_INTERVAL_MS)
+    let missing = await awaitReaders(claimed, ANNOUNCEMENT_ACK_TIMEOUT_MS, LOCK_POLL_INTERVAL_MS)
     while (missing === undefined) {
       await pause(world, ANNOUNCEMENT_POLL_INTERVAL_MS)
-      missing = await awaitReaders(claimed, ANNOUNCEMENT_PATIENCE_MS, ANNOUNCEMENT_POLL_INTERVAL_MS)
+      missing = await awaitReaders(claimed, ANNOUNCEMENT_ACK_TIMEOUT_MS, ANNOUNCEMENT_POLL_INTERVAL_MS)
     }
     if (missing.length === 0) return { holder, expiredReaders: [], admissions: 0 }
-    const suspended = await commitClaim(holder, claimed.value.lock.readLeaseMs + CLAIM_MARGIN_MS, missing)
+    const suspended = await commitClaim(holder, claimed.value.lock.readLeaseMs + LOCK_CLAIM_MARGIN_MS, missing)
     if (!suspended) return undefined
     await awaitReaders(suspended, Infinity, ANNOUNCEMENT_POLL_INTERVAL_MS)
     const { lock } = suspended.value
@@ -279,7 +279,7 @@
   }
   /** Retries until no change is pending; the timeout for acknowledgements doubles each time that it runs out. */
   async function attemptUntilDone(): Promise<void> {
-    let ackTimeoutMs = LOCK_PATIENCE_MS
+    let ackTimeoutMs = INITIAL_LOCK_WAIT_MS
     for (;;) {
       dropExpired()
       if (pendingChanges.size === 0) return
