--- a/packages/register/src/core-view.ts
+++ b/packages/register/src/core-view.ts
@@ -23,7 +23,7 @@
   update: (now: Map<string, T>) => void
   /** The lines that changed and the names that were removed after this count; count 0 returns all lines. */
   since: (count: number) => { lines: T[]; gone: string[] }
-  /** The lowest count for which since() is complete: removals before it are forgotten. */
+  /** The lowest count for which since() is complete: earlier deletions are forgotten. */
   least: () => number
 }
 
