--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -6,7 +6,7 @@
   type World,
 } from '@claynotch/base'
 import { dutyHolderOf, type InstanceObservations } from '@claynotch/failover'
-import type { Saying, Summary } from '@claynotch/peer'
+import type { OwnSummary, Summary } from '@claynotch/peer'
 import { groupKey, type GroupRecord, type ProxyReport } from '@claynotch/register'
 import type { InstanceTable } from './instance-table.js'
 import { spread } from './spread.js'
@@ -30,7 +30,7 @@
   summaries: () => Summary[]
 }
 
-export type SummarySource = Saying & {
+export type SummarySource = OwnSummary & {
   /** What the nodes that have a proxy told last, this one among them. */
   observations: () => InstanceObservations[]
   /** Whether a summary names an instance that its node didn't name as failing before. */
@@ -154,5 +154,5 @@
     for (const name of now) if (!before?.has(name)) return true
     return false
   }
-  return { all, seenFor, observations, isNewFailure }
+  return { commonSummary: all, observationsFor: seenFor, observations, isNewFailure }
 }
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -16,11 +16,11 @@
 export { Summary, type CommonSummary } from './summary.js'
 
 /** The exchange of summaries between nodes by datagrams. */
-export type Peers = {
+export type SummaryExchange = {
   /** The newest summary of each node, with its ages as of now. */
-  hints: () => Summary[]
+  currentSummaries: () => Summary[]
   /** Sends a summary at once instead of after the interval. */
-  ring: () => void
+  sendNow: () => void
   close: () => Promise<void>
 }
 
@@ -28,11 +28,11 @@
 export type Peer = { node: string; addr: Address; proxy: boolean }
 
 /** Content of a node's own summaries. */
-export type Saying = {
+export type OwnSummary = {
   /** The part for all receivers, computed from the summaries received from other nodes. */
-  all: (heard: Summary[]) => CommonSummary
+  commonSummary: (heard: Summary[]) => CommonSummary
   /** The observations of instances that this receiver needs. */
-  seenFor: (node: string) => { seen: [string, number][]; bad: [string, number][] }
+  observationsFor: (node: string) => { seen: [string, number][]; bad: [string, number][] }
 }
 
 /** Encodes a summary as one datagram; if it is too long, drops tries first, then also seen. */
@@ -51,15 +51,15 @@
 }
 
 /** Starts to send and receive summaries. source: content of the summaries of this node. */
-export async function startPeers(
+export async function startSummaryExchange(
   world: World,
   addr: Address,
   stop: Flag,
   members: () => Peer[],
-  source: Saying,
+  source: OwnSummary,
   metrics: Metrics,
   onReceived: (summary: Summary) => void,
-): Promise<Peers> {
+): Promise<SummaryExchange> {
   const received = makeHeardSummaries(world)
   const schedule = makeSummarySchedule(world)
   const sendNow = makeSignal()
@@ -73,12 +73,12 @@
   const wire = await world.bindDatagrams(addr, receive)
 
   function send(): void {
-    const common = source.all(received.current())
+    const common = source.commonSummary(received.current())
     const peers = members()
     const isDue = schedule.isDue(common, countReceivers(peers))
     for (const peer of peers) {
       if (peer.addr === addr) continue
-      const { seen, bad } = source.seenFor(peer.node)
+      const { seen, bad } = source.observationsFor(peer.node)
       const isNeeded = seen.length > 0 || bad.length > 0 || (isDue && peer.proxy)
       if (isNeeded) wire.send(peer.addr, encodeSummary({ ...common, seen, bad }))
     }
@@ -88,5 +88,5 @@
   async function close(): Promise<void> {
     wire.close()
   }
-  return { hints: received.current, ring: sendNow.notify, close }
+  return { currentSummaries: received.current, sendNow: sendNow.notify, close }
 }
--- a/packages/register/src/delta.ts
+++ b/packages/register/src/delta.ts
@@ -147,11 +147,11 @@
 /** The delta from base to next; undefined if it isn't smaller than next itself. */
 export function makeDelta(base: unknown, next: unknown): Delta | undefined {
   const delta = diff(base, next, 0)
-  return bytesOf(delta) < bytesOf(next) ? delta : undefined
+  return encodedSizeOf(delta) < encodedSizeOf(next) ? delta : undefined
 }
 
 /** Encoded size, as on a link and on disk. */
-export function bytesOf(x: unknown): number {
+export function encodedSizeOf(x: unknown): number {
   return encode(x).length
 }
 
--- a/packages/register/src/group-record.ts
+++ b/packages/register/src/group-record.ts
@@ -62,7 +62,7 @@
 }
 
 /** The signed-off instances of a record, which are kept when the leader changes. */
-export function departedOf({ departed }: GroupRecord): Pick<GroupRecord, 'departed'> {
+export function departedFieldOf({ departed }: GroupRecord): Pick<GroupRecord, 'departed'> {
   return departed === undefined ? {} : { departed }
 }
 
@@ -89,7 +89,7 @@
 export const SHARES_KEY = 'slots'
 
 /** Index of the node's slot; -1: it has none. */
-export function shareOf(slots: ConnectionShare[], node: string): number {
+export function slotIndexOf(slots: ConnectionShare[], node: string): number {
   for (const [index, slot] of slots.entries()) if (slot?.node === node) return index
   return -1
 }
--- a/packages/register/src/messages.ts
+++ b/packages/register/src/messages.ts
@@ -219,12 +219,12 @@
     : bHeardAt > aHeardAt
 }
 /** Text that differs when the content of a status has changed; its age and sequence don't count as content. */
-export function signStatus(status: InstanceStatus): string {
+export function statusFingerprintOf(status: InstanceStatus): string {
   const leaving = hasSignedOff(status) ? 'signed off' : String(status.leaving)
   return `${status.group} ${status.addr} ${status.area} ${status.role} ${leaving}`
 }
 /** The later of two statuses of one instance, with the earliest time at which either says that it began to leave. */
-export function laterStatus(
+export function latestStatusOf(
   previous: { status: InstanceStatus; at: number } | undefined,
   next: InstanceStatus,
   at: number,
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -3,7 +3,7 @@
 import { CoreSet, type Quorum } from './core-set.js'
 import { makeDelta } from './delta.js'
 import type { RegisterValue } from './register-store.js'
-import { valueOf, type HeldValue } from './values.js'
+import { resolveValue, type HeldValue } from './values.js'
 import type { GetAnswer } from './messages.js'
 
 /**
@@ -18,7 +18,8 @@
 }
 
 /** Outcome of a change or a read. Not done: the change may have been committed or not, and may still be committed. */
-export type Committed = { done: true; value: RegisterValue | undefined; ballot: Ballot } | { done: false; why: string }
+export type RegisterOutcome =
+  { done: true; value: RegisterValue | undefined; ballot: Ballot } | { done: false; why: string }
 
 /** Computes a new body and tag from the present value; undefined leaves the value unchanged. */
 export type RegisterEdit = (current: RegisterValue | undefined) => { body: unknown; tag: string } | undefined
@@ -29,14 +30,14 @@
    * Runs rounds until one commits. The edit may be called several times, because a round with an unknown outcome is
    * read back: the edit must recognise its own earlier change by its tag.
    */
-  change: (key: string, edit: RegisterEdit, limit?: number) => Promise<Committed>
+  change: (key: string, edit: RegisterEdit, limit?: number) => Promise<RegisterOutcome>
   /** Reads the value with a round of its own. */
-  read: (key: string, limit?: number) => Promise<Committed>
+  read: (key: string, limit?: number) => Promise<RegisterOutcome>
   /**
    * Reads the value without a ballot. Many readers whose rounds raise the ballots would get every other proposer's
    * change rejected. A round is run only if the answers of the quorum differ.
    */
-  look: (key: string, limit?: number) => Promise<Committed>
+  look: (key: string, limit?: number) => Promise<RegisterOutcome>
 }
 
 /** Answer of a voter to prepare, accept or get; undefined: it didn't answer in time. */
@@ -54,7 +55,7 @@
   | undefined
 
 /** Answer of one voter. */
-export type VoterAnswer<T> = { id: string; val: T }
+export type VoterAnswer<T> = { id: string; answer: T }
 
 /**
  * Collects the answers of voters. Ends when the voters that accepted form a quorum, when a quorum has become
@@ -84,7 +85,7 @@
     }
     async function collect(id: string, pendingAnswer: Promise<T>): Promise<void> {
       const val = await pendingAnswer
-      answers.push({ id, val })
+      answers.push({ id, answer: val })
       if (isOk(val)) accepted.add(id)
       else acceptedOrPending.delete(id)
       if (quorum.met(accepted) || !quorum.met(acceptedOrPending)) end()
@@ -126,7 +127,7 @@
   /** heldValue: the value whose ballot the question named; `same` in an answer refers to this value only. */
   function positiveVotesOf(votes: VoterAnswer<Vote>[], heldValue: HeldValue | undefined): PositiveVote[] {
     const positiveVotes: PositiveVote[] = []
-    for (const { id, val } of votes) {
+    for (const { id, answer: val } of votes) {
       if (!val?.ok) continue
       const ballot = val.ballot ?? ZERO_BALLOT
       if (val.same !== true) positiveVotes.push({ id, ballot, value: val.value })
@@ -152,7 +153,7 @@
     return ids
   }
   /** One Paxos round: prepare, and accept unless the edit leaves a value unchanged that is committed already. */
-  async function runRound(key: string, edit: RegisterEdit): Promise<Committed> {
+  async function runRound(key: string, edit: RegisterEdit): Promise<RegisterOutcome> {
     const roundVoters = voters()
     const roundQuorum = quorum()
     const { epoch } = roundQuorum
@@ -165,7 +166,7 @@
       pendingPromises.push({ id: voter.id, got: voter.ask(message, ROUND_TIMEOUT_MS) as Promise<Vote> })
     }
     const prepareVotes = await gatherQuorum(world, pendingPromises, roundQuorum, isOk, ROUND_TIMEOUT_MS)
-    for (const answer of prepareVotes) recordVote(answer.val)
+    for (const answer of prepareVotes) recordVote(answer.answer)
     const promises = positiveVotesOf(prepareVotes, heldValue)
     if (!roundQuorum.met(idsOf(promises))) return { done: false, why: 'no majority promised' }
     // Promises are valid for ROUND_TIMEOUT_MS only: a core that lost its disk since may have forgotten its promise.
@@ -202,8 +203,8 @@
     const acceptVotes = await gatherQuorum(world, pendingAccepts, roundQuorum, isOk, ROUND_TIMEOUT_MS)
     const accepted = new Set<string>()
     for (const vote of acceptVotes) {
-      recordVote(vote.val)
-      if (vote.val?.ok) accepted.add(vote.id)
+      recordVote(vote.answer)
+      if (vote.answer?.ok) accepted.add(vote.id)
     }
     if (!roundQuorum.met(accepted)) return { done: false, why: 'no majority accepted' }
     sendLearn(roundVoters, key, ballot)
@@ -213,7 +214,7 @@
   function sendLearn(roundVoters: Voter[], key: string, ballot: Ballot): void {
     for (const voter of roundVoters) voter.tell({ t: 'learn', key, ballot })
   }
-  async function change(key: string, edit: RegisterEdit, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
+  async function change(key: string, edit: RegisterEdit, limit = CHANGE_TIMEOUT_MS): Promise<RegisterOutcome> {
     const deadline = world.now() + limit
     let backoffFactor = 0
     for (;;) {
@@ -226,21 +227,21 @@
   function leaveUnchanged(): undefined {
     return undefined
   }
-  function read(key: string, limit?: number): Promise<Committed> {
+  function read(key: string, limit?: number): Promise<RegisterOutcome> {
     return change(key, leaveUnchanged, limit)
   }
   /** Sends a get and resolves an answer by deltas to the value that it stands for. */
   async function askValue(voter: Voter, message: unknown, heldValue: HeldValue | undefined): Promise<Vote> {
     const answer = (await voter.ask(message, ROUND_TIMEOUT_MS)) as Vote | GetAnswer
     if (!answer || !('deltas' in answer)) return answer as Vote
-    const value = heldValue && valueOf(answer, heldValue)
+    const value = heldValue && resolveValue(answer, heldValue)
     return value ? { ok: true, ballot: answer.ballot, value } : undefined
   }
   /**
    * A value that a quorum accepted at one ballot is committed. If a later value had been committed before this read
    * began, at least one voter of the quorum would have answered with it.
    */
-  async function readWithoutBallot(key: string, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
+  async function readWithoutBallot(key: string, limit = CHANGE_TIMEOUT_MS): Promise<RegisterOutcome> {
     const roundVoters = voters()
     const roundQuorum = quorum()
     const { epoch } = roundQuorum
@@ -252,7 +253,7 @@
       pendingAnswers.push({ id: voter.id, got: askValue(voter, message, heldValue) })
     }
     const votes = await gatherQuorum(world, pendingAnswers, roundQuorum, isOk, ROUND_TIMEOUT_MS)
-    for (const answer of votes) recordVote(answer.val)
+    for (const answer of votes) recordVote(answer.answer)
     const positiveVotes = positiveVotesOf(votes, heldValue)
     let isUnanimous = roundQuorum.met(idsOf(positiveVotes))
     for (const vote of positiveVotes)
--- a/packages/register/src/proxy-messages.ts
+++ b/packages/register/src/proxy-messages.ts
@@ -14,11 +14,11 @@
  * One register in a feed. until: monotonic time of this machine until which the proxy may use this turn (version) of
  * the register. body is missing if the proxy has acknowledged the turn already.
  */
-export const FedEntry = t.intersection([
+export const FeedEntry = t.intersection([
   t.type({ key: t.string, turn: t.number, until: t.number }),
   t.partial({ body: t.unknown }),
 ])
-export type FedEntry = t.TypeOf<typeof FedEntry>
+export type FeedEntry = t.TypeOf<typeof FeedEntry>
 
 /**
  * Feed from an agent to its proxy. moving: [group, epoch] of which some node knows that a promotion is in progress.
@@ -29,7 +29,7 @@
   t: t.literal('feed'),
   node: t.string,
   area: t.string,
-  cells: t.array(FedEntry),
+  cells: t.array(FeedEntry),
   sights: t.array(InstanceStatus),
   moving: t.array(t.tuple([t.string, t.number])),
   leaving: t.array(t.string),
--- a/packages/register/src/pushes.ts
+++ b/packages/register/src/pushes.ts
@@ -1,6 +1,6 @@
 import { DELTA_LINK_VERSION, MAX_KEPT_DELTAS, type Hello, type Link, type Metrics } from '@claynotch/base'
 import { compareBallots, type Ballot } from './ballot.js'
-import { bytesOf, makeDelta, type Delta } from './delta.js'
+import { encodedSizeOf, makeDelta, type Delta } from './delta.js'
 import type { AcceptedListener, RegisterEntry, RegisterStore, RegisterValue } from './register-store.js'
 import type { Deltas } from './messages.js'
 
@@ -18,9 +18,9 @@
 /** The latest changes that this core accepted to each register, as deltas from one ballot to the next. */
 export type DeltaChains = {
   /** Records an accepted value. */
-  taken: AcceptedListener
+  recordAccepted: AcceptedListener
   /** The deltas from the value at one ballot to the value at the other; undefined: not kept, or no shorter than it. */
-  path: (key: string, from: Ballot, to: Ballot) => Delta[] | undefined
+  deltasBetween: (key: string, from: Ballot, to: Ballot) => Delta[] | undefined
 }
 
 /** Makes empty chains. */
@@ -39,8 +39,8 @@
       chains.delete(key)
       return
     }
-    const chain = chains.get(key) ?? { steps: [], bytes: 0, wholeBytes: bytesOf(after.value) }
-    const bytes = bytesOf(delta)
+    const chain = chains.get(key) ?? { steps: [], bytes: 0, wholeBytes: encodedSizeOf(after.value) }
+    const bytes = encodedSizeOf(delta)
     chain.steps.push({ base: before.ballot, ballot: after.ballot, delta, bytes })
     chain.bytes += bytes
     while (chain.steps.length > MAX_KEPT_DELTAS || chain.bytes >= chain.wholeBytes)
@@ -61,7 +61,7 @@
     }
     return undefined
   }
-  return { taken: recordAccepted, path: deltasBetween }
+  return { recordAccepted: recordAccepted, deltasBetween: deltasBetween }
 }
 
 /**
@@ -79,16 +79,16 @@
 
 /** Pushes of one core to the agents on its links. */
 export type Pushes = {
-  linked: (link: Link, peer: Hello) => void
-  lost: (link: Link) => void
+  addLink: (link: Link, peer: Hello) => void
+  removeLink: (link: Link) => void
   /** Sends all committed registers that the agent doesn't hold, and pushes changes from then on. */
   subscribe: (link: Link, have: [string, Ballot][]) => void
   unsubscribe: (link: Link) => void
-  acked: (link: Link, num: number) => void
+  recordAck: (link: Link, num: number) => void
   /** Pushes the register if the value that this core holds is committed and on disk. */
   push: (key: string) => void
   /** The nodes of the linked agents. */
-  nodes: () => string[]
+  linkedNodes: () => string[]
   closeAll: () => void
 }
 
@@ -124,7 +124,7 @@
     const base = subscriber.heldBallots?.get(key)
     if (!base) return { value }
     if (compareBallots(base, entry.ballot) >= 0) return undefined
-    const deltas = chains.path(key, base, entry.ballot)
+    const deltas = chains.deltasBetween(key, base, entry.ballot)
     return deltas ? { base, deltas } : { value }
   }
   function pushTo(link: Link, subscriber: Subscriber, key: string, entry: RegisterEntry): void {
@@ -171,13 +171,13 @@
     for (const link of agents.keys()) link.close()
   }
   return {
-    linked: addLink,
-    lost: removeLink,
+    addLink: addLink,
+    removeLink: removeLink,
     subscribe,
     unsubscribe,
-    acked: recordAck,
+    recordAck: recordAck,
     push,
-    nodes: linkedNodes,
+    linkedNodes: linkedNodes,
     closeAll,
   }
 }
--- a/packages/register/src/renewals.ts
+++ b/packages/register/src/renewals.ts
@@ -2,7 +2,7 @@
 import { makeChangeTable } from './core-view.js'
 import type { Leases } from './leases.js'
 import {
-  signStatus,
+  statusFingerprintOf,
   type RegisterSummary,
   type MemberEntry,
   type LeaseRenewal,
@@ -26,7 +26,7 @@
   const count = { at: 0 }
   const keyTable = makeChangeTable(count, registerFingerprintOf)
   const memberTable = makeChangeTable(count, memberFingerprintOf)
-  const instanceTable = makeChangeTable(count, signStatus)
+  const instanceTable = makeChangeTable(count, statusFingerprintOf)
 
   /** Revision of the members and instances in the tables; the tables are updated only when it has changed. */
   let tableRevision = -1
--- a/packages/register/src/values.ts
+++ b/packages/register/src/values.ts
@@ -11,7 +11,7 @@
  * The value that an answer or a push stands for, if the receiver holds this value: the same value, deltas applied to
  * it, or a whole value. undefined: the deltas have another base, or the message is invalid.
  */
-export function valueOf(message: unknown, held: HeldValue | undefined): RegisterValue | undefined {
+export function resolveValue(message: unknown, held: HeldValue | undefined): RegisterValue | undefined {
   const content = message as { ballot: Ballot; same?: true; value?: unknown }
   if (content.same === true) return held && compareBallots(held.ballot, content.ballot) === 0 ? held.value : undefined
   const deltas = readAs(Deltas, message)
--- a/packages/table-cache/src/admission-watch.ts
+++ b/packages/table-cache/src/admission-watch.ts
@@ -1,12 +1,12 @@
 import type { World } from '@claynotch/base'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 import { admit, barredOf } from './lock-record.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
 
 /** Admits suspended and excluded readers again once they hold the present version. */
 export type AdmissionWatch<T> = {
   /** Handles a committed value: admits the barred readers that have returned. */
-  look: (value: TableValue<T>) => Promise<void>
+  admitReturned: (value: TableValue<T>) => Promise<void>
 }
 
 /**
@@ -34,7 +34,7 @@
     if (!missingReaders) return
     function hasReturned(reader: string): boolean {
       const observedAt = suspendedAt.get(reader)
-      if (observedAt !== undefined && !hasPassed(world.now() - observedAt, 2 * lock.readLeaseMs)) return false
+      if (observedAt !== undefined && !hasExpired(world.now() - observedAt, 2 * lock.readLeaseMs)) return false
       return !missingReaders!.includes(reader)
     }
     const returned = barredOf(lock).filter(hasReturned)
@@ -45,5 +45,5 @@
     }
     await store.change(edit)
   }
-  return { look: admitReturned }
+  return { admitReturned: admitReturned }
 }
--- a/packages/table-cache/src/lease-times.ts
+++ b/packages/table-cache/src/lease-times.ts
@@ -5,6 +5,6 @@
  * a node that waits for the expiry counts from after the commit that prevents a renewal, and waits longer by the limit
  * of the drift between the two clocks.
  */
-export function hasPassed(elapsedMs: number, leaseMs: number): boolean {
+export function hasExpired(elapsedMs: number, leaseMs: number): boolean {
   return elapsedMs > leaseMs * (1 + CLOCK_DRIFT_LIMIT)
 }
--- a/packages/table-cache/src/lock-record.ts
+++ b/packages/table-cache/src/lock-record.ts
@@ -1,6 +1,6 @@
 import { Err, Ok, type Result } from '@claynotch/base'
 import * as t from 'io-ts'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 
 /**
  * Lock record of one table. The operations on it are pure: the store commits their result together with the table in
@@ -152,6 +152,6 @@
 ): Result<LockRecord, LockRejection> {
   if (record.lockType !== 'WRITE') return Err('not locked')
   if (record.token !== token) return Err('held by another')
-  if (!hasPassed(elapsedMs, record.leaseMs)) return Err('lease still runs')
+  if (!hasExpired(elapsedMs, record.leaseMs)) return Err('lease still runs')
   return Ok(unlocked(record))
 }
--- a/packages/table-cache/src/orphan-watch.ts
+++ b/packages/table-cache/src/orphan-watch.ts
@@ -1,12 +1,12 @@
 import type { World } from '@claynotch/base'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 import { cleanOrphanLock } from './lock-record.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
 
 /** Clears a write lock whose lease has expired. */
 export type OrphanWatch<T> = {
   /** Records the lock of a committed value. */
-  see: (value: TableValue<T>) => void
+  observe: (value: TableValue<T>) => void
   /** Clears the latest lock that was observed if its lease has expired. Returns whether the lock was cleared. */
   clearIfDue: () => Promise<boolean>
 }
@@ -28,7 +28,7 @@
   }
   async function clearIfDue(): Promise<boolean> {
     const orphan = observed
-    if (!orphan || !hasPassed(world.now() - orphan.observedAt, orphan.leaseMs)) return false
+    if (!orphan || !hasExpired(world.now() - orphan.observedAt, orphan.leaseMs)) return false
     let isCleared = false
     function edit({ lock, table }: TableValue<T>): ReturnType<TableEdit<T>> {
       const cleared = cleanOrphanLock(lock, orphan!.token, world.now() - orphan!.observedAt)
@@ -41,5 +41,5 @@
     if (isCleared) world.log.warn('orphan-lock-cleared', { table: committed.value.lock.tid, token: orphan.token })
     return isCleared
   }
-  return { see: observe, clearIfDue }
+  return { observe: observe, clearIfDue }
 }
--- a/packages/table-cache/src/reader.ts
+++ b/packages/table-cache/src/reader.ts
@@ -11,7 +11,7 @@
  */
 export type TableReader<T> = {
   /** Applies a committed value, for example from a push. */
-  hear: (value: TableValue<T>) => void
+  applyCommitted: (value: TableValue<T>) => void
   /** LockForRead and RenewLease: one read from a majority. Returns whether the lease was extended. */
   renew: () => Promise<boolean>
   /** Calls use synchronously if the lease is valid, else returns undefined. use mustn't keep any part of the table. */
@@ -69,5 +69,5 @@
     if (!cached || !mayServe(cached.lock, name, leaseExpiresAt, world.now())) return undefined
     return use(cached.table, cached.version)
   }
-  return { hear: applyCommitted, renew, serve }
+  return { applyCommitted: applyCommitted, renew, serve }
 }
--- a/packages/table-cache/src/writer.ts
+++ b/packages/table-cache/src/writer.ts
@@ -8,7 +8,7 @@
   TABLE_CHANGE_TIMEOUT_MS,
   type World,
 } from '@claynotch/base'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 import { barredOf, isHeldBy, lockForWrite, suspend, withClaim, writeAndUnlock } from './lock-record.js'
 import { makeOrphanWatch } from './orphan-watch.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
@@ -17,13 +17,13 @@
  * Result of a change for one table. verdict: the caller's answer. table: the new table; missing if nothing changes.
  * isNote: readers behave the same with the old and the new table, so it is written without the lock.
  */
-export type Judgement<T, V> = { verdict: V; table?: T; isNote?: boolean }
+export type ChangeResult<T, V> = { verdict: V; table?: T; needsNoLock?: boolean }
 
 /**
  * Computes a change; pure. It may be called again with later tables, and must then recognise its own earlier effect
  * and give the same verdict as before.
  */
-export type TableChange<T, V> = (table: T) => Judgement<T, V>
+export type TableChange<T, V> = (table: T) => ChangeResult<T, V>
 
 /** What a writer needs from its node. */
 export type WriterView<T> = {
@@ -31,7 +31,7 @@
   name: string
   store: TableStore<T>
   /** Readers that may hold a lease and haven't acknowledged this or a later version; undefined: not all are known. */
-  missing: (version: number) => Promise<string[] | undefined>
+  unacknowledgedReaders: (version: number) => Promise<string[] | undefined>
 }
 
 /**
@@ -52,7 +52,7 @@
  * outcome is unknown. deadline: local time (ms).
  */
 type PendingChange<T> = {
-  evaluate: (table: T) => Judgement<T, unknown>
+  evaluate: (table: T) => ChangeResult<T, unknown>
   settle: () => void
   drop: () => void
   deadline: number
@@ -87,7 +87,7 @@
     resolve: (verdict: V | undefined) => void,
   ): PendingChange<T> {
     let verdict: V | undefined
-    function evaluate(table: T): Judgement<T, V> {
+    function evaluate(table: T): ChangeResult<T, V> {
       const result = change(table)
       verdict = result.verdict
       return result
@@ -121,11 +121,11 @@
     const changesBeforeRead = [...pendingChanges]
     const current = await store.read()
     if (!current) return false
-    orphans.see(current)
+    orphans.observe(current)
     const noOps: PendingChange<T>[] = []
     const lockFreeChanges: PendingChange<T>[] = []
     for (const change of changesBeforeRead) {
-      const { table, isNote: needsNoLock } = change.evaluate(current.table)
+      const { table, needsNoLock: needsNoLock } = change.evaluate(current.table)
       if (table === undefined) noOps.push(change)
       else if (needsNoLock) lockFreeChanges.push(change)
     }
@@ -141,7 +141,7 @@
       for (const change of lockFreeChanges) {
         const result = change.evaluate(next)
         // The table has changed since it was read, and this change now needs the lock.
-        if (result.table !== undefined && !result.isNote) continue
+        if (result.table !== undefined && !result.needsNoLock) continue
         next = result.table ?? next
         written.push(change)
       }
@@ -161,7 +161,7 @@
     if (!claim || claim.holder.startsWith(`${view.name}#`)) return false
     if (observedClaim?.holder !== claim.holder || observedClaim.leaseMs !== claim.leaseMs)
       observedClaim = { ...claim, observedAt: world.now() }
-    return !hasPassed(world.now() - observedClaim.observedAt, claim.leaseMs)
+    return !hasExpired(world.now() - observedClaim.observedAt, claim.leaseMs)
   }
   /** Commits a version that changes only the lock record: sets this writer's claim and suspends these readers. */
   async function commitClaim(
@@ -179,7 +179,7 @@
     }
     const committed = await store.change(edit)
     if (!committed.done) return undefined
-    orphans.see(committed.value)
+    orphans.observe(committed.value)
     return isFree ? { value: committed.value, committedAt: world.now() } : undefined
   }
   /**
@@ -197,8 +197,8 @@
       return !excluded.includes(reader)
     }
     for (;;) {
-      if (hasPassed(world.now() - committedAt, readLeaseMs)) return []
-      const missing = (await view.missing(value.version))?.filter(isNotExcluded)
+      if (hasExpired(world.now() - committedAt, readLeaseMs)) return []
+      const missing = (await view.unacknowledgedReaders(value.version))?.filter(isNotExcluded)
       if (missing?.length === 0) return []
       if (world.now() - committedAt >= timeoutMs) return missing
       await pause(world, pollIntervalMs)
@@ -240,12 +240,12 @@
     const committed = await store.change(edit)
     if (!committed.done) return undefined
     const { value } = committed
-    orphans.see(value)
+    orphans.observe(value)
     return isHeldBy(value.lock, holder) ? { holder, value, committedAt: world.now() } : undefined
   }
   /** Applies the changes to the table and releases the lock in one commit; without changes, only releases the lock. */
   async function writeAndRelease({ holder, value }: HeldLock<T>, changes: PendingChange<T>[]): Promise<boolean> {
-    const missing = barredOf(value.lock).length > 0 ? await view.missing(value.version) : []
+    const missing = barredOf(value.lock).length > 0 ? await view.unacknowledgedReaders(value.version) : []
     let isHeld = false
     function edit(current: TableValue<T>): ReturnType<TableEdit<T>> {
       const unlocked = writeAndUnlock(current.lock, holder, value.lock.token, missing)
@@ -257,7 +257,7 @@
     }
     const committed = await store.change(edit)
     if (!committed.done) return false
-    orphans.see(committed.value)
+    orphans.observe(committed.value)
     return isHeld
   }
   /** One attempt to write all pending changes under the lock. */
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -839,7 +839,7 @@
     rule: 'a stale push is applied to a later value',
     test: 'deltas.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/values.js', '|| compareBallots(held.ballot, told.base) !== 0', '']],
+    edits: [['register/dist/values.js', '|| compareBallots(held.ballot, message.base) !== 0', '']],
   },
   {
     name: 'same-any-ballot',
@@ -848,7 +848,11 @@
     seeds: [1, 2],
     edits: [
       ['register/dist/core-messages.js', '|| compareBallots(promise.ballot, have) !== 0', ''],
-      ['register/dist/proposer.js', 'else if (have && compareBallots(ballot, have.ballot) === 0)', 'else if (have)'],
+      [
+        'register/dist/proposer.js',
+        'else if (heldValue && compareBallots(ballot, heldValue.ballot) === 0)',
+        'else if (heldValue)',
+      ],
     ],
   },
   {
@@ -935,8 +939,8 @@
     test: 'platform/dist/test/answers.test.js',
     seeds: [1, 1],
     edits: [
-      ['../platform/dist/instance.js', 'if (!wait || !fits(word)', 'if (!fits(word)'],
-      ['../platform/dist/instance.js', 'wait(Ok(end));', 'wait?.(Ok(end));'],
+      ['../platform/dist/instance.js', 'if (!settlePending || !isExpected(word)', 'if (!isExpected(word)'],
+      ['../platform/dist/instance.js', 'settlePending(Ok(answer));', 'settlePending?.(Ok(answer));'],
     ],
   },
   {
@@ -945,7 +949,7 @@
     rule: 'a part of a line that comes while nothing is asked closes the connection',
     test: 'platform/dist/test/answers.test.js',
     seeds: [1, 1],
-    edits: [['../platform/dist/instance.js', 'if (!wait && begun() > 0)', 'if (false)']],
+    edits: [['../platform/dist/instance.js', 'if (!settlePending && unfinishedBytes() > 0)', 'if (false)']],
   },
   {
     on: 'platform',
@@ -953,7 +957,7 @@
     rule: 'an answer has its words in order, and one end',
     test: 'platform/dist/test/answers.test.js',
     seeds: [1, 1],
-    edits: [['../platform/dist/instance.js', '!fits(word) ||', '']],
+    edits: [['../platform/dist/instance.js', '!isExpected(word) ||', '']],
   },
   {
     on: 'platform',
@@ -972,8 +976,9 @@
     edits: [
       [
         '../platform/dist/instance.js',
-        "end(Err(broken('maybe', 'timeout'))); close();",
-        "end(Err(broken('maybe', 'timeout')));",
+        `settle(Err(connectionError('maybe', 'timeout')));
+                close();`,
+        "settle(Err(connectionError('maybe', 'timeout')));",
       ],
     ],
   },
@@ -983,7 +988,7 @@
     rule: 'a connection in another state than was asked for is closed',
     test: 'platform/dist/test/answers.test.js',
     seeds: [1, 1],
-    edits: [['../platform/dist/instance.js', 'if (state !== next)', 'if (false)']],
+    edits: [['../platform/dist/instance.js', 'if (state !== expectedState)', 'if (false)']],
   },
   {
     on: 'platform',
@@ -991,7 +996,13 @@
     rule: 'a refused statement leaves the connection at rest, or it is closed',
     test: 'platform/dist/test/answers.test.js',
     seeds: [1, 1],
-    edits: [['../platform/dist/instance.js', "if ((was === 'I' || next === 'I') && state !== 'I')", 'if (false)']],
+    edits: [
+      [
+        '../platform/dist/instance.js',
+        "if ((previousState === 'I' || expectedState === 'I') && state !== 'I')",
+        'if (false)',
+      ],
+    ],
   },
   {
     on: 'platform',
@@ -999,7 +1010,9 @@
     rule: 'a connection whose COMMIT was refused is lent again only at rest',
     test: 'platform/dist/test/answers.test.js',
     seeds: [1, 1],
-    edits: [['../platform/dist/instance.js', "(was === 'I' || next === 'I')", "was === 'I'"]],
+    edits: [
+      ['../platform/dist/instance.js', "(previousState === 'I' || expectedState === 'I')", "previousState === 'I'"],
+    ],
   },
   {
     name: 'beat-before-told',
@@ -1125,8 +1138,8 @@
     edits: [
       [
         '../platform/dist/control.js',
-        'if (!desk.recordAnnouncement(got.val))',
-        'if (!desk.recordAnnouncement(got.val) && false)',
+        'if (!service.recordAnnouncement(announcement.val))',
+        'if (!service.recordAnnouncement(announcement.val) && false)',
       ],
     ],
   },
@@ -1184,7 +1197,7 @@
     rule: 'an order is refused for the sake of a value that is not chosen',
     test: 'orders.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/proposer.js', 'if (enough.met(same)) {', 'if (true) {']],
+    edits: [['register/dist/proposer.js', 'if (roundQuorum.met(highestHolders)) {', 'if (true) {']],
   },
   {
     name: 'told-unsettled',
@@ -1201,7 +1214,11 @@
     test: 'platform/dist/test/orders.test.js',
     seeds: [1, 1],
     edits: [
-      ['../platform/dist/control.js', '`${ask.path} ${base} ${text}`', '`${ask.path} ${base} ${change.val.epoch}`'],
+      [
+        '../platform/dist/control.js',
+        '`${request.path} ${baseRevision} ${bodyText}`',
+        '`${request.path} ${baseRevision} ${change.val.epoch}`',
+      ],
     ],
   },
   {
@@ -1238,7 +1255,7 @@
     rule: 'a core walks its tables only when something changed',
     test: 'cost.test.js',
     seeds: [1, 1],
-    edits: [['register/dist/renewals.js', 'if (revision === tallied)', 'if (false)']],
+    edits: [['register/dist/renewals.js', 'if (revision === tableRevision)', 'if (false)']],
   },
   {
     name: 'duties-everywhere',
@@ -1284,7 +1301,9 @@
     rule: 'what a node hears of the others is bounded',
     test: 'summaries.test.js',
     seeds: [1, 1],
-    edits: [['peer/dist/summary-schedule.js', 'const spacing = receivers * SUMMARY_SPACING_MS;', 'const spacing = 0;']],
+    edits: [
+      ['peer/dist/summary-schedule.js', 'const spacingMs = receivers * SUMMARY_SPACING_MS;', 'const spacingMs = 0;'],
+    ],
   },
   {
     name: 'scarce-kept-idle',
@@ -1602,7 +1621,7 @@
     rule: 'CONFIG: a node serves a table only while its lease holds (table cache, 1)',
     test: 'table-cache-model.test.js',
     seeds: [1, 1],
-    edits: [['table-cache/dist/reader.js', 'return now < leaseEndsAt;', 'return true;']],
+    edits: [['table-cache/dist/reader.js', 'return now < leaseExpiresAt;', 'return true;']],
   },
   {
     name: 'table-served-while-locked',
@@ -1616,7 +1635,7 @@
     rule: 'CONFIG: a writer waits past the last read lease (table cache, 2)',
     test: 'table-cache-model.test.js',
     seeds: [1, 1],
-    edits: [['table-cache/dist/writer.js', 'if (hasPassed(world.now() - since, readLeaseMs))', 'if (true)']],
+    edits: [['table-cache/dist/writer.js', 'if (hasExpired(world.now() - committedAt, readLeaseMs))', 'if (true)']],
   },
   {
     name: 'table-drift-ignored',
@@ -1640,10 +1659,10 @@
     test: 'table-cache-model.test.js',
     seeds: [1, 1],
     edits: [
-      ['table-cache/dist/lock-record.js', 'if (!hasPassed(elapsedMs, record.leaseMs))', 'if (false)'],
+      ['table-cache/dist/lock-record.js', 'if (!hasExpired(elapsedMs, record.leaseMs))', 'if (false)'],
       [
         'table-cache/dist/orphan-watch.js',
-        'if (!orphan || !hasPassed(world.now() - orphan.at, orphan.leaseMs))',
+        'if (!orphan || !hasExpired(world.now() - orphan.observedAt, orphan.leaseMs))',
         'if (!orphan)',
       ],
     ],
@@ -1656,8 +1675,10 @@
     edits: [
       [
         'table-cache/dist/lock-record.js',
-        "if (record.token !== token)\n        return Err('held by another');\n    if (!hasPassed(elapsedMs",
-        'if (!hasPassed(elapsedMs',
+        `if (record.token !== token)
+        return Err('held by another');
+    if (!hasExpired(elapsedMs`,
+        'if (!hasExpired(elapsedMs',
       ],
     ],
   },
@@ -1683,7 +1704,11 @@
     test: 'table-cache-model.test.js',
     seeds: [1, 1],
     edits: [
-      ['table-cache/dist/writer.js', 'return !hasPassed(world.now() - claimed.at, claim.leaseMs);', 'return false;'],
+      [
+        'table-cache/dist/writer.js',
+        'return !hasExpired(world.now() - observedClaim.observedAt, claim.leaseMs);',
+        'return false;',
+      ],
     ],
   },
   {
