--- a/packages/agent/src/quota-directory.ts
+++ b/packages/agent/src/quota-directory.ts
@@ -4,10 +4,12 @@
 import type { Membership } from './membership.js'
 import type { RegisterCache } from './register-cache.js'
 
-/** Who counts a slot now, as far as it is known here. link: to the core beside it, where it can be asked. */
+/**
+ * The holder of a slot, as known here. link is the link to the core of its machine; undefined: it can't be asked now.
+ */
 export type SlotHolder = { node: string; term: number; link: PersistentLink | undefined }
 
-/** Finds the holders of quotas' slots: their core machines answer on the link that every agent has to a core that votes. */
+/** Finds the holders of quota slots. They answer on the link that every agent has to each core that votes. */
 export type QuotaDirectory = { holderOf: (slot: number) => SlotHolder | undefined }
 
 export function makeQuotaDirectory(
@@ -20,16 +22,16 @@
     for (const member of membership.list()) {
       if (member.node !== node || !member.core) continue
       const link = links.get(member.core.id)?.link
-      // A core of an earlier version would close the link.
+      // A core of an earlier version would close the link on such a question.
       return link?.up() && (link.peer()?.epoch ?? 0) >= QUOTA_LINK_VERSION ? link : undefined
     }
     return undefined
   }
   function holderOf(slot: number): SlotHolder | undefined {
-    const known = registers.all().get(quotaKey(slot))
-    const holder = readAs(QuotaHolder, known?.value.body)
-    // Whoever was replaced long ago isn't asked by a node that has just come back.
-    if (holder.err || world.now() >= (known?.currentUntil ?? 0)) return undefined
+    const register = registers.all().get(quotaKey(slot))
+    const holder = readAs(QuotaHolder, register?.value.body)
+    // A node that has just rejoined must not ask a holder that was replaced long ago.
+    if (holder.err || world.now() >= (register?.currentUntil ?? 0)) return undefined
     return { node: holder.val.holder, term: holder.val.term, link: linkTo(holder.val.holder) }
   }
   return { holderOf }
--- a/packages/agent/src/quota-holder.ts
+++ b/packages/agent/src/quota-holder.ts
@@ -43,10 +43,16 @@
 import { makeTakeover, type Takeover } from './quota-takeover.js'
 import type { RegisterCache } from './register-cache.js'
 
-// Counts what tenants may use, in agents beside a core that votes: docs/design/quotas.md. Front machines ask over their link to that core.
+/**
+ * The holder of a quota slot grants the allowances of the tenants in that slot. It runs in the agent of a machine whose
+ * core is a voter; the agents of machines with a proxy ask it over their link to that core. The design is described in
+ * docs/design/quotas.md.
+ */
 
+/** What the quota holders need from the agent. */
 export type QuotaHolderView = {
   node: string
+  /** Identifies this process incarnation of the node. */
   life: string
   /** The core in this process. */
   place: () => CoreMember
@@ -55,7 +61,7 @@
   membership: Membership
   coreSet: () => CoreSet
   config: () => Config | undefined
-  /** Up to when this node may hold duties. */
+  /** Local time (ms) until which this node may hold duties. */
   dutyUntil: () => number
   tolerance: QuotaTolerance
 }
@@ -63,164 +69,178 @@
 /**
  * One slot that this node holds.
  *
- * Invariants: there is one for as long as the register names this life of this node, from when that became known here; ledger counts
- * at least what every proxy may use that told of it under this term.
+ * Invariants: an entry exists exactly while the register, as known here, names this process incarnation of this node as
+ * the holder; the ledger counts at least what each proxy that has reported under this term may use.
  */
 type HeldSlot = {
   term: number
-  since: number
-  /** The holder that was replaced, where this node claimed the slot. */
-  before: QuotaHolder | undefined
+  /** Local time (ms) at which the claim became known here. */
+  claimedAt: number
+  /** The holder that this node's claim replaced, if there was one. */
+  predecessor: QuotaHolder | undefined
   ledger: Ledger
   takeover: Takeover
   isReady: boolean
-  /** The register is known to say so, and no call of this node has asked for the opposite since. */
+  /** The register is known to have the reserve as lent, and this node hasn't requested the opposite since. */
   isReserveLent: boolean
+  /** The same for a reserve that is kept. Both are false while a change is in progress. */
   isReserveKept: boolean
-  /** The reserve was kept when this node claimed the slot: it may be granted until the takeover is over. */
+  /** The reserve was kept when this node claimed the slot: it may be granted until the takeover is complete. */
   hasReserve: boolean
-  /** Some tenant needs more than its limit less the reserve. */
+  /** Some tenant needs more than its limit without the reserve. */
   needsReserve: boolean
-  /** Given up: answers nothing more, whether the register says so already or not. */
+  /** Released: the node answers no more questions for the slot, even while the register still names it. */
   isReleased: boolean
 }
 
-/** What isn't named stays as the proxy told it. Who wants more, or holds nothing, is told so. */
-function newsOf(lines: QuotaLine[], grants: QuotaGrant[]): QuotaGrant[] {
+/**
+ * Leaves out the grants that change nothing: a tenant that isn't in the answer keeps what the proxy reported. A tenant
+ * that holds nothing, wants more than it holds or has waiting operations is always included.
+ */
+function changedGrants(lines: QuotaLine[], grants: QuotaGrant[]): QuotaGrant[] {
   const unchanged = new Set<string>()
   const granted = new Map(grants)
   for (const [tenant, held, , wanted, waiting] of lines)
     if (granted.get(tenant) === held && held > 0 && wanted <= held && waiting === 0) unchanged.add(tenant)
-  function isNews([tenant]: QuotaGrant): boolean {
+  function isChanged([tenant]: QuotaGrant): boolean {
     return !unchanged.has(tenant)
   }
-  return grants.filter(isNews)
+  return grants.filter(isChanged)
 }
 
-type TimedRead = { got: MembersRead | undefined; beganAt: number }
+/** The members as a majority knows them, and the local time (ms) at which the read began. */
+type TimedRead = { membersRead: MembersRead | undefined; beganAt: number }
 
 const REFUSED: QuotaRefusal = { ok: false }
-const NOBODY = ''
+/** The holder and life in the register of a slot that nobody holds. */
+const NO_HOLDER = ''
 
-function readHolder(value: RegisterValue | undefined): QuotaHolder | undefined {
+function parseHolder(value: RegisterValue | undefined): QuotaHolder | undefined {
   const holder = value ? readAs(QuotaHolder, value.body) : undefined
   return holder?.ok ? holder.val : undefined
 }
-function isSame(a: QuotaHolder | undefined, b: QuotaHolder | undefined): boolean {
+function isSameHolder(a: QuotaHolder | undefined, b: QuotaHolder | undefined): boolean {
   return a?.holder === b?.holder && a?.life === b?.life && a?.term === b?.term && a?.reserve === b?.reserve
 }
 function hasProxy(member: { proxy: boolean }): boolean {
   return member.proxy
 }
-function nodesOf(members: { node: string }[]): Set<string> {
-  const out = new Set<string>()
-  for (const { node } of members) out.add(node)
-  return out
+function nodeNames(members: { node: string }[]): Set<string> {
+  const names = new Set<string>()
+  for (const { node } of members) names.add(node)
+  return names
 }
 
+/** Starts claiming the slots that fall to this node, and answers the questions for the slots that it holds. */
 export function startQuotaHolders(
   world: World,
   view: QuotaHolderView,
   stop: Flag,
-  changed: Signal,
+  registerChanged: Signal,
   metrics: Metrics,
 ): QuotaService {
   const { node, life, registers, membership } = view
   const held = new Map<number, HeldSlot>()
-  // holdersBefore: what this node's latest claim of a slot was to replace.
-  const holdersBefore = new Map<number, QuotaHolder | undefined>()
+  /** The holder that this node's latest claim of each slot was to replace. */
+  const replacedHolders = new Map<number, QuotaHolder | undefined>()
 
   // --- the register ---
 
   function namesThisLife(holder: QuotaHolder | undefined): holder is QuotaHolder {
     return holder?.holder === node && holder.life === life
   }
-  /** Changes the register where it stands as expected; whether it is known to stand so now. */
-  async function change(
+  /**
+   * Writes the register if its current value is the expected one; returns whether it is known to have the new value.
+   */
+  async function changeRegister(
     slot: number,
-    isExpected: (now: QuotaHolder | undefined) => boolean,
-    next: QuotaHolder,
+    isExpected: (current: QuotaHolder | undefined) => boolean,
+    nextHolder: QuotaHolder,
   ): Promise<boolean> {
     const key = quotaKey(slot)
-    const tag = `${node}~${life}~${next.term}~${world.now()}`
+    const tag = `${node}~${life}~${nextHolder.term}~${world.now()}`
     function edit(value: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
-      const now = readHolder(value)
-      return !isSame(now, next) && isExpected(now) ? { body: next, tag } : undefined
+      const current = parseHolder(value)
+      return !isSameHolder(current, nextHolder) && isExpected(current) ? { body: nextHolder, tag } : undefined
     }
     const beganAt = world.now()
     const committed = await view.proposer.change(key, edit, ROUND_TIMEOUT_MS)
     if (!committed.done || !committed.value) return false
     registers.learn(key, committed.value, committed.ballot, beganAt)
-    return isSame(readHolder(committed.value), next)
+    return isSameHolder(parseHolder(committed.value), nextHolder)
   }
-  function votes(): boolean {
+  function isVoter(): boolean {
     return hasCore(votersOf(view.coreSet()), view.place().id)
   }
-  function isCandidate(slot: number): boolean {
+  /** Whether the slot falls to this node among all nodes whose core is a voter. */
+  function isDesignatedHolder(slot: number): boolean {
     const candidates: string[] = []
     const voters = votersOf(view.coreSet())
     for (const member of membership.list())
       if (member.core && hasCore(voters, member.core.id)) candidates.push(member.node)
-    return votes() && dutyHolderOf(quotaKey(slot), candidates) === node
+    return isVoter() && dutyHolderOf(quotaKey(slot), candidates) === node
   }
-  /** Whether the holder named there holds no lease any more, as a majority shows that has forgotten nobody. */
-  function isGone(before: QuotaHolder, read: MembersRead | undefined): boolean {
-    if (read?.isComplete !== true) return false
-    for (const member of read.members) if (member.node === before.holder && member.life === before.life) return false
+  /** Whether the holder has no lease any more, as shown by a majority that hasn't forgotten any member. */
+  function hasNoLease(holder: QuotaHolder, membersRead: MembersRead | undefined): boolean {
+    if (membersRead?.isComplete !== true) return false
+    for (const member of membersRead.members)
+      if (member.node === holder.holder && member.life === holder.life) return false
     return true
   }
-  /** As renewals tell, which is cheap and may be late. */
+  /** Whether the holder is among the members that lease renewals report. This is cheap, but may be out of date. */
   function isListed(holder: QuotaHolder): boolean {
     for (const member of membership.list())
       if (member.node === holder.holder && member.life === holder.life) return true
     return false
   }
   async function claim(slot: number): Promise<void> {
-    const before = readHolder(registers.value(quotaKey(slot)))
-    // An earlier life of this node has ended with its process.
-    const isFree = !before || before.holder === NOBODY || before.holder === node
-    // The read begins after the holder became known: one that came meanwhile would be missing in an earlier one.
-    if (!isFree && (isListed(before) || !isGone(before, await membership.read()))) return
-    function isBefore(now: QuotaHolder | undefined): boolean {
-      return isSame(now, before)
+    const predecessor = parseHolder(registers.value(quotaKey(slot)))
+    // An earlier process incarnation of this node has ended.
+    const isFree = !predecessor || predecessor.holder === NO_HOLDER || predecessor.holder === node
+    // The read must begin after the holder became known: an earlier read could miss a holder that joined in between.
+    if (!isFree && (isListed(predecessor) || !hasNoLease(predecessor, await membership.read()))) return
+    function isUnchanged(current: QuotaHolder | undefined): boolean {
+      return isSameHolder(current, predecessor)
     }
-    holdersBefore.set(slot, before)
-    // A new holder grants from the reserve until it knows what is out; where nothing was ever granted there is no need to.
-    const reserve = before ? 'lent' : 'kept'
-    await change(slot, isBefore, { holder: node, life, term: (before?.term ?? 0) + 1, reserve })
+    replacedHolders.set(slot, predecessor)
+    // A new holder grants from the reserve until it knows what is outstanding. The first holder doesn't need to,
+    // because nothing was granted before it.
+    const reserve = predecessor ? 'lent' : 'kept'
+    await changeRegister(slot, isUnchanged, { holder: node, life, term: (predecessor?.term ?? 0) + 1, reserve })
   }
-  /** No front machine asks a core that doesn't vote. */
-  async function release(slot: number, one: HeldSlot): Promise<void> {
-    one.isReleased = true
-    const { term } = one
-    const reserve = one.isReserveKept ? 'kept' : 'lent'
-    const isDone = await change(slot, isMine, { holder: NOBODY, life: NOBODY, term, reserve })
-    function isMine(now: QuotaHolder | undefined): boolean {
-      return namesThisLife(now) && now.term === term
+  /** Gives the slot up when this node's core no longer votes, because agents ask only cores that vote. */
+  async function release(slot: number, heldSlot: HeldSlot): Promise<void> {
+    heldSlot.isReleased = true
+    const { term } = heldSlot
+    const reserve = heldSlot.isReserveKept ? 'kept' : 'lent'
+    const isCommitted = await changeRegister(slot, isOwnTerm, { holder: NO_HOLDER, life: NO_HOLDER, term, reserve })
+    function isOwnTerm(holder: QuotaHolder | undefined): boolean {
+      return namesThisLife(holder) && holder.term === term
     }
-    if (isDone) world.log.info('quota-slot-released', { slot, term: one.term })
+    if (isCommitted) world.log.info('quota-slot-released', { slot, term: heldSlot.term })
   }
 
   // --- the slots that this node holds ---
 
-  function follow(slot: number): void {
-    const holder = readHolder(registers.value(quotaKey(slot)))
-    const one = held.get(slot)
+  /** Starts or ends holding the slot as the register says. */
+  function applyRegister(slot: number): void {
+    const holder = parseHolder(registers.value(quotaKey(slot)))
+    const heldSlot = held.get(slot)
     if (!namesThisLife(holder)) held.delete(slot)
-    else if (one?.term !== holder.term) {
-      const since = world.now()
+    else if (heldSlot?.term !== holder.term) {
+      const claimedAt = world.now()
       const { term, reserve } = holder
-      const before = holdersBefore.get(slot)
-      const hasReserve = before?.reserve === 'kept'
-      // An earlier life of this node has ended with its process.
-      const hasEnded = before?.holder === node || before?.holder === NOBODY
-      world.log.info('quota-slot-claimed', { slot, term, before: before?.holder ?? NOBODY, hasReserve })
+      const predecessor = replacedHolders.get(slot)
+      const hasReserve = predecessor?.reserve === 'kept'
+      // An earlier process incarnation of this node has ended.
+      const hasPredecessorEnded = predecessor?.holder === node || predecessor?.holder === NO_HOLDER
+      world.log.info('quota-slot-claimed', { slot, term, before: predecessor?.holder ?? NO_HOLDER, hasReserve })
       held.set(slot, {
         term,
-        since,
+        claimedAt,
         ledger: makeLedger(world.now, QUOTA_METER_WINDOW_MS),
-        takeover: makeTakeover(world.now, since, term === 1, hasEnded),
-        before,
+        takeover: makeTakeover(world.now, claimedAt, term === 1, hasPredecessorEnded),
+        predecessor,
         isReady: false,
         isReserveLent: reserve === 'lent',
         isReserveKept: reserve === 'kept',
@@ -231,149 +251,162 @@
     }
     metrics.set('claynotch_quota_holder', [['slot', String(slot)]], held.has(slot) ? 1 : 0)
   }
-  function judgeReady(slot: number, one: HeldSlot): void {
-    if (one.isReady || !one.takeover.isOver()) return
-    one.isReady = true
-    world.log.info('quota-slot-ready', { slot, term: one.term, ms: Math.round(world.now() - one.since) })
+  function updateReadiness(slot: number, heldSlot: HeldSlot): void {
+    if (heldSlot.isReady || !heldSlot.takeover.isOver()) return
+    heldSlot.isReady = true
+    world.log.info('quota-slot-ready', { slot, term: heldSlot.term, ms: Math.round(world.now() - heldSlot.claimedAt) })
   }
-  /** Nodes of the ledger that hold no lease any more can use nothing of what they had. */
-  async function tend(one: HeldSlot, read: () => Promise<TimedRead>): Promise<void> {
-    const listed = nodesOf(membership.list())
-    const proxies = nodesOf(membership.list().filter(hasProxy))
+  /**
+   * Removes nodes without a lease from the ledger, as they can use nothing of what they held, and updates the
+   * takeover.
+   */
+  async function updateNodes(heldSlot: HeldSlot, sharedRead: () => Promise<TimedRead>): Promise<void> {
+    const listed = nodeNames(membership.list())
+    const proxyNodes = nodeNames(membership.list().filter(hasProxy))
     function isMissing(name: string): boolean {
       return !listed.has(name)
     }
-    one.takeover.listed(proxies)
-    const missing = one.ledger.nodes().filter(isMissing)
-    if (missing.length === 0 && !one.takeover.needsRead(proxies)) return
-    const { got, beganAt } = await read()
-    if (got?.isComplete !== true) return
-    if (one.before && isGone(one.before, got)) one.takeover.predecessorAbsent(beganAt)
-    one.takeover.read(nodesOf(got.members.filter(hasProxy)), beganAt)
-    const present = nodesOf(got.members)
-    for (const name of missing) if (!present.has(name)) one.ledger.gone(name, beganAt)
+    heldSlot.takeover.listed(proxyNodes)
+    const missing = heldSlot.ledger.nodes().filter(isMissing)
+    if (missing.length === 0 && !heldSlot.takeover.needsRead(proxyNodes)) return
+    const { membersRead, beganAt } = await sharedRead()
+    if (membersRead?.isComplete !== true) return
+    if (heldSlot.predecessor && hasNoLease(heldSlot.predecessor, membersRead))
+      heldSlot.takeover.predecessorAbsent(beganAt)
+    heldSlot.takeover.read(nodeNames(membersRead.members.filter(hasProxy)), beganAt)
+    const present = nodeNames(membersRead.members)
+    for (const name of missing) if (!present.has(name)) heldSlot.ledger.gone(name, beganAt)
   }
   async function setReserve(slot: number, { term }: HeldSlot, reserve: QuotaHolder['reserve']): Promise<boolean> {
-    function isMine(now: QuotaHolder | undefined): boolean {
-      return namesThisLife(now) && now.term === term
+    function isOwnTerm(holder: QuotaHolder | undefined): boolean {
+      return namesThisLife(holder) && holder.term === term
     }
-    const isSet = await change(slot, isMine, { holder: node, life, term, reserve })
+    const isSet = await changeRegister(slot, isOwnTerm, { holder: node, life, term, reserve })
     if (isSet) world.log.info('quota-reserve-changed', { slot, term, reserve })
     return isSet
   }
-  /** The reserve is lent while tenants need it: granted once the register says so, and given back before it says otherwise. */
-  async function tendReserve(slot: number, one: HeldSlot): Promise<void> {
+  /**
+   * Lends the reserve while tenants need it. It is granted only after the register says that it is lent, and returned
+   * before the register says that it is kept.
+   */
+  async function updateReserve(slot: number, heldSlot: HeldSlot): Promise<void> {
     const config = view.config()
-    if (!config || !one.takeover.isOver() || !mayAnswer(slot, one) || !isConfigurationCurrent()) return
+    if (!config || !heldSlot.takeover.isOver() || !mayAnswer(slot, heldSlot) || !isConfigurationCurrent()) return
     const limits = quotaLimits(config, view.tolerance)
-    function plain(tenant: string): number | undefined {
+    function limitWithoutReserve(tenant: string): number | undefined {
       return withoutReserve(limits(tenant))
     }
-    const share = one.needsReserve ? QUOTA_RESERVE_RETURN_SHARE : QUOTA_RESERVE_LEND_SHARE
-    function nearlyPlain(tenant: string): number | undefined {
-      const limit = plain(tenant)
+    const share = heldSlot.needsReserve ? QUOTA_RESERVE_RETURN_SHARE : QUOTA_RESERVE_LEND_SHARE
+    function reserveThreshold(tenant: string): number | undefined {
+      const limit = limitWithoutReserve(tenant)
       return limit === undefined ? undefined : limit * share
     }
-    one.needsReserve = one.ledger.needs(nearlyPlain)
-    // A lowered limit may leave more out than the limit less the reserve, until allowances have shrunk.
-    const isMoreOut = one.ledger.exceeds(plain)
-    if ((one.needsReserve || isMoreOut) && !one.isReserveLent) {
-      one.isReserveKept = false
-      one.isReserveLent = await setReserve(slot, one, 'lent')
-    } else if (!one.needsReserve && !isMoreOut && !one.isReserveKept) {
-      one.isReserveLent = false
-      one.isReserveKept = await setReserve(slot, one, 'kept')
+    heldSlot.needsReserve = heldSlot.ledger.needs(reserveThreshold)
+    // After a limit was lowered, more than the limit without the reserve may be outstanding until allowances shrink.
+    const isReserveInUse = heldSlot.ledger.exceeds(limitWithoutReserve)
+    if ((heldSlot.needsReserve || isReserveInUse) && !heldSlot.isReserveLent) {
+      heldSlot.isReserveKept = false
+      heldSlot.isReserveLent = await setReserve(slot, heldSlot, 'lent')
+    } else if (!heldSlot.needsReserve && !isReserveInUse && !heldSlot.isReserveKept) {
+      heldSlot.isReserveLent = false
+      heldSlot.isReserveKept = await setReserve(slot, heldSlot, 'kept')
     }
   }
-  /** Who holds the slot, as far as this node has a part in it. */
-  async function settle(slot: number): Promise<void> {
-    follow(slot)
-    if (!held.has(slot) && isCandidate(slot)) {
+  /** Claims or releases the slot where that is up to this node. */
+  async function updateOwnership(slot: number): Promise<void> {
+    applyRegister(slot)
+    if (!held.has(slot) && isDesignatedHolder(slot)) {
       await claim(slot)
-      follow(slot)
+      applyRegister(slot)
     }
-    const one = held.get(slot)
-    if (one && (one.isReleased || !votes())) await release(slot, one)
+    const heldSlot = held.get(slot)
+    if (heldSlot && (heldSlot.isReleased || !isVoter())) await release(slot, heldSlot)
   }
   async function readMembers(): Promise<TimedRead> {
     const beganAt = world.now()
-    return { got: await membership.read(), beganAt }
+    return { membersRead: await membership.read(), beganAt }
   }
-  async function look(): Promise<void> {
+  async function checkSlots(): Promise<void> {
     if (view.config()?.tenants === undefined || world.now() >= view.dutyUntil()) return
-    for (let slot = 0; slot < QUOTA_SLOTS; slot++) await settle(slot)
-    // One read of the members serves all slots.
-    let reading: Promise<TimedRead> | undefined
-    function read(): Promise<TimedRead> {
-      reading ??= readMembers()
-      return reading
+    for (let slot = 0; slot < QUOTA_SLOTS; slot++) await updateOwnership(slot)
+    // All slots share one read of the members.
+    let pendingRead: Promise<TimedRead> | undefined
+    function readOnce(): Promise<TimedRead> {
+      pendingRead ??= readMembers()
+      return pendingRead
     }
-    for (const [slot, one] of held) {
-      await tend(one, read)
-      judgeReady(slot, one)
-      await tendReserve(slot, one)
+    for (const [slot, heldSlot] of held) {
+      await updateNodes(heldSlot, readOnce)
+      updateReadiness(slot, heldSlot)
+      await updateReserve(slot, heldSlot)
     }
   }
 
   // --- questions ---
 
-  /** Whether this node holds the slot now, by its lease and by a register that is known to be current. */
-  function mayAnswer(slot: number, one: HeldSlot): boolean {
+  /** Whether this node holds the slot now: its lease is valid and the register is known to be current. */
+  function mayAnswer(slot: number, heldSlot: HeldSlot): boolean {
     const known = registers.all().get(quotaKey(slot))
-    const holder = readHolder(known?.value)
-    if (one.isReleased || !votes() || !namesThisLife(holder) || holder.term !== one.term) return false
+    const holder = parseHolder(known?.value)
+    if (heldSlot.isReleased || !isVoter() || !namesThisLife(holder) || holder.term !== heldSlot.term) return false
     return world.now() < Math.min(known?.currentUntil ?? 0, view.dutyUntil())
   }
-  /** By an older configuration a tenant might be given more than it may have now. */
+  /** An outdated configuration could grant a tenant more than its current limit. */
   function isConfigurationCurrent(): boolean {
     return world.now() < (registers.all().get(CONFIG_KEY)?.currentUntil ?? 0)
   }
-  function count(question: HolderQuestion, grants: QuotaGrant[]): void {
+  function countGrants(question: HolderQuestion, grants: QuotaGrant[]): void {
     const wanted = new Map<string, number>()
-    for (const [tenant, , , want] of question.lines) wanted.set(tenant, want)
+    for (const [tenant, , , wantedCount] of question.lines) wanted.set(tenant, wantedCount)
     metrics.add('claynotch_quota_grants_total', [], grants.length)
     for (const [tenant, allowance] of grants)
       if (allowance < (wanted.get(tenant) ?? 0)) metrics.add('claynotch_quota_growth_refused_total')
   }
-  function reportTo(
-    one: HeldSlot,
+  /**
+   * Records a proxy's report; returns the grants. Limits include the reserve during a takeover, or while it is lent
+   * and needed.
+   */
+  function recordReport(
+    heldSlot: HeldSlot,
     proxy: AskingProxy,
     lines: QuotaLine[],
     limits: (tenant: string) => number | undefined,
   ): QuotaGrant[] {
-    const isOver = one.takeover.isOver()
-    const isWhole = !isOver || (one.isReserveLent && one.needsReserve)
+    const isTakeoverComplete = heldSlot.takeover.isOver()
+    const includesReserve = !isTakeoverComplete || (heldSlot.isReserveLent && heldSlot.needsReserve)
     function limitOf(tenant: string): number | undefined {
-      return isWhole ? limits(tenant) : withoutReserve(limits(tenant))
+      return includesReserve ? limits(tenant) : withoutReserve(limits(tenant))
     }
     function reserveOf(tenant: string): number {
-      const limit = one.hasReserve ? limits(tenant) : undefined
+      const limit = heldSlot.hasReserve ? limits(tenant) : undefined
       return limit === undefined ? 0 : limit - (withoutReserve(limit) ?? 0)
     }
-    return one.ledger.report(proxy, lines, limitOf, isOver, reserveOf)
+    return heldSlot.ledger.report(proxy, lines, limitOf, isTakeoverComplete, reserveOf)
   }
+  /** Answers one proxy's question. asker: the node at the other end of the link. */
   function answer(question: HolderQuestion, asker: string): QuotaAnswer | QuotaRefusal {
-    const one = held.get(question.slot)
+    const heldSlot = held.get(question.slot)
     const config = view.config()
-    if (!one || !config || question.term !== one.term || !mayAnswer(question.slot, one)) return REFUSED
+    if (!heldSlot || !config || question.term !== heldSlot.term || !mayAnswer(question.slot, heldSlot)) return REFUSED
     if (asker !== question.node || !isConfigurationCurrent()) return REFUSED
     for (const [tenant] of question.lines) if (quotaSlotOf(tenant) !== question.slot) return REFUSED
-    one.takeover.heard(question.node, question.life)
-    if (!one.takeover.isAlone()) return REFUSED
-    const proxy = { ...question, heardAt: one.takeover.heardAt(question.node) }
-    const grants = reportTo(one, proxy, question.lines, quotaLimits(config, view.tolerance))
-    one.takeover.told(question.node)
-    count(question, grants)
-    return { ok: true, grants: newsOf(question.lines, grants) }
+    heldSlot.takeover.heard(question.node, question.life)
+    if (!heldSlot.takeover.isAlone()) return REFUSED
+    const proxy = { ...question, knownSince: heldSlot.takeover.proxyKnownSince(question.node) }
+    const grants = recordReport(heldSlot, proxy, question.lines, quotaLimits(config, view.tolerance))
+    heldSlot.takeover.told(question.node)
+    countGrants(question, grants)
+    return { ok: true, grants: changedGrants(question.lines, grants) }
   }
+  /** The operations of each tenant of the slot that are outstanding, for operators. */
   function uses({ slot, term }: QuotaUseQuestion): QuotaUseAnswer | QuotaRefusal {
-    const one = held.get(slot)
-    if (!one || term !== one.term || !mayAnswer(slot, one)) return REFUSED
-    const out: QuotaGrant[] = []
+    const heldSlot = held.get(slot)
+    if (!heldSlot || term !== heldSlot.term || !mayAnswer(slot, heldSlot)) return REFUSED
+    const usesByTenant: QuotaGrant[] = []
     for (const { name } of view.config()?.tenants ?? [])
-      if (quotaSlotOf(name) === slot) out.push([name, one.ledger.liability(name)])
-    return { ok: true, uses: out }
+      if (quotaSlotOf(name) === slot) usesByTenant.push([name, heldSlot.ledger.liability(name)])
+    return { ok: true, uses: usesByTenant }
   }
-  void loop(world, 'quota-holder', LEASE_RENEWAL_INTERVAL_MS, stop, look, changed)
+  void loop(world, 'quota-holder', LEASE_RENEWAL_INTERVAL_MS, stop, checkSlots, registerChanged)
   return { answer, uses }
 }
--- a/packages/agent/src/quota-limits.ts
+++ b/packages/agent/src/quota-limits.ts
@@ -1,19 +1,26 @@
 import { QUOTA_RESERVE_SHARE, QUOTA_WINDOW_MS } from '@claynotch/base'
 import type { Config, Tenant } from '@claynotch/operator'
 
-/** What more than a tenant's limit may run by the operator's word. overshoot: share of the limit; slack: operations in a window. */
+/**
+ * What the operator permits above a tenant's limit. overshoot is a share of the limit; slack is a number of operations
+ * in a window.
+ */
 export type QuotaTolerance = { overshoot: number; slack: number }
 
-/** ratio. Of what is tolerated; the rest is for clocks that run apart and for the way to an instance. */
-const USED_SHARE = 0.8
+/** The share of the tolerance that is granted; the rest covers clock drift and the delay on the way to an instance. */
+const TOLERANCE_SHARE = 0.8
 
+/** The tenant's limit with the granted share of the tolerance; undefined: it has no configured rate. */
 function limitOf({ rate, burst = 0 }: Tenant, { overshoot, slack }: QuotaTolerance): number | undefined {
   if (rate === undefined) return undefined
-  const plain = (rate * QUOTA_WINDOW_MS) / 1000 + burst
-  return Math.floor(plain * (1 + overshoot * USED_SHARE) + slack * USED_SHARE)
+  const limitWithoutTolerance = (rate * QUOTA_WINDOW_MS) / 1000 + burst
+  return Math.floor(limitWithoutTolerance * (1 + overshoot * TOLERANCE_SHARE) + slack * TOLERANCE_SHARE)
 }
 
-/** How many operations of each tenant may run in any window; undefined: as many as it likes. One that isn't configured has none. */
+/**
+ * The operations of each tenant that may run in any window; undefined: without a limit. A tenant that isn't configured
+ * has 0.
+ */
 export function quotaLimits(config: Config, tolerance: QuotaTolerance): (tenant: string) => number | undefined {
   const byName = new Map<string, number | undefined>()
   for (const tenant of config.tenants ?? []) byName.set(tenant.name, limitOf(tenant, tolerance))
--- a/packages/agent/src/quota-takeover.ts
+++ b/packages/agent/src/quota-takeover.ts
@@ -6,113 +6,134 @@
 } from '@claynotch/base'
 
 /**
- * ms. The holder before grants nothing any more once so much has passed since a later term was committed: what it knows of the register
- * is current for no longer than a lease.
+ * Time (ms) after the commit of a later term from which the previous holder grants nothing any more: its knowledge of
+ * the register is current for no longer than a lease.
  */
-const OLD_HOLDER_END_MS = LEASE_DURATION_MS + 2 * LEASE_CLOCK_SLACK_MS
-/** ms. A renewal that was begun before a later term was committed has ended by then, and what it renewed is in every list. */
-const RENEWALS_END_MS = LEASE_RENEWAL_TIMEOUT_MS + LEASE_CLOCK_SLACK_MS
-/** ms. What was sent before is out of every window once so much has passed. */
-const SETTLED_MS = QUOTA_METER_WINDOW_MS
+const PREDECESSOR_EXPIRY_MS = LEASE_DURATION_MS + 2 * LEASE_CLOCK_SLACK_MS
+/**
+ * Time (ms) after the commit of a later term by which every renewal that began before it has ended, so that the lease
+ * that it renewed is in every complete read of the members.
+ */
+const RENEWAL_COMPLETION_MS = LEASE_RENEWAL_TIMEOUT_MS + LEASE_CLOCK_SLACK_MS
+/** Time (ms) after which an operation that was sent is outside every window. */
+const USAGE_EXPIRY_MS = QUOTA_METER_WINDOW_MS
 
-/** A front machine of which it isn't known yet what its proxy may use. at: when this life of the proxy was heard of first. */
-type Owing = { life: string | undefined; at: number; hasTold: boolean }
+/**
+ * What is known of the proxy of one node. life is undefined until the proxy asks; knownSince is the local time (ms) at
+ * which this incarnation became known; hasReported: what it may use is known.
+ */
+type ProxyState = { life: string | undefined; knownSince: number; hasReported: boolean }
 
 /**
- * What a new holder waits for, as it knows nothing of what its predecessor granted.
+ * Tracks what a new quota holder must wait for, because it doesn't know what its predecessor granted.
  *
  * Invariants:
- * - isAlone: no holder of an earlier term answers any more. What a proxy tells before that may be overtaken by such an answer. One
- *   that had no lease when the slot was claimed may have got it back just before, and know of no later term for as long as it holds.
- * - isOver: whatever was granted under earlier terms is known, or can't be used and has left every window. It stays so.
+ * - Once this is the sole holder, no holder of an earlier term answers any more. Before that, such an answer could
+ *   supersede what a proxy reports here. A predecessor that had no lease when the slot was claimed may have regained
+ *   it just before, and not learn of the later term for as long as that lease lasts.
+ * - Once the takeover is complete, everything that was granted under earlier terms is known, or can't be used any more
+ *   and has left every window. It stays complete.
  */
 export type Takeover = {
+  /** Whether this is the only holder that answers. */
   isAlone: () => boolean
-  /** A complete read that was begun then shows that the holder before has no lease. */
+  /** A complete read that began at beganAt shows that the previous holder has no lease. */
   predecessorAbsent: (beganAt: number) => void
+  /** Whether the takeover is complete. */
   isOver: () => boolean
-  /** The proxy of that life, on that node, asked; whether it was answered or not. */
+  /** This incarnation of the node's proxy asked, whether it is answered or not. */
   heard: (node: string, life: string) => void
-  /** Since when no earlier life of the node's proxy can have used anything that isn't known. */
-  heardAt: (node: string) => number
-  /** What it holds is known, as it was answered. */
+  /** Local time (ms) since which no earlier incarnation of the node's proxy can have used anything that isn't known. */
+  proxyKnownSince: (node: string) => number
+  /** The node's proxy was answered, so what it holds is known. */
   told: (node: string) => void
-  /** Nodes with a proxy as renewals tell of them, which may be late. */
+  /** The nodes with a proxy that lease renewals report, which may be out of date. */
   listed: (nodes: ReadonlySet<string>) => void
-  /** Nodes with a proxy as a complete read shows them that was begun then. */
+  /** The nodes with a proxy that a complete read shows which began at beganAt. */
   read: (nodes: ReadonlySet<string>, beganAt: number) => void
-  /** A complete read would bring it further, given what is listed. */
+  /** Whether a complete read would advance the takeover, given the listed nodes. */
   needsRead: (listed: ReadonlySet<string>) => boolean
 }
 
 /**
- * since: when the claim was known to be committed. isFirst: there was no holder before, so that nothing is out. hasEnded: the holder
- * before has ended for sure, or gave the slot up itself.
+ * since: local time (ms) at which the claim was known to be committed. isFirst: there was no holder before, so
+ * nothing is outstanding. hasEnded: the previous holder has certainly ended, or released the slot itself.
  */
 export function makeTakeover(now: () => number, since: number, isFirst: boolean, hasEnded = false): Takeover {
-  const owing = new Map<string, Owing>()
-  // quietSince: no node that owed an answer is known to have gone since, and the nodes are known as of then.
-  let quietSince: number | undefined
-  // isClosed: whoever comes from now on had no lease when another holder could grant.
-  let isClosed = false
+  const proxyStates = new Map<string, ProxyState>()
+  /** Local time (ms) since which the nodes are known and none of them has disappeared before it reported. */
+  let noLossSince: number | undefined
+  /** Nodes that appear from now on had no lease while another holder could grant. */
+  let isNodeSetFinal = false
   let isDone = isFirst
-  let isPredecessorOver = isFirst || hasEnded
+  let hasPredecessorExpired = isFirst || hasEnded
 
-  function isAlone(): boolean {
-    return isPredecessorOver || now() >= since + OLD_HOLDER_END_MS
+  function isSoleHolder(): boolean {
+    return hasPredecessorExpired || now() >= since + PREDECESSOR_EXPIRY_MS
   }
   function predecessorAbsent(beganAt: number): void {
-    if (beganAt >= since + RENEWALS_END_MS) isPredecessorOver = true
+    if (beganAt >= since + RENEWAL_COMPLETION_MS) hasPredecessorExpired = true
   }
-  function expect(nodes: ReadonlySet<string>): void {
-    if (isClosed) return
-    for (const node of nodes) if (!owing.has(node)) owing.set(node, { life: undefined, at: now(), hasTold: false })
+  function expectNodes(nodes: ReadonlySet<string>): void {
+    if (isNodeSetFinal) return
+    for (const node of nodes)
+      if (!proxyStates.has(node)) proxyStates.set(node, { life: undefined, knownSince: now(), hasReported: false })
   }
-  function forget(present: ReadonlySet<string>): void {
-    for (const [node, { hasTold }] of owing) {
+  function removeAbsent(present: ReadonlySet<string>): void {
+    for (const [node, { hasReported }] of proxyStates) {
       if (present.has(node)) continue
-      owing.delete(node)
-      // It may have used what it held until just now.
-      if (!hasTold) quietSince = now()
+      proxyStates.delete(node)
+      // Its proxy may have used what it held until now.
+      if (!hasReported) noLossSince = now()
     }
   }
   function read(nodes: ReadonlySet<string>, beganAt: number): void {
-    quietSince ??= now()
-    expect(nodes)
-    if (isAlone() && beganAt >= aloneFrom()) isClosed = true
-    forget(nodes)
+    noLossSince ??= now()
+    expectNodes(nodes)
+    if (isSoleHolder() && beganAt >= soleHolderFrom()) isNodeSetFinal = true
+    removeAbsent(nodes)
   }
-  function aloneFrom(): number {
-    return isPredecessorOver ? since : since + OLD_HOLDER_END_MS
+  function soleHolderFrom(): number {
+    return hasPredecessorExpired ? since : since + PREDECESSOR_EXPIRY_MS
   }
   function heard(node: string, life: string): void {
-    const old = owing.get(node)
-    if (old?.life === life || (isClosed && !old)) return
-    // An earlier life may have used what it held until just now.
-    owing.set(node, { life, at: now(), hasTold: false })
+    const state = proxyStates.get(node)
+    if (state?.life === life || (isNodeSetFinal && !state)) return
+    // An earlier incarnation may have used what it held until now.
+    proxyStates.set(node, { life, knownSince: now(), hasReported: false })
   }
-  function heardAt(node: string): number {
-    return owing.get(node)?.at ?? -Infinity
+  function proxyKnownSince(node: string): number {
+    return proxyStates.get(node)?.knownSince ?? -Infinity
   }
-  function told(node: string): void {
-    const one = owing.get(node)
-    if (one) one.hasTold = true
+  function answered(node: string): void {
+    const state = proxyStates.get(node)
+    if (state) state.hasReported = true
   }
-  function isSettled({ at, hasTold }: Owing): boolean {
-    return hasTold && now() >= at + SETTLED_MS
+  function isSettled({ knownSince, hasReported }: ProxyState): boolean {
+    return hasReported && now() >= knownSince + USAGE_EXPIRY_MS
   }
-  function isOver(): boolean {
+  function isComplete(): boolean {
     if (isDone) return true
-    if (!isClosed || quietSince === undefined || now() < quietSince + SETTLED_MS) return false
-    isDone = [...owing.values()].every(isSettled)
+    if (!isNodeSetFinal || noLossSince === undefined || now() < noLossSince + USAGE_EXPIRY_MS) return false
+    isDone = [...proxyStates.values()].every(isSettled)
     return isDone
   }
   function needsRead(listed: ReadonlySet<string>): boolean {
     if (isDone) return false
-    if (quietSince === undefined || (isAlone() && !isClosed)) return true
-    if (!isAlone() && now() >= since + RENEWALS_END_MS) return true
-    for (const [node, { hasTold }] of owing) if (!hasTold && !listed.has(node)) return true
+    if (noLossSince === undefined || (isSoleHolder() && !isNodeSetFinal)) return true
+    if (!isSoleHolder() && now() >= since + RENEWAL_COMPLETION_MS) return true
+    for (const [node, { hasReported }] of proxyStates) if (!hasReported && !listed.has(node)) return true
     return false
   }
-  return { isAlone, predecessorAbsent, isOver, heard, heardAt, told, listed: expect, read, needsRead }
+  return {
+    isAlone: isSoleHolder,
+    predecessorAbsent,
+    isOver: isComplete,
+    heard,
+    proxyKnownSince,
+    told: answered,
+    listed: expectNodes,
+    read,
+    needsRead,
+  }
 }
--- a/packages/agent/src/quota-told.ts
+++ b/packages/agent/src/quota-told.ts
@@ -1,56 +1,60 @@
 import { QUOTA_REFRESH_INTERVAL_MS } from '@claynotch/base'
 import type { QuotaGrant, QuotaLine } from '@claynotch/quota'
 
-/** Who was told, under which term, of which life of the proxy. */
-export type Telling = { term: number; life: string }
+/** What a report depends on: the holder's term and the process incarnation of the proxy. */
+export type ReportTarget = { term: number; life: string }
 
 /**
- * What the holder of one slot knows of this machine's proxy: it is told what changed, and everything again once in a while, as what
- * the proxy should have changes with what others want.
+ * What the holder of one slot knows of this machine's proxy. Changed lines are reported at once; unchanged ones again
+ * after QUOTA_REFRESH_INTERVAL_MS, because what the proxy should have changes with the demand of others.
  *
- * Invariant: a line that is left out was told as it stands to the holder of this very term, which answered that nothing of it changes.
+ * Invariant: a line that is left out was reported unchanged to the holder in the same term, which answered that its
+ * allowance doesn't change.
  */
-export type ToldLines = {
-  /** Whether the holder was told all once. */
-  knows: (to: Telling) => boolean
-  /** Those that it is to be told now; they count as untold until it has answered. */
-  due: (lines: QuotaLine[], to: Telling) => QuotaLine[]
-  answered: (lines: QuotaLine[], grants: QuotaGrant[], to: Telling) => void
+export type ReportedLines = {
+  /** Whether the holder has answered a report of this target. */
+  isInformed: (target: ReportTarget) => boolean
+  /** The lines to report now; they count as unreported until the holder has answered. */
+  dueLines: (lines: QuotaLine[], target: ReportTarget) => QuotaLine[]
+  /** Records the holder's answer to these lines. */
+  recordAnswer: (lines: QuotaLine[], grants: QuotaGrant[], target: ReportTarget) => void
 }
 
 function isSameLine(a: QuotaLine, b: QuotaLine): boolean {
   return a.every(isSameAt)
-  function isSameAt(value: string | number, k: number): boolean {
-    return value === b[k]
+  function isSameAt(value: string | number, index: number): boolean {
+    return value === b[index]
   }
 }
 
-export function makeToldLines(now: () => number): ToldLines {
-  let told: Telling | undefined
-  const known = new Map<string, { line: QuotaLine; at: number }>()
+export function makeReportedLines(now: () => number): ReportedLines {
+  let lastTarget: ReportTarget | undefined
+  /** The last line of each tenant that was reported, and the local time (ms) of its answer. */
+  const reportedByTenant = new Map<string, { line: QuotaLine; reportedAt: number }>()
 
-  function knows({ term, life }: Telling): boolean {
-    return told?.term === term && told.life === life
+  function isInformed({ term, life }: ReportTarget): boolean {
+    return lastTarget?.term === term && lastTarget.life === life
   }
-  function due(lines: QuotaLine[], to: Telling): QuotaLine[] {
-    if (!knows(to)) known.clear()
-    const out: QuotaLine[] = []
+  function dueLines(lines: QuotaLine[], target: ReportTarget): QuotaLine[] {
+    if (!isInformed(target)) reportedByTenant.clear()
+    const due: QuotaLine[] = []
     for (const line of lines) {
-      const before = known.get(line[0])
-      if (before && isSameLine(before.line, line) && now() - before.at < QUOTA_REFRESH_INTERVAL_MS) continue
-      known.delete(line[0])
-      out.push(line)
+      const previous = reportedByTenant.get(line[0])
+      if (previous && isSameLine(previous.line, line) && now() - previous.reportedAt < QUOTA_REFRESH_INTERVAL_MS)
+        continue
+      reportedByTenant.delete(line[0])
+      due.push(line)
     }
-    return out
+    return due
   }
-  function answered(lines: QuotaLine[], grants: QuotaGrant[], to: Telling): void {
-    if (!knows(to)) known.clear()
-    told = { term: to.term, life: to.life }
+  function recordAnswer(lines: QuotaLine[], grants: QuotaGrant[], target: ReportTarget): void {
+    if (!isInformed(target)) reportedByTenant.clear()
+    lastTarget = { term: target.term, life: target.life }
     const granted = new Map(grants)
     for (const line of lines) {
       const [tenant, held] = line
-      if ((granted.get(tenant) ?? held) === held) known.set(tenant, { line, at: now() })
+      if ((granted.get(tenant) ?? held) === held) reportedByTenant.set(tenant, { line, reportedAt: now() })
     }
   }
-  return { knows, due, answered }
+  return { isInformed, dueLines, recordAnswer }
 }
--- a/packages/quota/src/allocation.ts
+++ b/packages/quota/src/allocation.ts
@@ -7,59 +7,67 @@
   QUOTA_THIN_SPARE_SHARE,
 } from '@claynotch/base'
 
-/** How the limit of one tenant is divided among proxies. Pure arithmetic: it says what a proxy should have, not what is free. */
+/**
+ * Divides the limit of one tenant among proxies. Pure arithmetic: it computes what a proxy should have, not what is
+ * free.
+ */
 
 /**
- * need: operations that it wants or used within a window. used: of them, those that it ran or is about to. held: what it may run
- * now. answered: what it was answered last. waiting: of those that it needs, operations that wait for an allowance now.
+ * The demand of one proxy for one tenant, in operations.
+ * - need: operations that it wanted or used within a window.
+ * - used: the part of need that it ran or is about to run.
+ * - held: what it may run now.
+ * - granted: the allowance in the last answer to it.
+ * - waiting: the part of need that waits for an allowance now.
  */
-export type Claim = { need: number; used: number; held: number; answered: number; waiting: number }
+export type Claim = { need: number; used: number; held: number; granted: number; waiting: number }
 
-/** Operations that it is asked for between two reports. */
+/** The operations that a proxy is expected to need between two reports. */
 function needPerReport(need: number): number {
   return Math.floor((need * QUOTA_REPORT_INTERVAL_MS) / QUOTA_METER_WINDOW_MS)
 }
 
-/** All together want more than there is: in proportion to need, in whole operations. */
-function proportionalShare(mine: Claim, others: Claim[], available: number, allNeeds: number): number {
-  const exact = (available * mine.need) / allNeeds
-  const sure = Math.floor(exact)
+/** The share where the proxies together need more than is available: in proportion to need, in whole operations. */
+function proportionalShare(own: Claim, others: Claim[], available: number, totalNeed: number): number {
+  const exactShare = (available * own.need) / totalNeed
+  const wholeShare = Math.floor(exactShare)
   let takenByOthers = 0
-  for (const other of others) takenByOthers += Math.max(other.answered, Math.floor((available * other.need) / allNeeds))
-  // What rounding leaves goes to who asks first, once each of the others has its whole operations.
-  const left = Math.max(0, Math.floor(available - takenByOthers - sure))
-  // What it can't use until its next report, another can.
-  const usable = Math.max(needPerReport(mine.need), mine.waiting)
-  return Math.min(Math.ceil(exact), sure + left, mine.used + usable)
+  for (const other of others) takenByOthers += Math.max(other.granted, Math.floor((available * other.need) / totalNeed))
+  // The remainder of the rounding goes to the first proxy that asks, after each of the others has its whole operations.
+  const remainder = Math.max(0, Math.floor(available - takenByOthers - wholeShare))
+  // What this proxy can't use before its next report is left to others.
+  const usable = Math.max(needPerReport(own.need), own.waiting)
+  return Math.min(Math.ceil(exactShare), wholeShare + remainder, own.used + usable)
 }
 
 function isActive({ need, held }: Claim): boolean {
   return need > 0 || held > 0
 }
 
-/** There is enough for all: what it needs, and some more of what nobody needs. */
-function ampleShare(mine: Claim, others: Claim[], available: number, allNeeds: number): number {
-  if (!isActive(mine)) return 0
-  const unneeded = available - allNeeds
+/** The share where there is enough for all: what the proxy needs, and some of the surplus. */
+function shareWithSurplus(own: Claim, others: Claim[], available: number, totalNeed: number): number {
+  if (!isActive(own)) return 0
+  const surplus = available - totalNeed
   let extrasOfOthers = 0
-  let active = 1
+  let activeCount = 1
   for (const other of others) {
-    extrasOfOthers += Math.max(0, other.answered - other.need)
-    if (isActive(other)) active++
+    extrasOfOthers += Math.max(0, other.granted - other.need)
+    if (isActive(other)) activeCount++
   }
-  const wished = QUOTA_LEAST_EXTRA + Math.ceil(mine.need * QUOTA_EXTRA_SHARE)
-  const each = Math.floor((unneeded * QUOTA_SPARE_SHARE) / active)
-  // Not one for each: few are given one, as whoever begins to want finds none free where the others have them.
-  const spare = Math.floor(unneeded * (each >= 1 ? QUOTA_SPARE_SHARE : QUOTA_THIN_SPARE_SHARE))
-  return mine.need + Math.min(wished, Math.max(1, each), Math.max(0, spare - extrasOfOthers))
+  const desiredExtra = QUOTA_LEAST_EXTRA + Math.ceil(own.need * QUOTA_EXTRA_SHARE)
+  const surplusPerProxy = Math.floor((surplus * QUOTA_SPARE_SHARE) / activeCount)
+  // With less than one operation for each proxy, only a few proxies get one: a proxy that starts to need operations
+  // would find none free if the others held them all.
+  const distributable = Math.floor(surplus * (surplusPerProxy >= 1 ? QUOTA_SPARE_SHARE : QUOTA_THIN_SPARE_SHARE))
+  return own.need + Math.min(desiredExtra, Math.max(1, surplusPerProxy), Math.max(0, distributable - extrasOfOthers))
 }
 
-/** What a proxy should have of the operations that are available to all. */
-export function shareOf(mine: Claim, others: Claim[], available: number): number {
-  let allNeeds = mine.need
-  for (const other of others) allNeeds += other.need
+/** The part of the available operations that a proxy should have. */
+export function shareOf(own: Claim, others: Claim[], available: number): number {
+  let totalNeed = own.need
+  for (const other of others) totalNeed += other.need
   if (available <= 0) return 0
-  return allNeeds > available
-    ? proportionalShare(mine, others, available, allNeeds)
-    : ampleShare(mine, others, available, allNeeds)
+  return totalNeed > available
+    ? proportionalShare(own, others, available, totalNeed)
+    : shareWithSurplus(own, others, available, totalNeed)
 }
--- a/packages/quota/src/allowances.ts
+++ b/packages/quota/src/allowances.ts
@@ -24,73 +24,89 @@
 import type { QuotaGrant, QuotaLine, QuotaQuestion } from './messages.js'
 import { makeWindowMeter, type WindowMeter } from './window-meter.js'
 
-/** One operation that may be sent, once. It counts until it is cancelled, or for a window after it was sent. */
+/** Permits sending one operation. It counts until it is cancelled, or for one window after the operation was sent. */
 export type Reservation = {
   tenant: string
-  /** To be called in the turn in which the operation goes out. False: the lease that it rests on has lapsed; nothing may go out. */
+  /**
+   * Consumes the reservation; must be called synchronously with the send. False: the lease under which it was granted
+   * has had a gap, so nothing may be sent.
+   */
   sent: () => boolean
-  /** Nothing went out. */
+  /** Nothing was sent: returns the operation to the allowance. */
   cancel: () => void
 }
 
+/** What the allowances need from the proxy. */
 export type AllowancesOptions = {
-  /** Of the proxy. */
+  /** Identifies the process incarnation of the proxy. */
   life: string
-  /** Whether this node's lease runs. */
+  /** Whether this node's lease is valid. */
   isLeased: () => boolean
-  /** Since when it has run without a break, by the world's clock. */
+  /** Local time (ms) since which the lease has been valid without a gap. */
   leasedSince: () => number
   /** Whether any tenant has a limit. */
   isActive: () => boolean
-  /** Asks this machine's agent; undefined: no answer. */
+  /** Sends a question to this machine's agent; undefined: no answer. */
   ask: (question: QuotaQuestion) => Promise<QuotaGrant[] | undefined>
+  /** Length of the window in which operations are limited; QUOTA_METER_WINDOW_MS by default. */
   windowMs?: number
 }
 
 /**
- * What this proxy may run for each tenant in any window, and what it runs.
+ * What this proxy may run for each tenant in any window, and what it has run.
  *
  * Invariants, for each tenant:
- * - reserved and sent within the last window are at most the allowance, or the allowance was lowered since and nothing is reserved;
- * - the allowance grows by the answer to the question under way alone: what a question tells is all that may be used until then;
- * - an allowance is used only under the lease, without a break, under which it was asked for.
+ * - the operations reserved, and sent within the last window, are at most the allowance, unless the allowance was
+ *   lowered since; then nothing more is reserved;
+ * - only the answer to the question in progress raises the allowance: until then, no more is used than what the
+ *   question reports as held;
+ * - an allowance is used only while the lease under which it was requested has been valid without a gap.
  */
 export type Allowances = {
-  /** waitMs: that the operation may wait for an allowance; gone: nobody waits for it any more. Undefined: it must not be sent. */
-  reserve: (tenant: string, waitMs: number, gone: Flag) => Promise<Reservation | undefined>
-  /** Operations that may be run in any window. */
+  /**
+   * Reserves one operation. waitMs is the time that it may wait for an allowance; abandoned is set when its caller no
+   * longer waits for it. Undefined: the operation must not be sent.
+   */
+  reserve: (tenant: string, waitMs: number, abandoned: Flag) => Promise<Reservation | undefined>
+  /** The operations of the tenant that this proxy may run in any window. */
   held: (tenant: string) => number
 }
 
-/** firstQuestion: number of the first question that is asked for it too. */
+/** An operation that waits for an allowance. firstQuestion is the number of the first question that includes it. */
 type Waiter = { firstQuestion: number; settle: (reservation: Reservation | undefined) => void }
+/** One tenant at this proxy. */
 type Account = {
   tenant: string
+  /** Operations that may run in any window, by the last grant. */
   allowance: number
-  sent: WindowMeter
-  wanted: WindowMeter
+  sentMeter: WindowMeter
+  /** Operations that were requested, including refused ones. */
+  wantedMeter: WindowMeter
+  /** Operations that are reserved and not sent yet. */
   reserved: number
   waiters: Set<Waiter>
   lastWantedAt: number
-  /** It was given less than it wants. */
+  /** The last grant was less than the operations wanted. */
   isShort: boolean
-  /** Until then nothing more is to be had. */
+  /** Local time (ms) until which operations without a free allowance are refused at once. */
   deniedUntil: number
-  /** Refused since it was logged. */
+  /** Operations that were refused since the last log entry about them. */
   refused: number
   loggedAt: number
-  /** The holder knows that nothing is held. */
-  isGivenBack: boolean
+  /** The holder knows that this proxy holds nothing of the tenant. */
+  isKnownEmpty: boolean
 }
 
+/** Keeps the allowances and asks for them in the background until stop is set. */
 export function makeAllowances(world: World, options: AllowancesOptions, metrics: Metrics, stop: Flag): Allowances {
   const windowMs = options.windowMs ?? QUOTA_METER_WINDOW_MS
   const accounts = new Map<string, Account>()
   const changed = makeSignal()
-  // leasedSince: of the lease that all allowances rest on.
-  let leasedSince = -Infinity
-  // When the next question is due; lastQuestion: number of the latest one.
-  let dueAt = -Infinity
+  /** Start of the lease period on which all allowances depend. */
+  let currentLeaseSince = -Infinity
+  /** Local time (ms) at which the next question is due. */
+  let nextQuestionAt = -Infinity
+  /** Number of the latest question. */
   let lastQuestion = 0
 
   function accountOf(tenant: string): Account {
@@ -99,8 +115,8 @@
       account = {
         tenant,
         allowance: 0,
-        sent: makeWindowMeter(world.now, windowMs),
-        wanted: makeWindowMeter(world.now, windowMs),
+        sentMeter: makeWindowMeter(world.now, windowMs),
+        wantedMeter: makeWindowMeter(world.now, windowMs),
         reserved: 0,
         waiters: new Set(),
         lastWantedAt: world.now(),
@@ -108,57 +124,62 @@
         deniedUntil: -Infinity,
         refused: 0,
         loggedAt: -Infinity,
-        isGivenBack: false,
+        isKnownEmpty: false,
       }
       accounts.set(tenant, account)
     }
     return account
   }
   function usedOf(account: Account): number {
-    return account.sent.count() + account.reserved
+    return account.sentMeter.count() + account.reserved
   }
+  /** What the proxy reports as held: a lowered allowance doesn't take back what is reserved or sent. */
   function heldOf(account: Account): number {
     return Math.max(account.allowance, usedOf(account))
   }
-  /** A lease that lapsed takes all allowances with it: others may have been given them since. */
-  function isLeaseUnbroken(): boolean {
-    if (options.leasedSince() !== leasedSince) {
+  /**
+   * Whether the lease is valid. A gap in the lease ends all allowances, because they may have been granted to other
+   * proxies since.
+   */
+  function checkLease(): boolean {
+    if (options.leasedSince() !== currentLeaseSince) {
       for (const account of accounts.values()) account.allowance = 0
-      leasedSince = options.leasedSince()
+      currentLeaseSince = options.leasedSince()
     }
     return options.isLeased()
   }
 
   // --- operations ---
 
-  function isFree(account: Account): boolean {
-    return isLeaseUnbroken() && usedOf(account) < account.allowance
+  function hasFreeAllowance(account: Account): boolean {
+    return checkLease() && usedOf(account) < account.allowance
   }
   function makeReservation(account: Account): Reservation {
-    const restsOn = leasedSince
-    let isOpen = true
+    const leaseAtReservation = currentLeaseSince
+    let isPending = true
     account.reserved++
-    function end(): void {
-      isOpen = false
+    function closeReservation(): void {
+      isPending = false
       account.reserved--
     }
-    function sent(): boolean {
-      if (!isOpen) return false
-      const isStanding = isLeaseUnbroken() && leasedSince === restsOn
-      end()
-      if (!isStanding) return false
-      account.sent.add()
+    function markSent(): boolean {
+      if (!isPending) return false
+      const isLeaseValid = checkLease() && currentLeaseSince === leaseAtReservation
+      closeReservation()
+      if (!isLeaseValid) return false
+      account.sentMeter.add()
       metrics.add('claynotch_quota_spent_total', [['tenant', account.tenant]])
       return true
     }
     function cancel(): void {
-      if (!isOpen) return
-      end()
+      if (!isPending) return
+      closeReservation()
       serveWaiters(account)
     }
-    return { tenant: account.tenant, sent, cancel }
+    return { tenant: account.tenant, sent: markSent, cancel }
   }
-  function noteRefused(account: Account): void {
+  /** Counts a refused operation; logs at most once in QUOTA_LOG_INTERVAL_MS. */
+  function recordRefusal(account: Account): void {
     const { tenant } = account
     metrics.add('claynotch_quota_refused_total', [['tenant', tenant]])
     account.refused++
@@ -167,7 +188,7 @@
       tenant,
       allowance: account.allowance,
       used: usedOf(account),
-      wanted: account.wanted.count(),
+      wanted: account.wantedMeter.count(),
       refused: account.refused,
     })
     account.loggedAt = world.now()
@@ -175,11 +196,11 @@
   }
   function serveWaiters(account: Account): void {
     for (const waiter of account.waiters) {
-      if (!isFree(account)) return
+      if (!hasFreeAllowance(account)) return
       waiter.settle(makeReservation(account))
     }
   }
-  function wait(account: Account, waitMs: number, gone: Flag): Promise<Reservation | undefined> {
+  function waitForAllowance(account: Account, waitMs: number, abandoned: Flag): Promise<Reservation | undefined> {
     function start(resolve: (reservation: Reservation | undefined) => void): void {
       const waiter: Waiter = { firstQuestion: lastQuestion + 1, settle }
       let unwatch: Cancel = noop
@@ -194,55 +215,59 @@
       }
       account.waiters.add(waiter)
       const cancelTimer = world.later(waitMs, giveUp)
-      unwatch = gone.watch(giveUp)
+      unwatch = abandoned.watch(giveUp)
     }
     return new Promise(start)
   }
-  async function reserve(tenant: string, waitMs: number, gone: Flag): Promise<Reservation | undefined> {
+  async function reserve(tenant: string, waitMs: number, abandoned: Flag): Promise<Reservation | undefined> {
     const account = accountOf(tenant)
-    account.wanted.add()
+    account.wantedMeter.add()
     account.lastWantedAt = world.now()
-    account.isGivenBack = false
-    if (account.waiters.size === 0 && isFree(account)) {
+    account.isKnownEmpty = false
+    if (account.waiters.size === 0 && hasFreeAllowance(account)) {
       const reservation = makeReservation(account)
       if (isLow(account)) askWithin(QUOTA_SOON_MS)
       return reservation
     }
     const isDenied = world.now() < account.deniedUntil
-    if (!isDenied && !gone.fired()) {
+    if (!isDenied && !abandoned.fired()) {
       askWithin(0)
-      const reservation = await wait(account, waitMs, gone)
+      const reservation = await waitForAllowance(account, waitMs, abandoned)
       if (reservation) return reservation
     }
-    noteRefused(account)
+    recordRefusal(account)
     return undefined
   }
 
   // --- questions ---
 
+  /** Whether the allowance is nearly used up and more may be available. */
   function isLow(account: Account): boolean {
     const { allowance, isShort } = account
     if (allowance < QUOTA_MIN_LOW_ALLOWANCE || isShort) return false
     return allowance - usedOf(account) <= allowance * QUOTA_LOW_SHARE
   }
+  /** Makes the next question due within this many ms. */
   function askWithin(ms: number): void {
-    const at = world.now() + ms
-    if (at >= dueAt) return
-    dueAt = at
+    const askAt = world.now() + ms
+    if (askAt >= nextQuestionAt) return
+    nextQuestionAt = askAt
     changed.notify()
   }
-  function isForgettable(account: Account): boolean {
-    return account.isGivenBack && heldOf(account) === 0 && account.wanted.count() === 0 && account.waiters.size === 0
+  function isUnused(account: Account): boolean {
+    return (
+      account.isKnownEmpty && heldOf(account) === 0 && account.wantedMeter.count() === 0 && account.waiters.size === 0
+    )
   }
-  function giveBackIdle(account: Account): void {
+  function returnIdleAllowance(account: Account): void {
     if (world.now() - account.lastWantedAt > QUOTA_IDLE_MS) account.allowance = 0
   }
-  function linesNow(): QuotaLine[] {
+  function currentLines(): QuotaLine[] {
     const lines: QuotaLine[] = []
     for (const [tenant, account] of accounts) {
-      giveBackIdle(account)
-      if (isForgettable(account)) accounts.delete(tenant)
-      else lines.push([tenant, heldOf(account), usedOf(account), account.wanted.count(), account.waiters.size])
+      returnIdleAllowance(account)
+      if (isUnused(account)) accounts.delete(tenant)
+      else lines.push([tenant, heldOf(account), usedOf(account), account.wantedMeter.count(), account.waiters.size])
     }
     return lines
   }
@@ -251,15 +276,15 @@
     if (!account) return
     const [, held, used, wanted] = line
     account.allowance = allowance
-    account.isGivenBack = held === 0 && wanted === 0 && allowance === 0
+    account.isKnownEmpty = held === 0 && wanted === 0 && allowance === 0
     metrics.set('claynotch_quota_allowance', [['tenant', tenant]], allowance)
-    // What it can let go is told at once, as others may wait for it.
+    // Reports soon what the proxy can release, as others may wait for it.
     if (allowance < held && used < held) askWithin(QUOTA_SOON_MS)
     account.isShort = allowance < wanted
     serveWaiters(account)
     refuseWaiters(account)
   }
-  /** Those that the latest question was asked for too, and for whom there is nothing. */
+  /** Refuses the operations that the latest question included and for which nothing was granted. */
   function refuseWaiters(account: Account): void {
     for (const waiter of account.waiters) {
       if (waiter.firstQuestion > lastQuestion) continue
@@ -280,12 +305,12 @@
     return false
   }
   async function askOnce(): Promise<void> {
-    const lines = linesNow()
+    const lines = currentLines()
     const askedAt = world.now()
-    const askedUnder = leasedSince
+    const leaseAtQuestion = currentLeaseSince
     const question: QuotaQuestion = { t: 'quota', life: options.life, askedAt, lines }
     lastQuestion++
-    dueAt = askedAt + (lines.length > 0 ? QUOTA_REPORT_INTERVAL_MS : QUOTA_IDLE_REPORT_INTERVAL_MS)
+    nextQuestionAt = askedAt + (lines.length > 0 ? QUOTA_REPORT_INTERVAL_MS : QUOTA_IDLE_REPORT_INTERVAL_MS)
     metrics.add('claynotch_quota_questions_total')
     const grants = await withTimeout(world, QUOTA_QUESTION_TIMEOUT_MS, options.ask(question))
     if (grants === undefined || grants === TIMED_OUT) {
@@ -293,26 +318,26 @@
       askWithin(QUOTA_QUESTION_RETRY_MS)
       return
     }
-    // Granted under a lease that has lapsed meanwhile: the holder may have given it to others.
-    if (!isLeaseUnbroken() || leasedSince !== askedUnder) return
+    // The lease had a gap since the question: the holder may have granted the same operations to other proxies.
+    if (!checkLease() || currentLeaseSince !== leaseAtQuestion) return
     applyGrants(grants, lines)
-    // Whoever nobody answered for may be answered a little later.
+    // Tenants without an answer, whose operations still wait, are asked for again a little later.
     if (isAnyoneWaiting()) askWithin(QUOTA_QUESTION_RETRY_MS)
   }
   function mayAsk(): boolean {
-    return isLeaseUnbroken() && (accounts.size > 0 || options.isActive())
+    return checkLease() && (accounts.size > 0 || options.isActive())
   }
   async function step(): Promise<void> {
-    while (world.now() < dueAt && !stop.fired()) await changed.wait(world, dueAt - world.now(), stop)
+    while (world.now() < nextQuestionAt && !stop.fired()) await changed.wait(world, nextQuestionAt - world.now(), stop)
     if (stop.fired()) return
     if (mayAsk()) await askOnce()
-    else dueAt = world.now() + QUOTA_REPORT_INTERVAL_MS
+    else nextQuestionAt = world.now() + QUOTA_REPORT_INTERVAL_MS
   }
   void loop(world, 'quota', QUOTA_QUESTION_SPACING_MS, stop, step)
 
   function heldNow(tenant: string): number {
     const account = accounts.get(tenant)
-    return account && isLeaseUnbroken() ? heldOf(account) : 0
+    return account && checkLease() ? heldOf(account) : 0
   }
   return { reserve, held: heldNow }
 }
--- a/packages/quota/src/ledger.ts
+++ b/packages/quota/src/ledger.ts
@@ -3,23 +3,28 @@
 import type { QuotaGrant, QuotaLine } from './messages.js'
 
 /**
- * Who asks. life: of the proxy on that node. askedAt: ms by the node's clock. heardAt: when this life was first heard of here, by the
- * ledger's clock; with its first question, unless it is given.
+ * The proxy that asks. life identifies its process incarnation; askedAt is a time (ms) of the node's clock.
+ * knownSince is the time of the ledger's clock at which this incarnation became known here: that of its first
+ * question by default.
  */
-export type AskingProxy = { node: string; life: string; askedAt: number; heardAt?: number }
+export type AskingProxy = { node: string; life: string; askedAt: number; knownSince?: number }
 
 /**
- * What each proxy may run of each tenant, as far as one holder knows. Pure: no I/O, its only clock is the one that it is given.
+ * What each proxy may run for each tenant, as far as one holder knows. It does no I/O and reads only the clock that
+ * is passed to it.
  *
- * Invariant: for each tenant, the sum over proxies of max(held, used, last answered) and of what cools grows only up to the limit.
- * It is above it only after the limit was lowered, or by what proxies of an earlier holder told, and then no answer adds to it.
+ * Invariant: for each tenant, the sum over proxies of max(held, used, granted), plus the residual usage, grows only
+ * up to the limit. It exceeds the limit only after the limit was lowered, or by what proxies report that an earlier
+ * holder granted, and then no answer adds to it.
  */
 export type Ledger = {
   /**
-   * Takes all that one proxy holds, used and wants, and answers what it may run in any window from now on. A question that was
-   * asked before another one of the node that was taken already is late: it changes nothing and is answered with nothing.
-   * limitOf: operations of the whole fleet in one window; undefined: no limit. mayGrow: false as long as an earlier holder's
-   * allowances may not all have been told. reserveOf: operations of the tenant that may be granted all the same while nothing may grow.
+   * Records everything that one proxy holds, used and wants, and returns what it may run in any window from now on. A
+   * question that was asked before another one of the node that is already recorded is late: it changes nothing, and
+   * the answer is empty.
+   * - limitOf: operations of the whole fleet in one window; undefined: no limit.
+   * - mayGrow: false while allowances of an earlier holder may not have been reported yet.
+   * - reserveOf: operations of the tenant that may be granted even while mayGrow is false.
    */
   report: (
     proxy: AskingProxy,
@@ -28,68 +33,76 @@
     mayGrow: boolean,
     reserveOf?: (tenant: string) => number,
   ) => QuotaGrant[]
-  /** Whether some tenant's proxies together need more, or have more, than that. */
+  /** Whether the proxies of some tenant together need more than limitOf gives for it. */
   needs: (limitOf: (tenant: string) => number | undefined) => boolean
+  /** Whether more operations of some tenant are outstanding than limitOf gives for it. */
   exceeds: (limitOf: (tenant: string) => number | undefined) => boolean
   /**
-   * The node's lease is over: what its proxy had cools for one window, then it is free. seenAt: when the look at the members
-   * began that showed it; a node that was answered since then has a lease again, and keeps what it has.
+   * The node's lease has expired: what its proxy had counts as residual usage for one window, then it is free. seenAt
+   * is the time at which the read of the members that showed it began; a node that was answered since then has a
+   * lease again and keeps what it has.
    */
   gone: (node: string, seenAt?: number) => void
   /** Nodes whose proxy may hold something. */
   nodes: () => string[]
-  /** Operations of the tenant that may run in one window by all that is known here. */
+  /** The outstanding operations of the tenant: those that may run in one window by all that is known here. */
   liability: (tenant: string) => number
 }
 
-/** One tenant at one proxy. */
+/** One tenant at one proxy, as of its last recorded question. */
 type Account = Claim & { life: string; askedAt: number }
-/** What an ended proxy, or one whose lease is over, may have run within the last window. */
-type Cooling = { node: string; life: string; amount: number; until: number }
-/** ceiling: what the sum may not pass while nothing may grow: all that was told to this holder. */
-type Book = { accounts: Map<string, Account>; cooling: Cooling[]; ceiling: number }
+/** What a proxy may have run within the last window before it ended or its lease expired. It counts up to `until`. */
+type ResidualUsage = { node: string; life: string; amount: number; until: number }
+/**
+ * One tenant. ceiling limits the outstanding operations while allowances may not grow: it is the sum of all that was
+ * reported to this holder.
+ */
+type TenantState = { accounts: Map<string, Account>; residuals: ResidualUsage[]; ceiling: number }
 
-function chargeOf({ held, used, answered }: Account): number {
-  return Math.max(held, used, answered)
+/** The operations that the account counts for: the proxy may act on any of the three until it reports less. */
+function chargeOf({ held, used, granted }: Account): number {
+  return Math.max(held, used, granted)
 }
 
-function nothing(): number {
+function noReserve(): number {
   return 0
 }
 
+/** now returns a time in ms; windowMs is the length of the window in which operations are limited. */
 export function makeLedger(now: () => number, windowMs: number): Ledger {
-  const books = new Map<string, Book>()
+  const tenantStates = new Map<string, TenantState>()
   const proxies = new Map<string, { life: string; askedAt: number; answeredAt: number }>()
-  // Until then a proxy that ended before this holder heard of its node may have operations within the window.
-  let growsFrom = -Infinity
-  let isWaiting = false
+  /** Until then, a proxy that ended before its node became known to this holder may have operations in the window. */
+  let growthAllowedAt = -Infinity
+  let isTakingOver = false
 
-  function bookOf(tenant: string): Book {
-    let book = books.get(tenant)
-    if (!book) {
-      book = { accounts: new Map(), cooling: [], ceiling: 0 }
-      books.set(tenant, book)
+  function stateOf(tenant: string): TenantState {
+    let state = tenantStates.get(tenant)
+    if (!state) {
+      state = { accounts: new Map(), residuals: [], ceiling: 0 }
+      tenantStates.set(tenant, state)
     }
-    return book
+    return state
   }
-  function dropCooled(book: Book): void {
-    if (book.cooling.length === 0) return
-    function isWarm({ until }: Cooling): boolean {
+  function dropExpiredResiduals(state: TenantState): void {
+    if (state.residuals.length === 0) return
+    function isWithinWindow({ until }: ResidualUsage): boolean {
       return now() <= until
     }
-    book.cooling = book.cooling.filter(isWarm)
+    state.residuals = state.residuals.filter(isWithinWindow)
   }
-  /** What cools of one life of a proxy: it was counted by one meter, so the most of it covers all of it. */
-  function coolingOf(book: Book, node: string, life: string): number {
-    let most = 0
-    for (const one of book.cooling) if (one.node === node && one.life === life) most = Math.max(most, one.amount)
-    return most
+  /** The residual usage of one proxy incarnation, the largest amount, as one meter counted all of it. */
+  function residualOf(state: TenantState, node: string, life: string): number {
+    let largest = 0
+    for (const residual of state.residuals)
+      if (residual.node === node && residual.life === life) largest = Math.max(largest, residual.amount)
+    return largest
   }
-  /** What cools of all but the lives that have an account, whose account covers it or is raised to it. */
-  function coolingApart(book: Book): number {
+  /** The residual usage of all proxy incarnations without an account; outstandingOf includes that of the others. */
+  function residualWithoutAccount(state: TenantState): number {
     const byLife = new Map<string, number>()
-    for (const { node, life, amount } of book.cooling) {
-      if (book.accounts.get(node)?.life === life) continue
+    for (const { node, life, amount } of state.residuals) {
+      if (state.accounts.get(node)?.life === life) continue
       const key = `${node} ${life}`
       byLife.set(key, Math.max(byLife.get(key) ?? 0, amount))
     }
@@ -97,76 +110,76 @@
     for (const amount of byLife.values()) sum += amount
     return sum
   }
-  function liabilityOf(book: Book, node: string, account: Account): number {
+  function outstandingOf(state: TenantState, node: string, account: Account): number {
     const charge = chargeOf(account)
-    return book.cooling.length === 0 ? charge : Math.max(charge, coolingOf(book, node, account.life))
+    return state.residuals.length === 0 ? charge : Math.max(charge, residualOf(state, node, account.life))
   }
-  function totalOf(book: Book): number {
-    dropCooled(book)
-    let sum = coolingApart(book)
-    for (const [node, account] of book.accounts) sum += liabilityOf(book, node, account)
+  function totalOutstanding(state: TenantState): number {
+    dropExpiredResiduals(state)
+    let sum = residualWithoutAccount(state)
+    for (const [node, account] of state.accounts) sum += outstandingOf(state, node, account)
     return sum
   }
-  /** What the proxy of a node had, nobody else has for one window. */
-  function cool(node: string): void {
-    for (const book of books.values()) {
-      const account = book.accounts.get(node)
+  /** Turns the accounts of a node's proxy into residual usage, which no other proxy gets for one window. */
+  function convertToResidual(node: string): void {
+    for (const state of tenantStates.values()) {
+      const account = state.accounts.get(node)
       if (!account) continue
-      book.accounts.delete(node)
+      state.accounts.delete(node)
       const amount = chargeOf(account)
-      if (amount > 0) book.cooling.push({ node, life: account.life, amount, until: now() + windowMs })
+      if (amount > 0) state.residuals.push({ node, life: account.life, amount, until: now() + windowMs })
     }
   }
-  /** Takes note of who asks; false: the question is late. */
-  function meet({ node, life, askedAt, heardAt = now() }: AskingProxy): boolean {
+  /** Records the proxy that asks; returns false if the question is late. */
+  function recordProxy({ node, life, askedAt, knownSince: knownSince = now() }: AskingProxy): boolean {
     const known = proxies.get(node)
     if (known && (askedAt < known.askedAt || (askedAt === known.askedAt && life !== known.life))) return false
-    if (!known && isWaiting) growsFrom = Math.max(growsFrom, heardAt + windowMs)
-    if (known && known.life !== life) cool(node)
+    if (!known && isTakingOver) growthAllowedAt = Math.max(growthAllowedAt, knownSince + windowMs)
+    if (known && known.life !== life) convertToResidual(node)
     proxies.set(node, { life, askedAt, answeredAt: now() })
     return true
   }
   /**
-   * What the proxy should have, as far as so much is free. It may be less than it uses: then it runs nothing until enough of that
-   * has left the window, and is charged for what it holds until it tells less.
+   * The proxy's share, as far as that much is free. It may be less than the proxy uses: then the proxy runs nothing
+   * until enough of its operations have left the window, and is charged for what it holds until it reports less.
    */
-  function answerTo(book: Book, node: string, account: Account, limit: number): number {
+  function allowanceFor(state: TenantState, node: string, account: Account, limit: number): number {
     const others: Claim[] = []
-    const apart = coolingApart(book)
-    let takenByOthers = apart
-    for (const [other, theirs] of book.accounts) {
-      if (other === node) continue
-      others.push(theirs)
-      takenByOthers += liabilityOf(book, other, theirs)
+    const residual = residualWithoutAccount(state)
+    let takenByOthers = residual
+    for (const [otherNode, otherAccount] of state.accounts) {
+      if (otherNode === node) continue
+      others.push(otherAccount)
+      takenByOthers += outstandingOf(state, otherNode, otherAccount)
     }
-    const share = shareOf(account, others, limit - apart)
-    const most = Math.max(account.held, Math.floor(limit - takenByOthers))
-    return Math.min(share, most)
+    const share = shareOf(account, others, limit - residual)
+    const maxAllowance = Math.max(account.held, Math.floor(limit - takenByOthers))
+    return Math.min(share, maxAllowance)
   }
-  function takeLine(
+  function applyLine(
     { node, life, askedAt }: AskingProxy,
     [tenant, held, used, wanted, waiting]: QuotaLine,
     limit: number | undefined,
     mayGrow: boolean,
     reserve: number,
   ): QuotaGrant | undefined {
-    const book = bookOf(tenant)
-    dropCooled(book)
-    const known = book.accounts.get(node)
-    if (known && known.askedAt >= askedAt) return undefined
-    const isToldFirst = !known && !mayGrow
-    const before = isToldFirst ? totalOf(book) : 0
+    const state = stateOf(tenant)
+    dropExpiredResiduals(state)
+    const previous = state.accounts.get(node)
+    if (previous && previous.askedAt >= askedAt) return undefined
+    const isFirstReport = !previous && !mayGrow
+    const outstandingBefore = isFirstReport ? totalOutstanding(state) : 0
     const need = Math.max(wanted, used)
-    const account: Account = { life, askedAt, held, used, need, waiting, answered: 0 }
-    book.accounts.set(node, account)
+    const account: Account = { life, askedAt, held, used, need, waiting, granted: 0 }
+    state.accounts.set(node, account)
     if (limit === undefined) {
-      account.answered = QUOTA_UNLIMITED
+      account.granted = QUOTA_UNLIMITED
       return [tenant, QUOTA_UNLIMITED]
     }
-    if (mayGrow) book.ceiling = limit
-    else if (isToldFirst) book.ceiling += Math.max(0, totalOf(book) - before)
-    account.answered = answerTo(book, node, account, Math.min(limit, book.ceiling + (mayGrow ? 0 : reserve)))
-    return [tenant, account.answered]
+    if (mayGrow) state.ceiling = limit
+    else if (isFirstReport) state.ceiling += Math.max(0, totalOutstanding(state) - outstandingBefore)
+    account.granted = allowanceFor(state, node, account, Math.min(limit, state.ceiling + (mayGrow ? 0 : reserve)))
+    return [tenant, account.granted]
   }
 
   function report(
@@ -174,14 +187,14 @@
     lines: QuotaLine[],
     limitOf: (tenant: string) => number | undefined,
     mayGrow: boolean,
-    reserveOf: (tenant: string) => number = nothing,
+    reserveOf: (tenant: string) => number = noReserve,
   ): QuotaGrant[] {
-    isWaiting = !mayGrow
-    if (!meet(proxy)) return []
-    const isGrowing = mayGrow && now() >= growsFrom
+    isTakingOver = !mayGrow
+    if (!recordProxy(proxy)) return []
+    const isGrowing = mayGrow && now() >= growthAllowedAt
     const grants: QuotaGrant[] = []
     for (const line of lines) {
-      const grant = takeLine(proxy, line, limitOf(line[0]), isGrowing, reserveOf(line[0]))
+      const grant = applyLine(proxy, line, limitOf(line[0]), isGrowing, reserveOf(line[0]))
       if (grant) grants.push(grant)
     }
     return grants
@@ -189,19 +202,19 @@
   function gone(node: string, seenAt = now()): void {
     const known = proxies.get(node)
     if (known && known.answeredAt > seenAt) return
-    if (!known && isWaiting) growsFrom = now() + windowMs
+    if (!known && isTakingOver) growthAllowedAt = now() + windowMs
     proxies.delete(node)
-    cool(node)
+    convertToResidual(node)
   }
   function nodes(): string[] {
     return [...proxies.keys()]
   }
-  function liability(tenant: string): number {
-    const book = books.get(tenant)
-    return book ? totalOf(book) : 0
+  function outstanding(tenant: string): number {
+    const state = tenantStates.get(tenant)
+    return state ? totalOutstanding(state) : 0
   }
-  function needs(limitOf: (tenant: string) => number | undefined): boolean {
-    for (const [tenant, { accounts }] of books) {
+  function needsMoreThan(limitOf: (tenant: string) => number | undefined): boolean {
+    for (const [tenant, { accounts }] of tenantStates) {
       let sum = 0
       for (const { need } of accounts.values()) sum += need
       if (sum > (limitOf(tenant) ?? Infinity)) return true
@@ -209,8 +222,8 @@
     return false
   }
   function exceeds(limitOf: (tenant: string) => number | undefined): boolean {
-    for (const [tenant, book] of books) if (totalOf(book) > (limitOf(tenant) ?? Infinity)) return true
+    for (const [tenant, state] of tenantStates) if (totalOutstanding(state) > (limitOf(tenant) ?? Infinity)) return true
     return false
   }
-  return { report, needs, exceeds, gone, nodes, liability }
+  return { report, needs: needsMoreThan, exceeds, gone, nodes, liability: outstanding }
 }
--- a/packages/quota/src/test/window-meter.test.ts
+++ b/packages/quota/src/test/window-meter.test.ts
@@ -17,7 +17,7 @@
   meter.add()
   c.equal(meter.count(), 3)
   time = 1000
-  c.equal(meter.count(), 3, 'at the end of its window an event still counts')
+  c.equal(meter.count(), 3, 'an event still counts at the end of its window')
   time = 1001
   c.equal(meter.count(), 2)
   time = 1601
@@ -25,10 +25,13 @@
   c.end()
 }
 
-/** Against a list of all times: never less than it says, and never more than with a window that is a little longer. */
-function againstList(c: Test): void {
+/**
+ * Compares the meter with a list of all times: it never counts fewer events than the list, and never more than the list
+ * with a window that is longer by QUOTA_METER_GRAIN_MS.
+ */
+function matchesReferenceList(c: Test): void {
   let steps = 0
-  function holds(pauses: number[]): boolean {
+  function isWithinBounds(pauses: number[]): boolean {
     let time = 0
     const times: number[] = []
     function now(): number {
@@ -56,10 +59,10 @@
     fc.nat({ max: 300 }),
     fc.constantFrom(990, 1000, 1001, 1011),
   )
-  const result = fc.check(fc.property(fc.array(pause, { maxLength: 200 }), holds), { numRuns: 1000, seed: 5 })
+  const result = fc.check(fc.property(fc.array(pause, { maxLength: 200 }), isWithinBounds), { numRuns: 1000, seed: 5 })
   c.notOk(result.failed, result.failed ? String(fc.defaultReportMessage(result)) : `${steps} events`)
   c.end()
 }
 
-void t.test('an event is forgotten before its window is over', countsWholeWindow)
-void t.test('the meter counts less than a list of all times does', againstList)
+void t.test('an event counts for its whole window', countsWholeWindow)
+void t.test('the meter counts no less than a list of all times', matchesReferenceList)
--- a/packages/quota/src/window-meter.ts
+++ b/packages/quota/src/window-meter.ts
@@ -3,33 +3,36 @@
 /**
  * Counts events within the last window.
  *
- * Invariant: an event counts from when it is added until the window has passed, and for QUOTA_METER_GRAIN_MS more at most.
+ * Invariant: an event counts from when it is added until the window has passed, and at most QUOTA_METER_GRAIN_MS
+ * longer.
  */
 export type WindowMeter = { add: () => void; count: () => number }
 
-/** Events of nearly one time. firstAt, lastAt: ms. */
-type Lot = { firstAt: number; lastAt: number; events: number }
+/** Events that were added within QUOTA_METER_GRAIN_MS. firstAt, lastAt: times (ms) of the first and the last one. */
+type Bucket = { firstAt: number; lastAt: number; events: number }
 
+/** now returns a time in ms. */
 export function makeWindowMeter(now: () => number, windowMs: number): WindowMeter {
-  const lots: Lot[] = []
+  const buckets: Bucket[] = []
   let total = 0
 
-  function forgetOld(): void {
-    let old = 0
-    while (old < lots.length && now() - lots[old].lastAt > windowMs) total -= lots[old++].events
-    if (old > 0) lots.splice(0, old)
+  function dropExpired(): void {
+    let expiredCount = 0
+    while (expiredCount < buckets.length && now() - buckets[expiredCount].lastAt > windowMs)
+      total -= buckets[expiredCount++].events
+    if (expiredCount > 0) buckets.splice(0, expiredCount)
   }
   function add(): void {
-    const at = now()
-    const last = lots.at(-1)
+    const addedAt = now()
+    const newest = buckets.at(-1)
     total++
-    if (last && at - last.firstAt <= QUOTA_METER_GRAIN_MS) {
-      last.events++
-      last.lastAt = at
-    } else lots.push({ firstAt: at, lastAt: at, events: 1 })
+    if (newest && addedAt - newest.firstAt <= QUOTA_METER_GRAIN_MS) {
+      newest.events++
+      newest.lastAt = addedAt
+    } else buckets.push({ firstAt: addedAt, lastAt: addedAt, events: 1 })
   }
   function count(): number {
-    forgetOld()
+    dropExpired()
     return total
   }
   return { add, count }
