--- a/packages/agent/src/configuration-service.ts
+++ b/packages/agent/src/configuration-service.ts
@@ -12,8 +12,8 @@
 import type { Proposer } from '@claynotch/register'
 
 /**
- * Changes and reads of the configuration for callers that go elsewhere after a second: both answer within
- * CHANGE_ANSWER_TIMEOUT_MS, and what is under way ends by itself.
+ * Changes and reads the configuration for callers that try another node after a second: both answer within
+ * CHANGE_ANSWER_TIMEOUT_MS, and an operation that is still in progress then ends by itself.
  */
 export type ConfigurationService = {
   change: (stream: string, change: Change) => Promise<Verdict>
@@ -21,7 +21,7 @@
   read: () => Promise<Body | undefined>
 }
 
-/** isCutOff: this node's lease has run out, so that callers are better off elsewhere at once. */
+/** isCutOff: whether this node's lease has expired, so that callers should try another node at once. */
 export function makeConfigurationService(
   world: World,
   proposer: Proposer,
@@ -33,32 +33,35 @@
     const verdict = await withTimeout(world, CHANGE_ANSWER_TIMEOUT_MS, decision)
     return verdict === TIMED_OUT ? unclear(order, 'no majority of cores settled it in time') : verdict
   }
-  async function change(stream: string, one: Change): Promise<Verdict> {
-    const order = { stream, change: one }
+  async function change(stream: string, requestedChange: Change): Promise<Verdict> {
+    const order = { stream, change: requestedChange }
     const verdict = isCutOff() ? unclear(order, 'this machine reaches no majority of cores') : await decide(order)
     metrics.add('claynotch_decisions_total', [['decision', verdict.decision]])
     return verdict
   }
 
-  // Whoever asks while a read runs shares the next, which starts after all of them asked, so that a crowd of readers makes no
-  // more than one at a time.
-  let running: Promise<unknown> = Promise.resolve()
-  let next: Promise<Body | undefined> | undefined
+  /** Ends with the read in progress, if there is one. */
+  let runningRead: Promise<unknown> = Promise.resolve()
+  /**
+   * The next read. Callers that arrive during a read share the next one, which starts after all of them have asked, so
+   * that there is never more than one read at a time.
+   */
+  let nextRead: Promise<Body | undefined> | undefined
 
   async function readOnce(): Promise<Body | undefined> {
     const committed = await proposer.look(CONFIG_KEY, CHANGE_ANSWER_TIMEOUT_MS)
     return committed.done ? ((committed.value?.body as Body | undefined) ?? emptyBody()) : undefined
   }
   function startRead(): Promise<Body | undefined> {
-    next = undefined
+    nextRead = undefined
     const body = readOnce()
-    running = body.catch(noop)
+    runningRead = body.catch(noop)
     return body
   }
   async function read(): Promise<Body | undefined> {
     if (isCutOff()) return undefined
-    next ??= running.then(startRead)
-    const body = await withTimeout(world, CHANGE_ANSWER_TIMEOUT_MS, next)
+    nextRead ??= runningRead.then(startRead)
+    const body = await withTimeout(world, CHANGE_ANSWER_TIMEOUT_MS, nextRead)
     return body === TIMED_OUT ? undefined : body
   }
   return { change, read }
--- a/packages/agent/src/control-service.ts
+++ b/packages/agent/src/control-service.ts
@@ -7,10 +7,11 @@
 import { makeConfigurationService } from './configuration-service.js'
 import type { Departures } from './departures.js'
 import type { InstanceReports } from './instance-reports.js'
-import type { Heard, InstanceTable } from './instance-table.js'
+import type { AnnouncementOutcome, InstanceTable } from './instance-table.js'
 import type { LeaseRenewal } from './lease-renewal.js'
 import type { ProxyLink } from './proxy-link.js'
 
+/** The components of the agent that the control service uses. */
 export type ControlServiceParts = {
   stop: Flag
   lease: LeaseRenewal
@@ -19,7 +20,7 @@
   departures: Departures
   proxy: ProxyLink
   proposer: Proposer
-  /** Has the next renewal begin now. */
+  /** Starts the next renewal now. */
   renewNow: Signal
   failover: Duty
   body: () => Body | undefined
@@ -28,68 +29,72 @@
   metrics: Metrics
 }
 
-/** What instances, operators and the platform may have of this node. */
+/** The service of this node for instances, operators and the platform. */
 export function makeControlService(world: World, parts: ControlServiceParts): ControlService {
   const { lease, instances, reports, metrics } = parts
 
-  function heardInstance(announcement: Announcement): boolean {
+  function recordAnnouncement(announcement: Announcement): boolean {
     metrics.add('claynotch_announcements_total')
-    const heard = instances.hear(announcement)
-    if (heard.isDraining)
+    const outcome = instances.recordAnnouncement(announcement)
+    if (outcome.isDraining)
       world.log.info('instance-draining', { instance: announcement.name, group: announcement.group })
-    return pass(announcement.name, heard)
+    return propagate(announcement.name, outcome)
   }
-  /** Passes on what an instance said; false where it was dropped. */
-  function pass(name: string, heard: Heard): boolean {
-    if (!heard.isKept) metrics.add('claynotch_announcements_dropped_total')
-    if (heard.isUnreported) {
+  /** Notifies the other components of an announcement's result; returns false if the announcement was dropped. */
+  function propagate(name: string, outcome: AnnouncementOutcome): boolean {
+    if (!outcome.isAccepted) metrics.add('claynotch_announcements_dropped_total')
+    if (outcome.needsReport) {
       reports.changed(name)
       parts.renewNow.notify()
     }
-    // The proxy is told at once of what changed, and of all else with the next renewal.
-    if (heard.isChanged) {
+    // Changes are fed to the proxy at once; everything else follows with the next renewal.
+    if (outcome.isChanged) {
       parts.failover.notify()
       parts.proxy.feed()
     }
-    return heard.isKept
+    return outcome.isAccepted
   }
-  function instanceLeft(name: string): boolean {
-    parts.departures.signedOff(name, instances.get(name))
-    const heard = instances.signOff(name)
+  function recordSignOff(name: string): boolean {
+    parts.departures.recordSignOff(name, instances.get(name))
+    const outcome = instances.signOff(name)
     world.log.info('instance-signed-off', { instance: name })
-    return pass(name, heard)
+    return propagate(name, outcome)
   }
-  function notReady(): string | undefined {
+  /** Why this node isn't ready; undefined: it is. */
+  function notReadyReason(): string | undefined {
     if (parts.stop.fired()) return 'draining'
     return lease.isValid() ? undefined : 'no valid term'
   }
-  /** Why an announcement can't be acknowledged, as no majority has been told of it, or none keeps a sign-off. */
-  async function reportFailure(name: string): Promise<string | undefined> {
-    const why = notReady()
-    if (why !== undefined) return why
-    const [isTold, isKept] = await Promise.all([
+  /**
+   * Waits until a majority has the last announcement of the instance, and has stored its sign-off if it needs to be.
+   * Resolves to why the announcement can't be acknowledged; undefined: it can.
+   */
+  async function awaitAcknowledgement(name: string): Promise<string | undefined> {
+    const reason = notReadyReason()
+    if (reason !== undefined) return reason
+    const [isReported, isStored] = await Promise.all([
       reports.acknowledged(name, CHANGE_ANSWER_TIMEOUT_MS),
-      parts.departures.keep(name),
+      parts.departures.store(name),
     ])
-    if (!isTold) return 'no majority of cores could be told of it'
-    if (!isKept) return 'no majority of cores could store it'
-    return notReady()
+    if (!isReported) return 'no majority of cores could be told of it'
+    if (!isStored) return 'no majority of cores could store it'
+    return notReadyReason()
   }
-  /** The lease ran out. A process that has just started, and never had one, may still reach the cores. */
+  /** Whether the lease has expired. A new process that never held a lease may still be able to reach the cores. */
   function isCutOff(): boolean {
     return lease.wasHeld() && !lease.isValid()
   }
   const configuration = makeConfigurationService(world, parts.proposer, isCutOff, metrics)
   return {
     metrics,
-    recordAnnouncement: heardInstance,
-    recordSignOff: instanceLeft,
-    awaitAcknowledgement: reportFailure,
+    recordAnnouncement,
+    recordSignOff,
+    awaitAcknowledgement,
     change: configuration.change,
     read: configuration.read,
     body: parts.body,
     coreSet: parts.coreSet,
-    ready: notReady,
+    ready: notReadyReason,
     operator: parts.operator,
   }
 }
--- a/packages/agent/src/departures.ts
+++ b/packages/agent/src/departures.ts
@@ -13,19 +13,21 @@
 } from '@claynotch/register'
 
 /**
- * Sign-offs of instances that hadn't announced before that they leave. Such an instance serves on and says nothing any more, so
- * its sign-off is kept in its group's record, on the disks of a majority, before it is acknowledged. One that announced it
- * repeats that until it signs off, and then ends.
+ * Stores the sign-offs of instances that hadn't announced before that they leave. Such an instance continues to serve
+ * but sends no more announcements, so its sign-off is stored in its group's record, on the disks of a majority,
+ * before it is acknowledged. An instance that announced its leaving repeats the announcement until it signs off, and
+ * then ends.
  *
- * Invariant: a name is owed exactly while its sign-off was heard here and may not be in the record.
+ * Invariant: a name is in pendingSignOffs exactly while its sign-off was received here and may not be in the record.
  */
 export type Departures = {
-  /** An instance signed off. before: what was known of it until then. */
-  signedOff: (name: string, before: InstanceStatus | undefined) => void
-  /** Whether its sign-off is kept, or need not be; tried again with each call. */
-  keep: (name: string) => Promise<boolean>
+  /** Records the sign-off of an instance. previous: its last known status before that. */
+  recordSignOff: (name: string, previous: InstanceStatus | undefined) => void
+  /** Stores the instance's sign-off if needed; resolves to whether nothing is left to store. Each call tries again. */
+  store: (name: string) => Promise<boolean>
 }
 
+/** What the departures need from the agent. */
 export type DepartureSources = {
   node: string
   proposer: Proposer
@@ -33,35 +35,36 @@
   learn: (key: string, value: RegisterValue, ballot: Ballot) => void
 }
 
-function isAnnounced(before: InstanceStatus): boolean {
-  return before.leaving && !hasSignedOff(before)
+/** Whether the instance had announced that it leaves before it signed off. */
+function isAnnounced(previous: InstanceStatus): boolean {
+  return previous.leaving && !hasSignedOff(previous)
 }
 
 export function makeDepartures({ node, proposer, recordOf, learn }: DepartureSources): Departures {
-  // owed: the group of each instance.
-  const owed = new Map<string, string>()
+  /** The group of each instance whose sign-off may not be stored yet. */
+  const pendingSignOffs = new Map<string, string>()
 
-  function signedOff(name: string, before: InstanceStatus | undefined): void {
-    if (!before || before.group === '' || isAnnounced(before)) return
-    if (!hasDeparted(recordOf(before.group), name)) owed.set(name, before.group)
+  function recordSignOff(name: string, previous: InstanceStatus | undefined): void {
+    if (!previous || previous.group === '' || isAnnounced(previous)) return
+    if (!hasDeparted(recordOf(previous.group), name)) pendingSignOffs.set(name, previous.group)
   }
   function editFor(name: string): RegisterEdit {
-    function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
-      const record = now?.body as GroupRecord | undefined
+    function edit(current: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
+      const record = current?.body as GroupRecord | undefined
       if (!record || hasDeparted(record, name)) return undefined
       return { body: withDeparted(record, name), tag: `${node}~departed~${name}` }
     }
     return edit
   }
-  async function keep(name: string): Promise<boolean> {
-    const group = owed.get(name)
+  async function store(name: string): Promise<boolean> {
+    const group = pendingSignOffs.get(name)
     if (group === undefined) return true
     const key = groupKey(group)
     const committed = await proposer.change(key, editFor(name), CHANGE_ANSWER_TIMEOUT_MS)
     if (!committed.done) return false
     if (committed.value) learn(key, committed.value, committed.ballot)
-    owed.delete(name)
+    pendingSignOffs.delete(name)
     return true
   }
-  return { signedOff, keep }
+  return { recordSignOff, store }
 }
--- a/packages/agent/src/instance-reports.ts
+++ b/packages/agent/src/instance-reports.ts
@@ -1,58 +1,59 @@
 import { makeSignal, type World } from '@claynotch/base'
 
 /**
- * What a majority of the cores has been told of the instances that this node hears.
+ * Tracks which announcements of instances have been reported to a majority of the cores.
  *
- * An instance counts from the acknowledgement of its word: it leaves so many seconds after it, say. So a word that changes
- * something is acknowledged only after a renewal round that began when it had been heard, and to which a majority answered;
- * and no word is while the last round reached none, though the lease that an earlier round gave still runs.
+ * An instance relies on the acknowledgement of its announcement: for example, it ends a fixed time after the
+ * acknowledgement that it leaves. So an announcement that changes something is acknowledged only after a renewal round
+ * that began after it was received and that a majority accepted. Nothing is acknowledged while the last round was not
+ * accepted, even if the lease from an earlier round is still valid.
  *
- * Invariants: a name is in untold exactly while no good round has begun after its last news; rounds follow one another, each
- * begun and ended once.
+ * Invariants: a name is in unreported exactly while no accepted round has begun after its last change; rounds don't
+ * overlap, and each begins and ends once.
  */
 export type InstanceReports = {
-  /** A round begins, with all that was heard until now; its number. */
+  /** Begins a round, which reports all changes until now; returns its number. */
   beginRound: () => number
-  /** It ended. good: a majority has what it told. */
-  endRound: (round: number, good: boolean) => void
-  /** Something that nobody has been told yet was heard of an instance. */
+  /** Ends the round. isAccepted: a majority has what it reported. */
+  endRound: (round: number, isAccepted: boolean) => void
+  /** Records a change of an instance that hasn't been reported yet. */
   changed: (name: string) => void
-  /** Whether news came that no good round has told. */
+  /** Whether there are changes that no accepted round has reported. */
   isPending: () => boolean
-  /** True once a majority has the last news of an instance; false where it can't be told within so many ms. */
-  acknowledged: (name: string, ms: number) => Promise<boolean>
+  /** Resolves to true once a majority has the last change of an instance; to false if that isn't so in time. */
+  acknowledged: (name: string, timeoutMs: number) => Promise<boolean>
 }
 
 export function makeInstanceReports(world: World): InstanceReports {
-  let begun = 0
-  let reached = true
-  // untold: for each instance, the round begun last when its news came.
-  const untold = new Map<string, number>()
-  const ended = makeSignal()
+  let latestRound = 0
+  let isLastRoundAccepted = true
+  /** For each changed instance, the number of the latest round that had begun at that time. */
+  const unreported = new Map<string, number>()
+  const roundEnded = makeSignal()
 
-  function begin(): number {
-    return ++begun
+  function beginRound(): number {
+    return ++latestRound
   }
-  function end(round: number, good: boolean): void {
-    reached = good
-    if (good) for (const [name, at] of untold) if (at < round) untold.delete(name)
-    ended.notify()
+  function endRound(round: number, isAccepted: boolean): void {
+    isLastRoundAccepted = isAccepted
+    if (isAccepted) for (const [name, changedInRound] of unreported) if (changedInRound < round) unreported.delete(name)
+    roundEnded.notify()
   }
-  function news(name: string): void {
-    untold.set(name, begun)
+  function changed(name: string): void {
+    unreported.set(name, latestRound)
   }
-  function waiting(): boolean {
-    return untold.size > 0
+  function isPending(): boolean {
+    return unreported.size > 0
   }
-  async function told(name: string, ms: number): Promise<boolean> {
-    const until = world.now() + ms
+  async function acknowledged(name: string, timeoutMs: number): Promise<boolean> {
+    const deadline = world.now() + timeoutMs
     for (;;) {
-      if (!reached) return false
-      if (!untold.has(name)) return true
-      const left = until - world.now()
-      if (left <= 0) return false
-      await ended.wait(world, left)
+      if (!isLastRoundAccepted) return false
+      if (!unreported.has(name)) return true
+      const remainingMs = deadline - world.now()
+      if (remainingMs <= 0) return false
+      await roundEnded.wait(world, remainingMs)
     }
   }
-  return { beginRound: begin, endRound: end, changed: news, isPending: waiting, acknowledged: told }
+  return { beginRound, endRound, changed, isPending, acknowledged }
 }
--- a/packages/agent/src/instance-table.ts
+++ b/packages/agent/src/instance-table.ts
@@ -2,83 +2,90 @@
 import type { Announcement } from '@claynotch/instance'
 import { hasSignedOff, laterStatus, SIGNED_OFF_SEQUENCE, type CoreView, type InstanceStatus } from '@claynotch/register'
 
-/** at: local time (ms) of the announcement behind the status. */
+/** A status with the local time (ms) of the announcement from which it comes. */
 export type HeardStatus = { status: InstanceStatus; at: number }
 
-/** aliveAt: the last time at which someone knew the instance to be alive. */
+/** aliveAt: local time (ms) at which this node or a core last knew the instance to be alive. */
 type KnownStatus = HeardStatus & { aliveAt: number }
 
-/** What an announcement brought. */
-export type Heard = {
-  /** Not dropped for the number of instances that are known. */
-  isKept: boolean
-  /** The cores are to be told at once. */
-  isUnreported: boolean
-  /** What is known of the instance changed. */
+/** The result of recording an announcement or a sign-off. */
+export type AnnouncementOutcome = {
+  /** False: dropped, because too many instances are known already. */
+  isAccepted: boolean
+  /** The change must be reported to the cores at once. */
+  needsReport: boolean
+  /** The known status of the instance changed. */
   isChanged: boolean
-  /** It leaves, and didn't before. */
+  /** The instance is leaving now, and wasn't before. */
   isDraining: boolean
 }
-const DROPPED: Heard = { isKept: false, isUnreported: false, isChanged: false, isDraining: false }
+const DROPPED: AnnouncementOutcome = { isAccepted: false, needsReport: false, isChanged: false, isDraining: false }
 
 /**
- * The instances that this node knows: those that announce themselves here, and those that cores tell of.
+ * The instances that this node knows: those that announce themselves here, and those that cores report.
  *
- * Invariant: an instance is alive while this node hears it, or while a core that answers tells of it; of two statuses of one
- * instance the later stands, with the earliest notice of its leaving.
+ * Invariant: an instance is alive while it announces itself to this node, or while a core that answers reports it. Of
+ * two statuses of one instance the later one applies, with the earliest notice of its leaving.
  */
 export type InstanceTable = {
+  /** The statuses of all instances, or of those of one group. */
   list: (group?: string) => InstanceStatus[]
   get: (name: string) => InstanceStatus | undefined
+  /** The names of the instances that are leaving. */
   leaving: () => string[]
-  /** Statuses that were announced at this node. */
+  /** The statuses that were announced to this node. */
   own: () => Iterable<HeardStatus>
-  hear: (announcement: Announcement) => Heard
+  recordAnnouncement: (announcement: Announcement) => AnnouncementOutcome
   /**
-   * An instance ends and tells nothing but its name. One that isn't known here is remembered all the same, without a group:
-   * an announcement of it may be on its way, and brings it back no more.
+   * Records the sign-off of an instance, which has only its name. An unknown instance is recorded too, without a group,
+   * so that an announcement that is still in transit doesn't bring it back.
    */
-  signOff: (name: string) => Heard
-  /** Takes what cores told; whether a role or a leaving changed by it. */
+  signOff: (name: string) => AnnouncementOutcome
+  /** Replaces what cores reported; returns whether a role or a leaving flag changed. */
   merge: (views: Iterable<CoreView>) => boolean
 }
 
 function statusOf(announcement: Announcement): InstanceStatus {
   const { name, group, addr, area, role } = announcement
-  const isGone = announcement.gone === true
-  // Whatever it said before it went comes before that.
-  const sequence = isGone ? SIGNED_OFF_SEQUENCE : announcement.sequence
+  const isSignOff = announcement.gone === true
+  // A sign-off supersedes every announcement that the instance sent before it.
+  const sequence = isSignOff ? SIGNED_OFF_SEQUENCE : announcement.sequence
   return {
     name,
     group,
     addr,
     area,
     role,
-    leaving: announcement.leaving === true || isGone,
+    leaving: announcement.leaving === true || isSignOff,
     gone: 0,
     age: 0,
     ...(sequence === undefined ? {} : { sequence }),
   }
 }
 
-function isChanged(next: InstanceStatus, old: InstanceStatus | undefined): boolean {
-  if (hasSignedOff(next) !== hasSignedOff(old)) return true
-  return next.leaving !== old?.leaving || next.role !== old.role || next.addr !== old.addr || next.group !== old.group
+function isChanged(next: InstanceStatus, previous: InstanceStatus | undefined): boolean {
+  if (hasSignedOff(next) !== hasSignedOff(previous)) return true
+  return (
+    next.leaving !== previous?.leaving ||
+    next.role !== previous.role ||
+    next.addr !== previous.addr ||
+    next.group !== previous.group
+  )
 }
 
 /** isDeparted: whether the group's record says that the instance signed off. */
 export function makeInstanceTable(world: World, isDeparted: (group: string, name: string) => boolean): InstanceTable {
-  const own = new Map<string, HeardStatus>()
-  const known = new Map<string, KnownStatus>()
+  const announcedHere = new Map<string, HeardStatus>()
+  const knownStatuses = new Map<string, KnownStatus>()
 
   function expire(): void {
     const now = world.now()
-    for (const [name, { status, at }] of own)
-      if (now - at > (status.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) own.delete(name)
-    for (const [name, { aliveAt }] of known)
-      if (now - aliveAt > ANNOUNCEMENT_LIFETIME_MS && !own.has(name)) known.delete(name)
+    for (const [name, { status, at }] of announcedHere)
+      if (now - at > (status.leaving ? LEAVING_LIFETIME_MS : ANNOUNCEMENT_LIFETIME_MS)) announcedHere.delete(name)
+    for (const [name, { aliveAt }] of knownStatuses)
+      if (now - aliveAt > ANNOUNCEMENT_LIFETIME_MS && !announcedHere.has(name)) knownStatuses.delete(name)
   }
-  /** A sign-off that is in the record stands, whatever was heard since. */
+  /** Applies a sign-off that is stored in the group's record, whatever was announced since. */
   function withDeparture(status: InstanceStatus): InstanceStatus {
     if (hasSignedOff(status) || !isDeparted(status.group, status.name)) return status
     return { ...status, leaving: true, sequence: SIGNED_OFF_SEQUENCE }
@@ -86,70 +93,73 @@
   function list(group?: string): InstanceStatus[] {
     expire()
     const now = world.now()
-    const out: InstanceStatus[] = []
-    for (const { status, at } of known.values())
-      if (group === undefined || status.group === group) out.push({ ...withDeparture(status), age: now - at })
-    return out
+    const statuses: InstanceStatus[] = []
+    for (const { status, at } of knownStatuses.values())
+      if (group === undefined || status.group === group) statuses.push({ ...withDeparture(status), age: now - at })
+    return statuses
   }
   function get(name: string): InstanceStatus | undefined {
-    const status = known.get(name)?.status
+    const status = knownStatuses.get(name)?.status
     return status && withDeparture(status)
   }
   function leaving(): string[] {
-    const out: string[] = []
-    for (const { status } of known.values()) if (withDeparture(status).leaving) out.push(status.name)
-    return out
+    const names: string[] = []
+    for (const { status } of knownStatuses.values()) if (withDeparture(status).leaving) names.push(status.name)
+    return names
   }
-  function ownNow(): Iterable<HeardStatus> {
-    return own.values()
+  function ownStatuses(): Iterable<HeardStatus> {
+    return announcedHere.values()
   }
-  function later(old: HeardStatus | undefined, next: InstanceStatus, at: number): HeardStatus {
-    return laterStatus(old, next, at)
+  function laterOf(previous: HeardStatus | undefined, next: InstanceStatus, at: number): HeardStatus {
+    return laterStatus(previous, next, at)
   }
-  function hear(announcement: Announcement): Heard {
-    return record(statusOf(announcement))
+  function recordAnnouncement(announcement: Announcement): AnnouncementOutcome {
+    return recordStatus(statusOf(announcement))
   }
-  function record(next: InstanceStatus): Heard {
+  function recordStatus(next: InstanceStatus): AnnouncementOutcome {
     const { name } = next
-    const before = known.get(name)
-    if (!before && known.size >= MAX_KNOWN_INSTANCES) return DROPPED
+    const previous = knownStatuses.get(name)
+    if (!previous && knownStatuses.size >= MAX_KNOWN_INSTANCES) return DROPPED
     const now = world.now()
-    const ownBefore = own.get(name)
-    const ownNext = later(ownBefore, next, now)
-    own.set(name, ownNext)
-    const merged = later(before, next, now)
-    known.set(name, { ...merged, aliveAt: now })
-    // That it leaves is told by whoever acknowledges it: what one core told us may be known to that core alone.
-    const isOwnLeaving = ownNext.status.leaving && isChanged(ownNext.status, ownBefore?.status)
-    const changed = isChanged(merged.status, before?.status)
+    const previousOwn = announcedHere.get(name)
+    const nextOwn = laterOf(previousOwn, next, now)
+    announcedHere.set(name, nextOwn)
+    const merged = laterOf(previous, next, now)
+    knownStatuses.set(name, { ...merged, aliveAt: now })
+    // The node that acknowledges a leaving must report it itself: what one core reported may be known to no other core.
+    const isOwnLeaving = nextOwn.status.leaving && isChanged(nextOwn.status, previousOwn?.status)
+    const changed = isChanged(merged.status, previous?.status)
     return {
-      isKept: true,
-      isUnreported: isOwnLeaving || changed,
+      isAccepted: true,
+      needsReport: isOwnLeaving || changed,
       isChanged: changed,
-      isDraining: merged.status.leaving && before?.status.leaving !== true,
+      isDraining: merged.status.leaving && previous?.status.leaving !== true,
     }
   }
-  function signOff(name: string): Heard {
-    const last = known.get(name)?.status ?? { name, group: '', addr: '', area: '', role: 'follower' }
-    return record({ ...last, leaving: true, gone: 0, age: 0, sequence: SIGNED_OFF_SEQUENCE })
+  function signOff(name: string): AnnouncementOutcome {
+    const lastStatus = knownStatuses.get(name)?.status ?? { name, group: '', addr: '', area: '', role: 'follower' }
+    return recordStatus({ ...lastStatus, leaving: true, gone: 0, age: 0, sequence: SIGNED_OFF_SEQUENCE })
   }
   function mergeView(view: CoreView): void {
     for (const [name, { status, at }] of view.instances()) {
-      const old = known.get(name)
-      known.set(name, { ...later(old, status, at), aliveAt: Math.max(old?.aliveAt ?? 0, view.heard()) })
+      const previous = knownStatuses.get(name)
+      knownStatuses.set(name, {
+        ...laterOf(previous, status, at),
+        aliveAt: Math.max(previous?.aliveAt ?? 0, view.heard()),
+      })
     }
   }
   function merge(views: Iterable<CoreView>): boolean {
     const now = world.now()
-    const before = new Map(known)
-    known.clear()
-    for (const [name, heard] of own) known.set(name, { ...heard, aliveAt: heard.at })
+    const previous = new Map(knownStatuses)
+    knownStatuses.clear()
+    for (const [name, heard] of announcedHere) knownStatuses.set(name, { ...heard, aliveAt: heard.at })
     for (const view of views) if (now - view.heard() <= ANNOUNCEMENT_LIFETIME_MS) mergeView(view)
-    for (const [name, { status }] of known) {
-      const old = before.get(name)?.status
-      if (status.role !== old?.role || status.leaving !== old.leaving) return true
+    for (const [name, { status }] of knownStatuses) {
+      const previousStatus = previous.get(name)?.status
+      if (status.role !== previousStatus?.role || status.leaving !== previousStatus.leaving) return true
     }
     return false
   }
-  return { list, get, leaving, own: ownNow, hear, signOff, merge }
+  return { list, get, leaving, own: ownStatuses, recordAnnouncement, signOff, merge }
 }
--- a/packages/agent/src/move-check.ts
+++ b/packages/agent/src/move-check.ts
@@ -5,6 +5,7 @@
 
 type MoveEdit = Extract<Edit, { op: 'move' }>
 
+/** What the check of moves needs from the agent. */
 export type MoveCheckView = {
   build: string
   instance: InstanceAdapter
@@ -18,31 +19,32 @@
   return edit.op === 'move'
 }
 
-function makesGroup(edits: Edit[], group: string): boolean {
-  function makesIt(edit: Edit): boolean {
+function createsGroup(edits: Edit[], group: string): boolean {
+  function createsIt(edit: Edit): boolean {
     if (edit.op !== 'put' || edit.what !== 'group') return false
     return (edit.value as { name?: unknown } | null)?.name === group
   }
-  return edits.some(makesIt)
+  return edits.some(createsIt)
 }
 
 /**
- * What hinders the moves among these edits. A move needs a target that is led and, unless an operator vouches for it, says
- * itself what it holds of the source.
+ * Finds what prevents the moves among these edits. A move needs a target group with a leader. Unless the edit has the
+ * proof "confirmed", the leader must itself report what it holds of the source group.
  */
 export async function checkMoves(world: World, view: MoveCheckView, edits: Edit[]): Promise<Finding[]> {
   if (!edits.some(isMove)) return []
-  const findings = otherBuilds(view)
+  const findings = findOtherBuilds(view)
   for (const [index, edit] of edits.entries()) {
-    // A group that isn't there at all is found out when the change is decided; one that this change makes is led by nobody yet.
-    if (!isMove(edit) || (!view.groups().includes(edit.to) && !makesGroup(edits, edit.to))) continue
+    // A group that doesn't exist is reported when the change is decided; a group that this change creates has no
+    // leader yet.
+    if (!isMove(edit) || (!view.groups().includes(edit.to) && !createsGroup(edits, edit.to))) continue
     findings.push(...(await checkTarget(world, view, edit, `/edits/${index}/to`)))
   }
   return findings
 }
 
-/** A program of before moves would acknowledge one without heeding it. */
-function otherBuilds(view: MoveCheckView): Finding[] {
+/** Members with another build: a program from before moves existed would acknowledge a move without applying it. */
+function findOtherBuilds(view: MoveCheckView): Finding[] {
   const findings: Finding[] = []
   for (const member of view.members()) {
     if (member.build === view.build) continue
@@ -54,6 +56,7 @@
   return findings
 }
 
+/** Checks the target of one move; place is where the edit names it. */
 async function checkTarget(world: World, view: MoveCheckView, edit: MoveEdit, place: string): Promise<Finding[]> {
   const { to } = edit
   const record = view.recordOf(to)
--- a/packages/agent/src/proxy-link.ts
+++ b/packages/agent/src/proxy-link.ts
@@ -12,80 +12,85 @@
 } from '@claynotch/register'
 import type { KnownRegister } from './register-cache.js'
 
+/** What the link to the proxy needs from the agent. */
 export type ProxyLinkView = {
   node: string
   area: string
   /** Whether this machine has a proxy at all. */
   hasProxy: boolean
   registers: () => ReadonlyMap<string, KnownRegister>
+  /** Local time (ms) at which this node's lease ends. */
   leaseExpiresAt: () => number
   instances: () => InstanceStatus[]
   summaries: () => Summary[]
   proxyCount: () => number
 }
 
+/** Callbacks of the link to the proxy. */
 export type ProxyLinkEvents = {
-  /** The proxy has applied this version of a register, or there is none that could work by an older one. */
+  /** The proxy has applied this version of a register, or no proxy can be running with an older one. */
   applied: (key: string, version: number) => void
-  /** An instance began to fail as this machine's proxy sees it. */
+  /** This machine's proxy reports an instance as failing that it didn't report before. */
   instanceFailing: () => void
   /** The proxy asks what its tenants may use. */
   quotaAsked: (question: QuotaQuestion) => Promise<QuotaAnswer>
 }
 
 /**
- * The proxy of this machine: it is fed registers and instances, and reports what it applied and saw.
+ * The link to the proxy of this machine. The agent feeds it registers and instances; the proxy reports what it applied
+ * and observed.
  *
- * Invariants: one proxy is linked at a time; what it is fed is in force no longer than this node's lease; fedUntil is the
- * latest time up to which any proxy of this machine may work. An agent that has just started may have a predecessor's feed
- * out for one whole lease.
+ * Invariants: one proxy is linked at a time; a feed is valid no longer than this node's lease; fedUntil is the latest
+ * local time (ms) until which any proxy of this machine may use a feed. After the agent has started, a feed of the
+ * previous agent process may be valid for one lease duration.
  */
 export type ProxyLink = {
   feed: () => void
-  /** Feeds where something changed, or nothing was fed for so many ms. */
-  feedIfDue: (ms: number) => void
-  /** A register changed since the last feed. */
+  /** Feeds the proxy if something changed since the last feed, or if the last feed was at least this many ms ago. */
+  feedIfDue: (intervalMs: number) => void
+  /** Records that a register changed since the last feed. */
   changed: () => void
   isLinked: () => boolean
   fedUntil: () => number
   report: () => ProxyReport | undefined
-  /** ms since the report came. */
+  /** Time (ms) since the last report arrived. */
   reportAge: () => number
   accept: (peer: Hello, link: Link) => (message: unknown) => unknown
   lost: (peer: Hello, link: Link) => void
   close: () => void
 }
 
+/** sent: the version of each register whose body the proxy was sent. reportedAt: local time (ms) of the last report. */
 type LinkedProxy = { link: Link; sent: Map<string, number>; report: ProxyReport | undefined; reportedAt: number }
 
-/** Past changes and decisions are no matter of the proxy's, nor are keys in plain text. */
+/** The body of a register for the proxy: the configuration without its history, decisions and plain-text keys. */
 function fedBody(key: string, value: RegisterValue): unknown {
   return key === CONFIG_KEY ? withoutTenantLabels(inForce(value.body as Body)) : value.body
 }
 
-function hasNewFailure(report: ProxyReport, old: ProxyReport | undefined): boolean {
-  const before = new Set<string>()
-  for (const [name] of old?.bad ?? []) before.add(name)
-  for (const [name] of report.bad ?? []) if (!before.has(name)) return true
+function hasNewFailure(report: ProxyReport, previous: ProxyReport | undefined): boolean {
+  const previouslyFailing = new Set<string>()
+  for (const [name] of previous?.bad ?? []) previouslyFailing.add(name)
+  for (const [name] of report.bad ?? []) if (!previouslyFailing.has(name)) return true
   return false
 }
 
-/** What other nodes tell, put together for the proxy. */
+/** Merges the summaries of other nodes for the proxy. */
 export function mergeSummaries(summaries: Summary[]): Pick<AgentFeed, 'moving' | 'leaving' | 'tries'> {
-  const moving = new Map<string, number>()
+  const movingEpochs = new Map<string, number>()
   const leaving = new Set<string>()
-  const tries = new Map<string, [number, number]>()
+  const attemptsByGroup = new Map<string, [number, number]>()
   for (const summary of summaries) {
-    for (const [group, epoch] of summary.moving) moving.set(group, Math.max(epoch, moving.get(group) ?? 0))
+    for (const [group, epoch] of summary.moving) movingEpochs.set(group, Math.max(epoch, movingEpochs.get(group) ?? 0))
     for (const name of summary.leaving) leaving.add(name)
-    for (const [group, firsts, retries] of summary.tries) {
-      const [oldFirsts, oldRetries] = tries.get(group) ?? [0, 0]
-      tries.set(group, [oldFirsts + firsts, oldRetries + retries])
+    for (const [group, firstAttempts, retries] of summary.tries) {
+      const [oldFirstAttempts, oldRetries] = attemptsByGroup.get(group) ?? [0, 0]
+      attemptsByGroup.set(group, [oldFirstAttempts + firstAttempts, oldRetries + retries])
     }
   }
-  const triesList: [string, number, number][] = []
-  for (const [group, [firsts, retries]] of tries) triesList.push([group, firsts, retries])
-  return { moving: [...moving], leaving: [...leaving], tries: triesList }
+  const tries: [string, number, number][] = []
+  for (const [group, [firstAttempts, retries]] of attemptsByGroup) tries.push([group, firstAttempts, retries])
+  return { moving: [...movingEpochs], leaving: [...leaving], tries }
 }
 
 export function makeProxyLink(world: World, view: ProxyLinkView, metrics: Metrics, events: ProxyLinkEvents): ProxyLink {
@@ -94,27 +99,27 @@
   let fedAt = -Infinity
   let isChanged = false
 
-  /** No proxy of this machine can be working: what is known counts as applied. */
-  function applyWithoutProxy(): void {
+  /** Counts the known registers as applied once no proxy of this machine can be using an older feed. */
+  function acknowledgeWithoutProxy(): void {
     if (world.now() <= fedUntil) return
     for (const [key, { value }] of view.registers()) events.applied(key, value.turn)
   }
-  function entriesFor(to: LinkedProxy): FedEntry[] {
-    const out: FedEntry[] = []
+  function entriesFor(target: LinkedProxy): FedEntry[] {
+    const entries: FedEntry[] = []
     for (const [key, { value, currentUntil }] of view.registers()) {
       if (!isFedToProxies(key)) continue
       const until = Math.min(currentUntil, view.leaseExpiresAt())
-      const isNew = (to.sent.get(key) ?? 0) < value.turn
-      out.push({ key, turn: value.turn, until, ...(isNew ? { body: fedBody(key, value) } : {}) })
-      to.sent.set(key, value.turn)
+      const isNew = (target.sent.get(key) ?? 0) < value.turn
+      entries.push({ key, turn: value.turn, until, ...(isNew ? { body: fedBody(key, value) } : {}) })
+      target.sent.set(key, value.turn)
       fedUntil = Math.max(fedUntil, until)
     }
-    return out
+    return entries
   }
   function feed(): void {
     fedAt = world.now()
     isChanged = false
-    if (!proxy) return applyWithoutProxy()
+    if (!proxy) return acknowledgeWithoutProxy()
     const message: AgentFeed = {
       t: 'feed',
       node: view.node,
@@ -127,37 +132,37 @@
     proxy.link.tell(message)
     metrics.add('claynotch_agent_feeds_total')
   }
-  function feedIfDue(ms: number): void {
-    if (isChanged || world.now() - fedAt >= ms) feed()
+  function feedIfDue(intervalMs: number): void {
+    if (isChanged || world.now() - fedAt >= intervalMs) feed()
   }
   function changed(): void {
     isChanged = true
   }
-  function take(from: LinkedProxy, report: ProxyReport): void {
+  function applyReport(linkedProxy: LinkedProxy, report: ProxyReport): void {
     metrics.add('claynotch_agent_notes_total')
-    const old = from.report
-    from.report = report
-    from.reportedAt = world.now()
-    // That an instance began to fail is told at once; how long it has been, with the next interval.
-    if (hasNewFailure(report, old)) events.instanceFailing()
+    const previousReport = linkedProxy.report
+    linkedProxy.report = report
+    linkedProxy.reportedAt = world.now()
+    // A new failure is announced at once; for how long it has lasted follows with the next interval.
+    if (hasNewFailure(report, previousReport)) events.instanceFailing()
     for (const [key, version] of report.acks) events.applied(key, version)
-    if (!old) feed()
+    if (!previousReport) feed()
   }
   function accept(peer: Hello, link: Link) {
-    if (peer.kind !== 'proxy') throw new Error(`a ${peer.kind} dialled the proxy's link`)
-    proxy?.link.close('another proxy came')
-    const mine: LinkedProxy = { link, sent: new Map(), report: undefined, reportedAt: 0 }
-    proxy = mine
+    if (peer.kind !== 'proxy') throw new Error(`unexpected peer of kind ${peer.kind} on the link for the proxy`)
+    proxy?.link.close('replaced by a newer proxy connection')
+    const linkedProxy: LinkedProxy = { link, sent: new Map(), report: undefined, reportedAt: 0 }
+    proxy = linkedProxy
     world.log.info('proxy-connected', { node: view.node })
     function handle(message: unknown): Promise<QuotaAnswer> | undefined {
       const question = readAs(QuotaQuestion, message)
-      if (question.ok) return proxy === mine ? events.quotaAsked(question.val) : undefined
+      if (question.ok) return proxy === linkedProxy ? events.quotaAsked(question.val) : undefined
       const report = readAs(ProxyReport, message)
       if (report.err) {
         metrics.add('claynotch_link_garbage_total')
         throw new Error('unknown message from the proxy')
       }
-      if (proxy === mine) take(mine, report.val)
+      if (proxy === linkedProxy) applyReport(linkedProxy, report.val)
       return undefined
     }
     return handle
--- a/packages/agent/src/quota-holder.ts
+++ b/packages/agent/src/quota-holder.ts
@@ -140,7 +140,7 @@
   metrics: Metrics,
 ): QuotaService {
   const { node, life, registers, membership } = view
-  const held = new Map<number, HeldSlot>()
+  const heldSlots = new Map<number, HeldSlot>()
   /** The holder that this node's latest claim of each slot was to replace. */
   const replacedHolders = new Map<number, QuotaHolder | undefined>()
 
@@ -225,8 +225,8 @@
   /** Starts or ends holding the slot as the register says. */
   function applyRegister(slot: number): void {
     const holder = parseHolder(registers.value(quotaKey(slot)))
-    const heldSlot = held.get(slot)
-    if (!namesThisLife(holder)) held.delete(slot)
+    const heldSlot = heldSlots.get(slot)
+    if (!namesThisLife(holder)) heldSlots.delete(slot)
     else if (heldSlot?.term !== holder.term) {
       const claimedAt = world.now()
       const { term, reserve } = holder
@@ -235,7 +235,7 @@
       // An earlier process incarnation of this node has ended.
       const hasPredecessorEnded = predecessor?.holder === node || predecessor?.holder === NO_HOLDER
       world.log.info('quota-slot-claimed', { slot, term, before: predecessor?.holder ?? NO_HOLDER, hasReserve })
-      held.set(slot, {
+      heldSlots.set(slot, {
         term,
         claimedAt,
         ledger: makeLedger(world.now, QUOTA_METER_WINDOW_MS),
@@ -249,7 +249,7 @@
         isReleased: false,
       })
     }
-    metrics.set('claynotch_quota_holder', [['slot', String(slot)]], held.has(slot) ? 1 : 0)
+    metrics.set('claynotch_quota_holder', [['slot', String(slot)]], heldSlots.has(slot) ? 1 : 0)
   }
   function updateReadiness(slot: number, heldSlot: HeldSlot): void {
     if (heldSlot.isReady || !heldSlot.takeover.isOver()) return
@@ -315,11 +315,11 @@
   /** Claims or releases the slot where that is up to this node. */
   async function updateOwnership(slot: number): Promise<void> {
     applyRegister(slot)
-    if (!held.has(slot) && isDesignatedHolder(slot)) {
+    if (!heldSlots.has(slot) && isDesignatedHolder(slot)) {
       await claim(slot)
       applyRegister(slot)
     }
-    const heldSlot = held.get(slot)
+    const heldSlot = heldSlots.get(slot)
     if (heldSlot && (heldSlot.isReleased || !isVoter())) await release(slot, heldSlot)
   }
   async function readMembers(): Promise<TimedRead> {
@@ -335,7 +335,7 @@
       pendingRead ??= readMembers()
       return pendingRead
     }
-    for (const [slot, heldSlot] of held) {
+    for (const [slot, heldSlot] of heldSlots) {
       await updateNodes(heldSlot, readOnce)
       updateReadiness(slot, heldSlot)
       await updateReserve(slot, heldSlot)
@@ -346,10 +346,10 @@
 
   /** Whether this node holds the slot now: its lease is valid and the register is known to be current. */
   function mayAnswer(slot: number, heldSlot: HeldSlot): boolean {
-    const known = registers.all().get(quotaKey(slot))
-    const holder = parseHolder(known?.value)
+    const register = registers.all().get(quotaKey(slot))
+    const holder = parseHolder(register?.value)
     if (heldSlot.isReleased || !isVoter() || !namesThisLife(holder) || holder.term !== heldSlot.term) return false
-    return world.now() < Math.min(known?.currentUntil ?? 0, view.dutyUntil())
+    return world.now() < Math.min(register?.currentUntil ?? 0, view.dutyUntil())
   }
   /** An outdated configuration could grant a tenant more than its current limit. */
   function isConfigurationCurrent(): boolean {
@@ -385,7 +385,7 @@
   }
   /** Answers one proxy's question. asker: the node at the other end of the link. */
   function answer(question: HolderQuestion, asker: string): QuotaAnswer | QuotaRefusal {
-    const heldSlot = held.get(question.slot)
+    const heldSlot = heldSlots.get(question.slot)
     const config = view.config()
     if (!heldSlot || !config || question.term !== heldSlot.term || !mayAnswer(question.slot, heldSlot)) return REFUSED
     if (asker !== question.node || !isConfigurationCurrent()) return REFUSED
@@ -400,7 +400,7 @@
   }
   /** The operations of each tenant of the slot that are outstanding, for operators. */
   function uses({ slot, term }: QuotaUseQuestion): QuotaUseAnswer | QuotaRefusal {
-    const heldSlot = held.get(slot)
+    const heldSlot = heldSlots.get(slot)
     if (!heldSlot || term !== heldSlot.term || !mayAnswer(slot, heldSlot)) return REFUSED
     const usesByTenant: QuotaGrant[] = []
     for (const { name } of view.config()?.tenants ?? [])
--- a/packages/agent/src/spread.ts
+++ b/packages/agent/src/spread.ts
@@ -1,6 +1,9 @@
 import { hashOf } from '@claynotch/base'
 
-/** The order in which a node takes cores of the same worth: another for each node, so that the load is spread. */
+/**
+ * A hash by which a node orders cores (or other nodes) that are otherwise equal. The order differs between nodes, which
+ * spreads the load.
+ */
 export function spread(node: string, core: string): number {
   return hashOf(`${node} ${core}`)
 }
--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -5,11 +5,12 @@
 import type { InstanceTable } from './instance-table.js'
 import { spread } from './spread.js'
 
-// What this node tells others in its summaries, and what theirs tell it of instances.
+/** Builds the summaries that this node sends to others, and evaluates what theirs report about instances. */
 
-/** [instance, ms] */
-type Ages = [string, number][]
+/** Pairs of an instance and an age in ms. */
+type InstanceAges = [string, number][]
 
+/** What the summaries need from the agent. */
 export type SummarySourceView = {
   node: string
   area: string
@@ -20,85 +21,86 @@
   hasLease: () => boolean
   instances: InstanceTable
   report: () => ProxyReport | undefined
+  /** Time (ms) since the proxy's last report arrived. */
   reportAge: () => number
   summaries: () => Summary[]
 }
 
 export type SummarySource = Saying & {
-  /** What the nodes that have a proxy told last, this one among them. */
+  /** The latest observations of all nodes with a proxy, including this one. */
   observations: () => InstanceObservations[]
-  /** Whether a summary names an instance that its node didn't name as failing before. */
+  /** Whether a summary reports an instance as failing that its node didn't report before. */
   isNewFailure: (summary: Summary) => boolean
 }
 
-function aged(ages: Ages, by: number): Ages {
-  const out: Ages = []
-  for (const [name, ms] of ages) out.push([name, ms + by])
-  return out
+function addAge(ages: InstanceAges, byMs: number): InstanceAges {
+  const increased: InstanceAges = []
+  for (const [name, ms] of ages) increased.push([name, ms + byMs])
+  return increased
 }
 
 export function makeSummarySource(world: World, view: SummarySourceView): SummarySource {
-  // dutiesOf: the groups whose duty falls to each node, as of the last summary.
-  const dutiesOf = new Map<string, Set<string>>()
-  // failingAt: the instances that each node told to fail when last heard.
-  const failingAt = new Map<string, Set<string>>()
-  let number = Math.floor(world.now())
+  /** The groups whose duty falls to each node, as of the last summary. */
+  const groupsByHolder = new Map<string, Set<string>>()
+  /** The instances that each node's last summary reported as failing. */
+  const failingByNode = new Map<string, Set<string>>()
+  let summaryNumber = Math.floor(world.now())
 
-  function noteDuties(): void {
-    dutiesOf.clear()
+  function updateDuties(): void {
+    groupsByHolder.clear()
     const nodes = view.dutyNodes()
     for (const group of view.groups()) {
       const holder = dutyHolderOf(groupKey(group), nodes)
       if (holder === undefined) continue
-      const held = dutiesOf.get(holder) ?? new Set<string>()
-      dutiesOf.set(holder, held.add(group))
+      const heldGroups = groupsByHolder.get(holder) ?? new Set<string>()
+      groupsByHolder.set(holder, heldGroups.add(group))
     }
   }
   function moving(): [string, number][] {
-    const out: [string, number][] = [...(view.report()?.moving ?? [])]
+    const movingGroups: [string, number][] = [...(view.report()?.moving ?? [])]
     for (const group of view.groups()) {
       const record = view.recordOf(group)
-      if (record && record.phase !== 'steady') out.push([group, record.epoch])
+      if (record && record.phase !== 'steady') movingGroups.push([group, record.epoch])
     }
-    return out
+    return movingGroups
   }
-  function all(heard: Summary[]): Omit<Summary, 'seen' | 'bad'> {
-    noteDuties()
-    // Without a lease what is known of leaders and instances may have been passed long ago; what the proxy measured stands.
+  function all(summaries: Summary[]): Omit<Summary, 'seen' | 'bad'> {
+    updateDuties()
+    // Without a lease, what is known of leaders and instances may be outdated; the measurements of the proxy are valid.
     const hasLease = view.hasLease()
     return {
       v: SUMMARY_VERSION,
       node: view.node,
       area: view.area,
-      num: ++number,
+      num: ++summaryNumber,
       moving: hasLease ? moving() : [],
       leaving: hasLease ? view.instances.leaving() : [],
-      tries: triesWorthTelling(heard),
+      tries: significantTries(summaries),
     }
   }
   /**
-   * Firsts and retries of the groups in which this node retries, or in which so many are retried over all nodes that the cap on
-   * them may bind. Where nobody retries, how much is sent is of no use to anyone.
+   * First attempts and retries of the groups in which this node retries, or in which all nodes together retry so much
+   * that the limit on retries may apply. Without retries, the number of first attempts is of no use to others.
    */
-  function triesWorthTelling(heard: Summary[]): Summary['tries'] {
-    const mine = view.report()?.tries ?? []
-    const retriesOf = new Map<string, number>()
-    for (const { tries } of heard)
-      for (const [group, , retries] of tries) retriesOf.set(group, (retriesOf.get(group) ?? 0) + retries)
-    function isWorthTelling([group, , retries]: [string, number, number]): boolean {
-      return retries > 0 || (retriesOf.get(group) ?? 0) > RETRIES_WORTH_TELLING
+  function significantTries(summaries: Summary[]): Summary['tries'] {
+    const ownTries = view.report()?.tries ?? []
+    const retriesByGroup = new Map<string, number>()
+    for (const { tries } of summaries)
+      for (const [group, , retries] of tries) retriesByGroup.set(group, (retriesByGroup.get(group) ?? 0) + retries)
+    function isSignificant([group, , retries]: [string, number, number]): boolean {
+      return retries > 0 || (retriesByGroup.get(group) ?? 0) > RETRIES_WORTH_TELLING
     }
-    return mine.filter(isWorthTelling)
+    return ownTries.filter(isSignificant)
   }
   /**
-   * Whether this node tells a holder what went well, too. So many nodes do, drawn by their names, that a holder hears of a
-   * leader's good answers as often in a fleet of any size; what fails is told by all.
+   * Whether this node reports successes to a duty holder, too. About WITNESS_COUNT nodes do, selected by a hash of
+   * their names, so that a holder receives them at the same rate in a fleet of any size. All nodes report failures.
    */
-  function isWitness(holder: string): boolean {
+  function reportsSuccessesTo(holder: string): boolean {
     return spread(view.node, holder) / 2 ** 32 < WITNESS_COUNT / view.proxyCount()
   }
-  /** What others need to know: of those that the records name. */
-  function ofLeaders(ages: Ages): Ages {
+  /** The ages of the instances that the group records name as leader, previous leader or candidate. */
+  function onlyLeaders(ages: InstanceAges): InstanceAges {
     const names = new Set<string | undefined>()
     for (const group of view.groups()) {
       const record = view.recordOf(group)
@@ -109,43 +111,45 @@
     }
     return ages.filter(isNamed)
   }
-  /** Who holds a group's duty is told what this node's proxy saw of its leaders. */
-  function seenFor(node: string): { seen: Ages; bad: Ages } {
-    const groups = dutiesOf.get(node)
+  /** What this node's proxy observed of the groups whose duty the given node holds. */
+  function seenFor(node: string): { seen: InstanceAges; bad: InstanceAges } {
+    const groups = groupsByHolder.get(node)
     if (!groups) return { seen: [], bad: [] }
     const age = view.reportAge()
-    function ofTheirs(ages: Ages): Ages {
-      const out: Ages = []
+    function onlyTheirGroups(ages: InstanceAges): InstanceAges {
+      const theirAges: InstanceAges = []
       for (const [name, ms] of ages) {
         const group = view.instances.get(name)?.group
-        if (group === undefined || groups?.has(group)) out.push([name, Math.round(ms)])
+        if (group === undefined || groups?.has(group)) theirAges.push([name, Math.round(ms)])
       }
-      return out
+      return theirAges
     }
     const report = view.report()
-    const bad = ofTheirs(aged(report?.bad ?? [], age))
-    // Who complains tells what it saw go well, too: both sides of one node's word belong together.
-    const seen = bad.length > 0 || isWitness(node) ? ofTheirs(aged(ofLeaders(report?.seen ?? []), age)) : []
+    const bad = onlyTheirGroups(addAge(report?.bad ?? [], age))
+    // A node that reports failures reports its successes, too: the holder must see both from the same node.
+    const seen =
+      bad.length > 0 || reportsSuccessesTo(node) ? onlyTheirGroups(addAge(onlyLeaders(report?.seen ?? []), age)) : []
     return { seen, bad }
   }
   function observations(): InstanceObservations[] {
-    const out: InstanceObservations[] = []
-    for (const { seen, bad } of view.summaries()) out.push({ goodAgeMs: new Map(seen), badAgeMs: new Map(bad ?? []) })
+    const observed: InstanceObservations[] = []
+    for (const { seen, bad } of view.summaries())
+      observed.push({ goodAgeMs: new Map(seen), badAgeMs: new Map(bad ?? []) })
     const report = view.report()
-    if (!report) return out
+    if (!report) return observed
     const age = view.reportAge()
-    out.push({ goodAgeMs: new Map(aged(report.seen, age)), badAgeMs: new Map(aged(report.bad ?? [], age)) })
-    return out
+    observed.push({ goodAgeMs: new Map(addAge(report.seen, age)), badAgeMs: new Map(addAge(report.bad ?? [], age)) })
+    return observed
   }
   function isNewFailure(summary: Summary): boolean {
-    const before = failingAt.get(summary.node)
-    const now = new Set<string>()
-    for (const [name] of summary.bad ?? []) now.add(name)
-    // Names come from the network: never more than a fleet has.
-    if (failingAt.size > MAX_KNOWN_INSTANCES) failingAt.clear()
-    if (now.size > 0) failingAt.set(summary.node, now)
-    else failingAt.delete(summary.node)
-    for (const name of now) if (!before?.has(name)) return true
+    const previouslyFailing = failingByNode.get(summary.node)
+    const failing = new Set<string>()
+    for (const [name] of summary.bad ?? []) failing.add(name)
+    // The names come from the network, so their number must be limited.
+    if (failingByNode.size > MAX_KNOWN_INSTANCES) failingByNode.clear()
+    if (failing.size > 0) failingByNode.set(summary.node, failing)
+    else failingByNode.delete(summary.node)
+    for (const name of failing) if (!previouslyFailing?.has(name)) return true
     return false
   }
   return { all, seenFor, observations, isNewFailure }
--- a/packages/agent/src/tenant-view.ts
+++ b/packages/agent/src/tenant-view.ts
@@ -3,13 +3,15 @@
 import { QuotaUseAnswer, quotaSlotOf } from '@claynotch/register'
 import type { QuotaDirectory } from './quota-directory.js'
 
-// What operators read of tenants: their limits, who counts them, and what is out. No key, nor what stands for one.
-
+/**
+ * The view of tenants for operators: their limits, the holders of their quota slots, and the outstanding operations. It
+ * includes neither keys nor the hashes of keys.
+ */
 export function makeTenantView(
   config: () => Config | undefined,
   directory: QuotaDirectory,
 ): () => Promise<TenantLine[]> {
-  /** What is out of each tenant of the slot, as its holder says. */
+  /** The outstanding operations of each tenant of the slot, as reported by its holder. */
   async function usesOf(slot: number): Promise<Map<string, number>> {
     const holder = directory.holderOf(slot)
     const question = { t: 'quota-use', slot, term: holder?.term }
@@ -17,16 +19,16 @@
     return new Map(answer.ok ? answer.val.uses : [])
   }
   async function tenants(): Promise<TenantLine[]> {
-    const asks: Promise<Map<string, number>>[] = []
-    for (let slot = 0; slot < QUOTA_SLOTS; slot++) asks.push(usesOf(slot))
-    const uses = await Promise.all(asks)
-    const out: TenantLine[] = []
+    const pendingUses: Promise<Map<string, number>>[] = []
+    for (let slot = 0; slot < QUOTA_SLOTS; slot++) pendingUses.push(usesOf(slot))
+    const uses = await Promise.all(pendingUses)
+    const tenantLines: TenantLine[] = []
     for (const { name, rate, burst } of config()?.tenants ?? []) {
       const slot = quotaSlotOf(name)
       const holder = directory.holderOf(slot)
-      out.push({ name, rate, burst, slot, holder: holder?.node, term: holder?.term, out: uses[slot].get(name) })
+      tenantLines.push({ name, rate, burst, slot, holder: holder?.node, term: holder?.term, out: uses[slot].get(name) })
     }
-    return out
+    return tenantLines
   }
   return tenants
 }
--- a/packages/quota/src/allowances.ts
+++ b/packages/quota/src/allowances.ts
@@ -248,8 +248,8 @@
     return allowance - usedOf(account) <= allowance * QUOTA_LOW_SHARE
   }
   /** Makes the next question due within this many ms. */
-  function askWithin(ms: number): void {
-    const askAt = world.now() + ms
+  function askWithin(delayMs: number): void {
+    const askAt = world.now() + delayMs
     if (askAt >= nextQuestionAt) return
     nextQuestionAt = askAt
     changed.notify()
--- a/packages/quota/src/ledger.ts
+++ b/packages/quota/src/ledger.ts
@@ -132,10 +132,10 @@
   }
   /** Records the proxy that asks; returns false if the question is late. */
   function recordProxy({ node, life, askedAt, knownSince: knownSince = now() }: AskingProxy): boolean {
-    const known = proxies.get(node)
-    if (known && (askedAt < known.askedAt || (askedAt === known.askedAt && life !== known.life))) return false
-    if (!known && isTakingOver) growthAllowedAt = Math.max(growthAllowedAt, knownSince + windowMs)
-    if (known && known.life !== life) convertToResidual(node)
+    const proxy = proxies.get(node)
+    if (proxy && (askedAt < proxy.askedAt || (askedAt === proxy.askedAt && life !== proxy.life))) return false
+    if (!proxy && isTakingOver) growthAllowedAt = Math.max(growthAllowedAt, knownSince + windowMs)
+    if (proxy && proxy.life !== life) convertToResidual(node)
     proxies.set(node, { life, askedAt, answeredAt: now() })
     return true
   }
@@ -200,9 +200,9 @@
     return grants
   }
   function gone(node: string, seenAt = now()): void {
-    const known = proxies.get(node)
-    if (known && known.answeredAt > seenAt) return
-    if (!known && isTakingOver) growthAllowedAt = now() + windowMs
+    const proxy = proxies.get(node)
+    if (proxy && proxy.answeredAt > seenAt) return
+    if (!proxy && isTakingOver) growthAllowedAt = now() + windowMs
     proxies.delete(node)
     convertToResidual(node)
   }
--- a/packages/quota/src/test/ledger.test.ts
+++ b/packages/quota/src/test/ledger.test.ts
@@ -168,10 +168,10 @@
   report('n1', { wanted: 20, waiting: 20 })
   report('n2', { wanted: 20, waiting: 20 })
   limit.value = 10
-  const before = liability()
+  const outstandingBefore = liability()
   c.equal(report('n1', { held: 20, used: 20, wanted: 20 }), 5)
   c.equal(report('n2', { held: 20, used: 20, wanted: 20 }), 5)
-  c.ok(liability() <= before)
+  c.ok(liability() <= outstandingBefore)
   time.now += WINDOW_MS
   report('n1', { held: 5, used: 0, wanted: 20 })
   report('n2', { held: 5, used: 0, wanted: 20 })
@@ -213,28 +213,28 @@
   let reports = 0
   function staysWithinLimitOrBefore(steps: Step[]): boolean {
     const { ledger, report, liability, limit, time } = makeFixture(30)
-    const held = new Map<number, { life: number; held: number }>()
+    const proxies = new Map<number, { life: number; held: number }>()
     for (const currentStep of steps) {
       if (currentStep.kind === 'pass') time.now += currentStep.ms
       else if (currentStep.kind === 'limit') limit.value = currentStep.limit
       else if (currentStep.kind === 'gone') {
         ledger.gone(`n${currentStep.node}`)
-        held.delete(currentStep.node)
+        proxies.delete(currentStep.node)
       } else {
-        const previous = held.get(currentStep.node) ?? { life: 0, held: 0 }
+        const previous = proxies.get(currentStep.node) ?? { life: 0, held: 0 }
         const current = currentStep.newLife
           ? { life: previous.life + 1, held: 0 }
           : { ...previous, held: Math.max(0, previous.held - currentStep.gaveBack) }
         const used = Math.min(current.held, currentStep.used)
-        const before = liability()
+        const outstandingBefore = liability()
         const answer = report(
           `n${currentStep.node}`,
           { held: current.held, used, wanted: currentStep.wanted, waiting: currentStep.wanted },
           { life: `l${current.life}` },
         )
         reports++
-        held.set(currentStep.node, { life: current.life, held: Math.max(answer ?? 0, used) })
-        if (liability() > Math.max(before, limit.value ?? 0)) return false
+        proxies.set(currentStep.node, { life: current.life, held: Math.max(answer ?? 0, used) })
+        if (liability() > Math.max(outstandingBefore, limit.value ?? 0)) return false
       }
     }
     return true
--- a/packages/quota/src/test/window-meter.test.ts
+++ b/packages/quota/src/test/window-meter.test.ts
@@ -39,7 +39,7 @@
     }
     function within(ms: number): number {
       let count = 0
-      for (const at of times) if (time - at <= ms) count++
+      for (const eventTime of times) if (time - eventTime <= ms) count++
       return count
     }
     const meter = makeWindowMeter(now, WINDOW_MS)
