--- a/packages/agent/src/quota-holder.ts
+++ b/packages/agent/src/quota-holder.ts
@@ -83,7 +83,7 @@
   isReady: boolean
   /** The register is known to have the reserve as lent, and this node hasn't requested the opposite since. */
   isReserveLent: boolean
-  /** The same for a reserve that is kept. Both are false while a change is in progress. */
+  /** The same for a reserve that is kept. Both are false until a requested change is known to be committed. */
   isReserveKept: boolean
   /** The reserve was kept when this node claimed the slot: it may be granted until the takeover is complete. */
   hasReserve: boolean
--- a/packages/agent/src/quota-takeover.ts
+++ b/packages/agent/src/quota-takeover.ts
@@ -37,19 +37,19 @@
 export type Takeover = {
   /** Whether this is the only holder that answers. */
   isAlone: () => boolean
-  /** A complete read that began at beganAt shows that the previous holder has no lease. */
+  /** Records that a complete read, begun at beganAt, shows that the previous holder has no lease. */
   predecessorAbsent: (beganAt: number) => void
   /** Whether the takeover is complete. */
   isOver: () => boolean
-  /** This incarnation of the node's proxy asked, whether it is answered or not. */
+  /** Records that this incarnation of the node's proxy asked, whether it is answered or not. */
   heard: (node: string, life: string) => void
   /** Local time (ms) since which no earlier incarnation of the node's proxy can have used anything that isn't known. */
   proxyKnownSince: (node: string) => number
-  /** The node's proxy was answered, so what it holds is known. */
+  /** Records that the node's proxy was answered, so what it holds is known. */
   told: (node: string) => void
-  /** The nodes with a proxy that lease renewals report, which may be out of date. */
+  /** Adds the nodes with a proxy that lease renewals report, which may be out of date. */
   listed: (nodes: ReadonlySet<string>) => void
-  /** The nodes with a proxy that a complete read shows which began at beganAt. */
+  /** Applies a complete read of the nodes with a proxy that began at beganAt. */
   read: (nodes: ReadonlySet<string>, beganAt: number) => void
   /** Whether a complete read would advance the takeover, given the listed nodes. */
   needsRead: (listed: ReadonlySet<string>) => boolean
