--- a/packages/agent/src/adapter.ts
+++ b/packages/agent/src/adapter.ts
@@ -8,9 +8,9 @@
   type HttpListener,
   type World,
 } from '@claynotch/base'
-import { promote, takeProbe, type PromotionEdge } from '@claynotch/host'
+import { promote, answerProbe, type PromotionAdapter } from '@claynotch/host'
 import { httpInstanceAdapter, handleAnnouncement, type Announcement, type InstanceAdapter } from '@claynotch/instance'
-import type { Body, Change, Verdict } from '@claynotch/operator'
+import type { ConfigurationBody, Change, ChangeAnswer } from '@claynotch/operator'
 import type { CoreSet } from '@claynotch/register'
 
 /** The agent's interface for operators, instances and probes, independent of the protocol they use. */
@@ -32,11 +32,11 @@
    * Decides one numbered change at the cores, or resolves to an unclear outcome, within CHANGE_ANSWER_TIMEOUT_MS.
    * stream: a digest of the whole change, so that one number stands for only one change.
    */
-  change: (stream: string, change: Change) => Promise<Verdict>
+  change: (stream: string, change: Change) => Promise<ChangeAnswer>
   /** Reads the configuration at a majority, within CHANGE_ANSWER_TIMEOUT_MS; undefined: no majority answered. */
-  read: () => Promise<Body | undefined>
+  read: () => Promise<ConfigurationBody | undefined>
   /** The configuration as this node knows it. */
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   coreSet: () => CoreSet
   /** The reason why this node isn't ready; undefined: it is ready. */
   ready: () => string | undefined
@@ -47,7 +47,7 @@
 export type ControlAdapter = (world: World, addr: Address, service: ControlService) => Promise<HttpListener>
 
 /** The protocols of an agent towards instances, the platform and operators, chosen when the process starts. */
-export type AgentAdapters = { instance: InstanceAdapter; promotion: PromotionEdge; control: ControlAdapter }
+export type AgentAdapters = { instance: InstanceAdapter; promotion: PromotionAdapter; control: ControlAdapter }
 
 /** Answers nodes that look up the core set; undefined: the request is for another path. */
 export function answerSeeds(request: HttpRequest, { epoch, ...set }: CoreSet): HttpResponse | undefined {
@@ -64,7 +64,7 @@
       : 'too many instances are known'
   }
   async function handle(request: HttpRequest): Promise<HttpResponse | undefined> {
-    const probeOrSeedsResponse = takeProbe(request, service) ?? answerSeeds(request, service.coreSet())
+    const probeOrSeedsResponse = answerProbe(request, service) ?? answerSeeds(request, service.coreSet())
     if (probeOrSeedsResponse) return probeOrSeedsResponse
     if (request.path === '/announcement') return await handleAnnouncement(request, acceptAnnouncement)
     return await service.operator.take(request)
--- a/packages/agent/src/configuration-service.ts
+++ b/packages/agent/src/configuration-service.ts
@@ -2,12 +2,12 @@
 import {
   CONFIG_KEY,
   emptyBody,
-  makeDecision,
-  unclear,
-  type Body,
+  submitChange,
+  unclearAnswer,
+  type ConfigurationBody,
   type Change,
-  type Order,
-  type Verdict,
+  type ChangeRequest,
+  type ChangeAnswer,
 } from '@claynotch/operator'
 import type { Proposer } from '@claynotch/register'
 
@@ -16,9 +16,9 @@
  * CHANGE_ANSWER_TIMEOUT_MS, and an operation that is still in progress then ends by itself.
  */
 export type ConfigurationService = {
-  change: (stream: string, change: Change) => Promise<Verdict>
+  change: (stream: string, change: Change) => Promise<ChangeAnswer>
   /** The configuration, read at a majority; undefined: no majority answered in time. */
-  read: () => Promise<Body | undefined>
+  read: () => Promise<ConfigurationBody | undefined>
 }
 
 /** isCutOff: whether this node's lease has expired, so that callers should try another node at once. */
@@ -28,14 +28,14 @@
   isCutOff: () => boolean,
   metrics: Metrics,
 ): ConfigurationService {
-  async function decide(order: Order): Promise<Verdict> {
-    const decision = makeDecision(proposer, order, CHANGE_ANSWER_TIMEOUT_MS)
+  async function decide(order: ChangeRequest): Promise<ChangeAnswer> {
+    const decision = submitChange(proposer, order, CHANGE_ANSWER_TIMEOUT_MS)
     const verdict = await withTimeout(world, CHANGE_ANSWER_TIMEOUT_MS, decision)
-    return verdict === TIMED_OUT ? unclear(order, 'no majority of cores settled it in time') : verdict
+    return verdict === TIMED_OUT ? unclearAnswer(order, 'no majority of cores settled it in time') : verdict
   }
-  async function change(stream: string, requestedChange: Change): Promise<Verdict> {
+  async function change(stream: string, requestedChange: Change): Promise<ChangeAnswer> {
     const order = { stream, change: requestedChange }
-    const verdict = isCutOff() ? unclear(order, 'this machine reaches no majority of cores') : await decide(order)
+    const verdict = isCutOff() ? unclearAnswer(order, 'this machine reaches no majority of cores') : await decide(order)
     metrics.add('claynotch_decisions_total', [['decision', verdict.decision]])
     return verdict
   }
@@ -46,19 +46,19 @@
    * The next read. Callers that arrive during a read share the next one, which starts after all of them have asked, so
    * that there is never more than one read at a time.
    */
-  let nextRead: Promise<Body | undefined> | undefined
+  let nextRead: Promise<ConfigurationBody | undefined> | undefined
 
-  async function readOnce(): Promise<Body | undefined> {
+  async function readOnce(): Promise<ConfigurationBody | undefined> {
     const committed = await proposer.look(CONFIG_KEY, CHANGE_ANSWER_TIMEOUT_MS)
-    return committed.done ? ((committed.value?.body as Body | undefined) ?? emptyBody()) : undefined
+    return committed.done ? ((committed.value?.body as ConfigurationBody | undefined) ?? emptyBody()) : undefined
   }
-  function startRead(): Promise<Body | undefined> {
+  function startRead(): Promise<ConfigurationBody | undefined> {
     nextRead = undefined
     const body = readOnce()
     runningRead = body.catch(noop)
     return body
   }
-  async function read(): Promise<Body | undefined> {
+  async function read(): Promise<ConfigurationBody | undefined> {
     if (isCutOff()) return undefined
     nextRead ??= runningRead.then(startRead)
     const body = await withTimeout(world, CHANGE_ANSWER_TIMEOUT_MS, nextRead)
--- a/packages/agent/src/connection-share.ts
+++ b/packages/agent/src/connection-share.ts
@@ -10,7 +10,7 @@
 } from '@claynotch/base'
 import { CONFIG_KEY, type Config } from '@claynotch/operator'
 import {
-  shareOf,
+  slotIndexOf,
   SHARES_KEY,
   type ConnectionShare,
   type ConnectionShares,
@@ -61,7 +61,7 @@
   const { slot, isReady, slotCount, liveNodes } = claim
   const slots = [...currentSlots]
   while (slots.length < slotCount) slots.push(null)
-  const ownSlot = shareOf(slots, node)
+  const ownSlot = slotIndexOf(slots, node)
   if (ownSlot >= 0 && ownSlot < slotCount) {
     if (slots[ownSlot]?.ready || !isReady || ownSlot !== slot) return undefined
     slots[ownSlot] = { node, ready: true }
@@ -106,7 +106,7 @@
   function isConfigurationApplied(slots: ConnectionShare[], members: Member[]): boolean {
     const version = view.registers.value(CONFIG_KEY)?.turn ?? 0
     for (const member of members)
-      if (shareOf(slots, member.node) >= 0 && appliedConfigurationVersion(member) < version) return false
+      if (slotIndexOf(slots, member.node) >= 0 && appliedConfigurationVersion(member) < version) return false
     return true
   }
   async function claimFirstAvailable(slots: ConnectionShare[], slotCount: number): Promise<void> {
@@ -134,7 +134,7 @@
     if (slotCount === undefined || slotCount === 'live' || !view.hasLease()) return
     const value = view.registers.value(SHARES_KEY)
     const slots = slotsOf(value)
-    const ownSlot = shareOf(slots, view.node)
+    const ownSlot = slotIndexOf(slots, view.node)
     if (ownSlot < 0 || ownSlot >= slotCount) return await claimFirstAvailable(slots, slotCount)
     isMissing = false
     if (!slots[ownSlot]?.ready) await completeTakeoverIfDue(ownSlot, slotCount, value?.turn ?? 0)
--- a/packages/agent/src/control-service.ts
+++ b/packages/agent/src/control-service.ts
@@ -1,7 +1,7 @@
 import { CHANGE_ANSWER_TIMEOUT_MS, type Flag, type Metrics, type Signal, type World } from '@claynotch/base'
 import type { Duty } from '@claynotch/failover'
 import type { Announcement } from '@claynotch/instance'
-import type { Body } from '@claynotch/operator'
+import type { ConfigurationBody } from '@claynotch/operator'
 import type { CoreSet, Proposer } from '@claynotch/register'
 import type { ControlService } from './adapter.js'
 import { makeConfigurationService } from './configuration-service.js'
@@ -23,7 +23,7 @@
   /** Starts the next renewal now. */
   renewNow: Signal
   failover: Duty
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   coreSet: () => CoreSet
   operator: ControlService['operator']
   metrics: Metrics
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -8,8 +8,8 @@
   readAs,
   REFILL_BATCH_SIZE,
   ROUND_TIMEOUT_MS,
-  VOTER_GONE_MS,
-  VOTER_SILENCE_MS,
+  VOTER_REMOVAL_TIMEOUT_MS,
+  VOTER_REPLACEMENT_TIMEOUT_MS,
   type Flag,
   type PersistentLink,
   type World,
@@ -24,7 +24,7 @@
   votersOf,
   type CoreMember,
   type Proposer,
-  type Committed,
+  type RegisterOutcome,
   type CoreState,
   type RegisterValue,
 } from '@claynotch/register'
@@ -77,7 +77,7 @@
     return states
   }
   /** Replaces the set by the next one; changes nothing if the expected set is no longer the last one. */
-  async function propose(expected: CoreSet, next: CoreSet): Promise<Committed> {
+  async function propose(expected: CoreSet, next: CoreSet): Promise<RegisterOutcome> {
     function replaceIfCurrent(current: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       const currentSet = current ? readAs(CoreSet, current.body) : undefined
       const epoch = currentSet?.ok ? currentSet.val.epoch : 0
@@ -122,8 +122,8 @@
   function couldChange(set: CoreSet, joinableCount: number): boolean {
     let longestSilenceMs = 0
     for (const voter of set.cores) longestSilenceMs = Math.max(longestSilenceMs, silenceMs(voter.id))
-    if (joinableCount === 0) return set.cores.length % 2 === 0 && longestSilenceMs > VOTER_GONE_MS
-    return longestSilenceMs > VOTER_SILENCE_MS || set.cores.length < view.mostVoters
+    if (joinableCount === 0) return set.cores.length % 2 === 0 && longestSilenceMs > VOTER_REMOVAL_TIMEOUT_MS
+    return longestSilenceMs > VOTER_REPLACEMENT_TIMEOUT_MS || set.cores.length < view.mostVoters
   }
   async function startChange(set: CoreSet): Promise<void> {
     const joinable = machinesToJoin()
@@ -174,7 +174,7 @@
     }
     const answering = new Set<string>()
     const keys = new Set<string>()
-    for (const { id, val } of await gatherQuorum(world, asks, quorum, hasKeys, ROUND_TIMEOUT_MS)) {
+    for (const { id, answer: val } of await gatherQuorum(world, asks, quorum, hasKeys, ROUND_TIMEOUT_MS)) {
       if (!hasKeys(val)) continue
       answering.add(id)
       for (const key of val.keys) keys.add(key)
@@ -206,7 +206,7 @@
     const missing = newcomers.filter(isMissing)
     const waitedMs = world.now() - adoptedAt
     function hasTimedOut(place: CoreMember): boolean {
-      return waitedMs > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_SILENCE_MS)
+      return waitedMs > (states.has(place.id) ? CORE_JOIN_TIMEOUT_MS : VOTER_REPLACEMENT_TIMEOUT_MS)
     }
     const timedOut = missing.filter(hasTimedOut)
     if (missing.length > 0 && timedOut.length === 0) return
--- a/packages/agent/src/core-status.ts
+++ b/packages/agent/src/core-status.ts
@@ -1,5 +1,5 @@
 import { LEASE_RENEWAL_TIMEOUT_MS, type PersistentLink, type World } from '@claynotch/base'
-import type { CoreLine, CoreStatus } from '@claynotch/operator'
+import type { CoreStatusEntry, CoreSetStatus } from '@claynotch/operator'
 import {
   hasCore,
   tolerableLosses,
@@ -43,14 +43,14 @@
   for (const [id, state] of states) if (stateOf(set, state) === 'voting') voting.add(id)
   return voting
 }
-function stateOf(set: CoreSet, state: CoreState | undefined): CoreLine['state'] {
+function stateOf(set: CoreSet, state: CoreState | undefined): CoreStatusEntry['state'] {
   if (!state) return 'silent'
   if (state.set.epoch !== set.epoch) return 'behind'
   return state.serving ? 'voting' : 'refilling'
 }
 
 /** The part that a core has in a change of the set. */
-function partOf(set: CoreSet, id: string): CoreLine['part'] {
+function partOf(set: CoreSet, id: string): CoreStatusEntry['part'] {
   if (set.next === undefined) return 'votes'
   if (!hasCore(set.cores, id)) return 'joins'
   return hasCore(set.next, id) ? 'stays' : 'leaves'
@@ -59,12 +59,12 @@
  * Asks every voter for its state: which cores vote, and how many more losses the set tolerates; undefined: no set is
  * known.
  */
-export async function readCoreStatus(world: World, view: CoreStatusView): Promise<CoreStatus | undefined> {
+export async function readCoreStatus(world: World, view: CoreStatusView): Promise<CoreSetStatus | undefined> {
   const set = view.coreSet()
   if (set.cores.length === 0) return undefined
   const states = await askCores(votersOf(set), view.core)
   const voting = votingCores(set, states)
-  const cores: CoreLine[] = []
+  const cores: CoreStatusEntry[] = []
   for (const { id, addr } of votersOf(set)) {
     const state = states.get(id)
     const heard = view.core(id)?.heard
--- a/packages/agent/src/known-configuration.ts
+++ b/packages/agent/src/known-configuration.ts
@@ -1,10 +1,10 @@
-import { CONFIG_KEY, type Body, type Config } from '@claynotch/operator'
+import { CONFIG_KEY, type ConfigurationBody, type Config } from '@claynotch/operator'
 import { groupKey, type GroupRecord } from '@claynotch/register'
 import type { RegisterCache } from './register-cache.js'
 
 /** The configuration and the group records as the register cache of this node has them. */
 export type KnownConfiguration = {
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   config: () => Config | undefined
   /** The names of the configured groups. */
   groups: () => string[]
@@ -12,8 +12,8 @@
 }
 
 export function makeKnownConfiguration(registers: RegisterCache): KnownConfiguration {
-  function body(): Body | undefined {
-    return registers.value(CONFIG_KEY)?.body as Body | undefined
+  function body(): ConfigurationBody | undefined {
+    return registers.value(CONFIG_KEY)?.body as ConfigurationBody | undefined
   }
   function config(): Config | undefined {
     return body()?.config ?? undefined
--- a/packages/agent/src/move-check.ts
+++ b/packages/agent/src/move-check.ts
@@ -1,6 +1,6 @@
 import { SAMPLE_TIMEOUT_MS, type Finding, type World } from '@claynotch/base'
 import type { InstanceAdapter } from '@claynotch/instance'
-import { meantBy, type Config, type Edit } from '@claynotch/operator'
+import { lanesToMove, type Config, type Edit } from '@claynotch/operator'
 import type { GroupRecord, MemberEntry } from '@claynotch/register'
 
 type MoveEdit = Extract<Edit, { op: 'move' }>
@@ -67,7 +67,7 @@
   const status = await view.instance.status(world, leader, SAMPLE_TIMEOUT_MS)
   if (status.err) return [{ place, what: `the leader of ${to} can't be asked: ${status.val}` }]
   const sources = new Set<string>()
-  for (const lane of meantBy(edit, view.config())) sources.add(lane.group)
+  for (const lane of lanesToMove(edit, view.config())) sources.add(lane.group)
   const findings: Finding[] = []
   for (const source of sources) {
     if (source === to || status.val.source?.group === source) continue
--- a/packages/agent/src/proxy-link.ts
+++ b/packages/agent/src/proxy-link.ts
@@ -1,12 +1,12 @@
 import { LEASE_DURATION_MS, readAs, type Hello, type Link, type Metrics, type World } from '@claynotch/base'
-import { CONFIG_KEY, withoutTenantLabels, inForce, type Body } from '@claynotch/operator'
+import { CONFIG_KEY, withoutTenantLabels, withoutHistory, type ConfigurationBody } from '@claynotch/operator'
 import type { Summary } from '@claynotch/peer'
 import { QuotaQuestion, type QuotaAnswer } from '@claynotch/quota'
 import {
   isFedToProxies,
   ProxyReport,
   type AgentFeed,
-  type FedEntry,
+  type FeedEntry,
   type InstanceStatus,
   type RegisterValue,
 } from '@claynotch/register'
@@ -65,7 +65,7 @@
 
 /** The body of a register for the proxy: the configuration without its history, decisions and plain-text keys. */
 function fedBody(key: string, value: RegisterValue): unknown {
-  return key === CONFIG_KEY ? withoutTenantLabels(inForce(value.body as Body)) : value.body
+  return key === CONFIG_KEY ? withoutTenantLabels(withoutHistory(value.body as ConfigurationBody)) : value.body
 }
 
 function hasNewFailure(report: ProxyReport, previous: ProxyReport | undefined): boolean {
@@ -104,8 +104,8 @@
     if (world.now() <= fedUntil) return
     for (const [key, { value }] of view.registers()) events.applied(key, value.turn)
   }
-  function entriesFor(target: LinkedProxy): FedEntry[] {
-    const entries: FedEntry[] = []
+  function entriesFor(target: LinkedProxy): FeedEntry[] {
+    const entries: FeedEntry[] = []
     for (const [key, { value, currentUntil }] of view.registers()) {
       if (!isFedToProxies(key)) continue
       const until = Math.min(currentUntil, view.leaseExpiresAt())
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -3,7 +3,7 @@
   LEASE_RENEWAL_TIMEOUT_MS,
   RESUBSCRIBE_DELAY_MS,
   MAX_SUBSCRIPTION_LAGS,
-  SUBSCRIPTION_LAG_MS,
+  SUBSCRIPTION_CHECK_INTERVAL_MS,
   SUBSCRIPTION_SILENCE_MS,
   type PersistentLink,
   type World,
@@ -103,7 +103,7 @@
   }
   function measureLag(source: SubscriptionSource): void {
     const now = world.now()
-    if (lastCheck && now - lastCheck.at < SUBSCRIPTION_LAG_MS) return
+    if (lastCheck && now - lastCheck.at < SUBSCRIPTION_CHECK_INTERVAL_MS) return
     if (lastCheck && source.heard > lastCheck.at) lagCount = lacksAny(source, lastCheck.ballots) ? lagCount + 1 : 0
     lastCheck = { at: now, ballots: ballots() }
   }
--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -1,6 +1,12 @@
-import { MAX_KNOWN_INSTANCES, RETRIES_WORTH_TELLING, SUMMARY_VERSION, WITNESS_COUNT, type World } from '@claynotch/base'
+import {
+  MAX_KNOWN_INSTANCES,
+  RETRY_REPORT_THRESHOLD,
+  SUMMARY_VERSION,
+  WITNESS_COUNT,
+  type World,
+} from '@claynotch/base'
 import { dutyHolderOf, type InstanceObservations } from '@claynotch/failover'
-import type { Saying, Summary } from '@claynotch/peer'
+import type { OwnSummary, Summary } from '@claynotch/peer'
 import { groupKey, type GroupRecord, type ProxyReport } from '@claynotch/register'
 import type { InstanceTable } from './instance-table.js'
 import { spread } from './spread.js'
@@ -26,7 +32,7 @@
   summaries: () => Summary[]
 }
 
-export type SummarySource = Saying & {
+export type SummarySource = OwnSummary & {
   /** The latest observations of all nodes with a proxy, including this one. */
   observations: () => InstanceObservations[]
   /** Whether a summary reports an instance as failing that its node didn't report before. */
@@ -88,7 +94,7 @@
     for (const { tries } of summaries)
       for (const [group, , retries] of tries) retriesByGroup.set(group, (retriesByGroup.get(group) ?? 0) + retries)
     function isSignificant([group, , retries]: [string, number, number]): boolean {
-      return retries > 0 || (retriesByGroup.get(group) ?? 0) > RETRIES_WORTH_TELLING
+      return retries > 0 || (retriesByGroup.get(group) ?? 0) > RETRY_REPORT_THRESHOLD
     }
     return ownTries.filter(isSignificant)
   }
@@ -152,5 +158,5 @@
     for (const name of failing) if (!previouslyFailing?.has(name)) return true
     return false
   }
-  return { all, seenFor, observations, isNewFailure }
+  return { commonSummary: all, observationsFor: seenFor, observations, isNewFailure }
 }
--- a/packages/agent/src/tenant-view.ts
+++ b/packages/agent/src/tenant-view.ts
@@ -1,5 +1,5 @@
 import { QUOTA_ANSWER_TIMEOUT_MS, QUOTA_SLOTS, readAs } from '@claynotch/base'
-import type { Config, TenantLine } from '@claynotch/operator'
+import type { Config, TenantStatus } from '@claynotch/operator'
 import { QuotaUseAnswer, quotaSlotOf } from '@claynotch/register'
 import type { QuotaDirectory } from './quota-directory.js'
 
@@ -10,7 +10,7 @@
 export function makeTenantView(
   config: () => Config | undefined,
   directory: QuotaDirectory,
-): () => Promise<TenantLine[]> {
+): () => Promise<TenantStatus[]> {
   /** The outstanding operations of each tenant of the slot, as reported by its holder. */
   async function usesOf(slot: number): Promise<Map<string, number>> {
     const holder = directory.holderOf(slot)
@@ -18,11 +18,11 @@
     const answer = readAs(QuotaUseAnswer, await holder?.link?.ask(question, QUOTA_ANSWER_TIMEOUT_MS))
     return new Map(answer.ok ? answer.val.uses : [])
   }
-  async function tenants(): Promise<TenantLine[]> {
+  async function tenants(): Promise<TenantStatus[]> {
     const pendingUses: Promise<Map<string, number>>[] = []
     for (let slot = 0; slot < QUOTA_SLOTS; slot++) pendingUses.push(usesOf(slot))
     const uses = await Promise.all(pendingUses)
-    const tenantLines: TenantLine[] = []
+    const tenantLines: TenantStatus[] = []
     for (const { name, rate, burst } of config()?.tenants ?? []) {
       const slot = quotaSlotOf(name)
       const holder = directory.holderOf(slot)
--- a/packages/agent/src/voter-plan.ts
+++ b/packages/agent/src/voter-plan.ts
@@ -1,4 +1,4 @@
-import { CORE_GONE_MS, VOTER_DOUBT_MS, VOTER_GONE_MS, VOTER_SILENCE_MS } from '@claynotch/base'
+import { SPARE_REPLACEMENT_TIMEOUT_MS, VOTER_SUSPICION_TIMEOUT_MS, VOTER_REMOVAL_TIMEOUT_MS, VOTER_REPLACEMENT_TIMEOUT_MS } from '@claynotch/base'
 import { quorumOf, type CoreMember, type CoreSet } from '@claynotch/register'
 
 /**
@@ -67,9 +67,9 @@
   const { set, joining: joining, serving: serving } = view
   const voters = set.cores
   const isFull = voters.length >= view.mostVoters
-  const lost = votersLostFor(view, isFull ? CORE_GONE_MS : VOTER_SILENCE_MS)
+  const lost = votersLostFor(view, isFull ? SPARE_REPLACEMENT_TIMEOUT_MS : VOTER_REPLACEMENT_TIMEOUT_MS)
   function isInDoubt(voter: CoreMember): boolean {
-    return view.silence(voter.id) > VOTER_DOUBT_MS && !lost.includes(voter)
+    return view.silence(voter.id) > VOTER_SUSPICION_TIMEOUT_MS && !lost.includes(voter)
   }
   const plans = replacementsAndJoins(view, lost, voters.some(isInDoubt))
   if (joining.length === 0) plans.push(...shrinkingPlans(view))
@@ -109,7 +109,7 @@
 function shrinkingPlans(view: VoterView): CoreMember[][] {
   const voters = view.set.cores
   if (voters.length % 2 !== 0 || voters.length <= MIN_VOTERS) return []
-  const lost = votersLostFor(view, VOTER_GONE_MS)
+  const lost = votersLostFor(view, VOTER_REMOVAL_TIMEOUT_MS)
   if (lost.length === 0) return []
   function isKept(voter: CoreMember): boolean {
     return voter !== lost[0]
--- a/packages/base/src/constants.ts
+++ b/packages/base/src/constants.ts
@@ -21,12 +21,12 @@
 export const CLOCK_DRIFT_LIMIT = 0.04
 // ms. A writer that holds a table's lock waits for readers in touch for this long at first, some ten times the way there and
 // back, and twice as long with each lock that it had to give back.
-export const LOCK_PATIENCE_MS = 200
+export const INITIAL_LOCK_WAIT_MS = 200
 // ms. A reader that hasn't acknowledged an announcement by then is suspended: many times the way there and back, and half a
 // renewal, by which most find what they weren't pushed.
-export const ANNOUNCEMENT_PATIENCE_MS = 300
+export const ANNOUNCEMENT_ACK_TIMEOUT_MS = 300
 // ms. A writer's claim on the lock lasts this much longer than what it has to wait for: its commits, and the patience above.
-export const CLAIM_MARGIN_MS = 1000
+export const LOCK_CLAIM_MARGIN_MS = 1000
 // ms. A writer asks who acknowledged its lock at this interval: no reader in touch serves meanwhile.
 export const LOCK_POLL_INTERVAL_MS = 20
 // ms. The same for its announcement, and for a lock that another writer holds: nobody but the operator waits.
@@ -76,7 +76,7 @@
 export const SUBSCRIPTION_SILENCE_MS = 1500
 // ms. What this node knew is told by the core subscribed at after no longer than this, if it isn't behind: changes reach the
 // cores within milliseconds of each other.
-export const SUBSCRIPTION_LAG_MS = 500
+export const SUBSCRIPTION_CHECK_INTERVAL_MS = 500
 // count. Looks in a row, SUBSCRIBED_LAG apart, at which that core was behind, after which it is left for another.
 export const MAX_SUBSCRIPTION_LAGS = 2
 // ms. A core that was left, or refused, isn't subscribed at again for this long, so that nobody goes to and fro.
@@ -117,16 +117,16 @@
 export const MAX_VOTERS = 9
 // ms. A voter that was not heard for this long but for less than it takes to be replaced is in doubt, and no machine joins:
 // it may be the one that the newcomer is to replace. Two heartbeats of a lease.
-export const VOTER_DOUBT_MS = 1200
+export const VOTER_SUSPICION_TIMEOUT_MS = 1200
 // ms. A voter that nobody heard for this long is replaced by a fresh machine where every core machine votes: a machine that
 // is no voter is there only because another was replaced, and a lease of the one that went has run out by then.
-export const VOTER_SILENCE_MS = 2500
+export const VOTER_REPLACEMENT_TIMEOUT_MS = 2500
 // ms. A voter that nobody heard for this long leaves a set of an even number, where no fresh machine is there: the quorum is
 // smaller without it. Longer than a process takes to start anew.
-export const VOTER_GONE_MS = 5000
+export const VOTER_REMOVAL_TIMEOUT_MS = 5000
 // ms. A voter that nobody heard for this long is replaced by a spare, where the set has VOTERS_MOST voters and spares are
 // always there: longer than a process takes to start anew (5 s) and than freezes of a few seconds.
-export const CORE_GONE_MS = 8000
+export const SPARE_REPLACEMENT_TIMEOUT_MS = 8000
 // ms. A newcomer that answers and has not begun to vote by then is given up. It votes as soon as the set is on its disk, or
 // after a refill of REFILL_WAIT and two rounds for each register.
 export const CORE_JOIN_TIMEOUT_MS = 8000
@@ -183,14 +183,14 @@
 export const WITNESS_COUNT = 24
 // count. Retries of a group known of all nodes, past which nodes without any tell how much they send: half of those at which
 // the cap on retries over all nodes begins to bind (RETRY_TOKENS).
-export const RETRIES_WORTH_TELLING = 10
+export const RETRY_REPORT_THRESHOLD = 10
 // ms. What each proxy's node adds to the pause between summaries that tell all others nothing new: every node then hears at
 // most 20 of them a second. Up to ten such nodes the pause stays what it was.
 export const SUMMARY_SPACING_MS = 50
 // count. Beats on which a change is told, as datagrams are lost now and then.
 export const SUMMARY_REPEATS = 3
 // count. Nodes whose newest summary is kept.
-export const MAX_HEARD_SUMMARIES = 256
+export const MAX_CACHED_SUMMARIES = 256
 // ms. A summary older than this is no longer a hint: two slow ones may be lost.
 export const SUMMARY_LIFETIME_MS = 5000
 // ms. What a node saw of instances is told on each beat, and past this it says nothing of them any more.
@@ -211,7 +211,7 @@
 // ms. Opening a connection gets at least this, however short its lane's aim: it takes a turn among the instance's work.
 export const MIN_DIAL_TIMEOUT_MS = 100
 // count. Failed sends in a row, with no answer between, that put an instance in doubt where nothing samples it.
-export const FAILURES_BEFORE_DOUBT = 2
+export const FAILURES_BEFORE_SUSPICION = 2
 // ms. First and longest pause before one call tries an instance in doubt, where nothing samples it: short beside a
 // promotion, long beside a call's way there.
 export const MIN_TRIAL_DELAY_MS = 100
@@ -271,7 +271,7 @@
 // ms. Interval at which a proxy tells of clients that it refused for their keys, by reason.
 export const KEY_REFUSAL_LOG_INTERVAL_MS = 10000
 // count. Keys that a proxy refused or saw removed, of which it keeps the hashes to tell why a client is refused.
-export const MAX_KEYS_REMEMBERED = 1000
+export const MAX_REMEMBERED_KEYS = 1000
 // count. Open sessions a proxy holds at most.
 export const MAX_SESSIONS = 4000
 // ms. A session unused for this long is closed (sessions stay open and idle for hours).
@@ -291,7 +291,7 @@
 // are given to stop.
 export const SHUTDOWN_TIMEOUT_MS = 5500
 // ms. Answers in flight at an edge get this long at its end; at the requesters' edge, a whole send and this.
-export const DRAIN_TAIL_MS = 1500
+export const CLOSE_TIMEOUT_MS = 1500
 // bytes. Largest HTTP body taken.
 export const BODY_LIMIT_BYTES = 256 * 1024
 // bytes. Largest operator body (a stream may carry many configurations).
@@ -301,7 +301,7 @@
 // ms. At an edge's end a connection that was opened or used within this may have a request on its way, and is waited for.
 export const CONNECTION_GRACE_MS = 250
 // count. Connections that one edge holds at most; further ones are closed at once.
-export const MAX_EDGE_CONNECTIONS = 20000
+export const MAX_LISTENER_CONNECTIONS = 20000
 // count. Connections that the edge for operators and announcements holds: some hundred instances keep one each.
 export const MAX_CONTROL_CONNECTIONS = 1024
 // ms. A connection there that asks nothing for this long is closed; instances speak each second or so.
@@ -311,7 +311,7 @@
 // bytes. Largest announcement.
 export const ANNOUNCEMENT_LIMIT_BYTES = 4096
 // ms. A reader of the stream of decisions is looked after at least this often, to notice that it went away.
-export const FOLLOW_INTERVAL_MS = 2000
+export const DECISION_READER_CHECK_INTERVAL_MS = 2000
 // s. Retry-After for refusals by overload, and while a promotion or a term is awaited.
 export const RETRY_AFTER_OVERLOAD_S = 1
 export const RETRY_AFTER_PROMOTION_S = 2
@@ -327,9 +327,9 @@
 // ms. A client connection that hasn't begun its session by then is closed.
 export const SESSION_START_TIMEOUT_MS = 10000
 // count. Questions of one client connection that wait for an answer; past it, it isn't read on.
-export const CLIENT_QUESTIONS_LIMIT = 64
+export const MAX_CLIENT_PENDING_REQUESTS = 64
 // bytes. The same by size. One question may be longer by itself.
-export const CLIENT_QUESTIONS_LIMIT_BYTES = 256 * 1024
+export const CLIENT_PENDING_REQUESTS_LIMIT_BYTES = 256 * 1024
 // bytes. Answers that one client connection hasn't read; past it none of its questions is taken up.
 export const CLIENT_UNREAD_ANSWERS_LIMIT_BYTES = 1024 * 1024
 // bytes. Both for all client connections of a process: a third of the memory that it is started with. A connection that would
@@ -344,7 +344,7 @@
 // bytes. A pooled connection with longer settings in force is not kept idle.
 export const IDLE_CONNECTION_SETTINGS_LIMIT_BYTES = 16 * 1024
 // count. A pooled connection with more prepared statements is reset before its next use.
-export const CONNECTION_SHAPES_LIMIT = 256
+export const MAX_CONNECTION_PREPARED_STATEMENTS = 256
 // bytes. Longest policy.
 export const POLICY_LIMIT_BYTES = 16384
 
@@ -358,7 +358,7 @@
 export const CONFIRMED_SUSPICION_TIMEOUT_MS = 300
 // ms. For this long after a duty was taken over from a holder that went, a leader that nobody hears any more is suspected
 // after SUSPECT_SURE: its last announcement is forgotten at most ANNOUNCE_LIFE after it was heard, and a look or two follow.
-export const TAKEOVER_DOUBT_MS = 5000
+export const TAKEOVER_SUSPICION_WINDOW_MS = 5000
 // ms. Beat on which a proxy looks whether calls wait so.
 export const STALL_INTERVAL_MS = 100
 // ms. Calls that wait at an instance this long without one good answer count as failing: many times a statement's work.
@@ -379,7 +379,7 @@
 export const DEMOTION_INTERVAL_MS = 1000
 // ms. Of two candidates that hold the same, one that came this much later is taken: where instances are replaced one
 // after the other, the older is the next to go.
-export const NEWER_INSTANCE_MS = 3000
+export const NEWER_CANDIDATE_MARGIN_MS = 3000
 // ms. A leader outside its group's home areas is brought home once an instance there has been well for this long without
 // a break: longer than an area that comes and goes takes to show it, as each move stalls writes for a moment.
 export const HOME_RETURN_DELAY_MS = 20000
@@ -399,7 +399,7 @@
 // ms. Interval at which the holder tells which replicas it waits for.
 export const PROMOTION_WAIT_LOG_INTERVAL_MS = 5000
 // ms. A node that heard the leader within this speaks against suspicion.
-export const GOOD_OBSERVATION_MS = 1500
+export const LEADER_EVIDENCE_LIFETIME_MS = 1500
 // ms. Limit of the POST /promotion call; past it the outcome is unclear and STATUS decides.
 export const PROMOTION_TIMEOUT_MS = 3000
 // ms. How long one candidate is tried before another is recorded.
@@ -407,7 +407,7 @@
 
 // --- moves of lanes between groups ---
 // ms. A target that holds what the source had this long ago is near enough for writes to stop.
-export const MOVE_NEAR_LAG_MS = 1000
+export const MOVE_CUTOVER_LAG_MS = 1000
 // ms. Writes of a lane under move stop for this long at most, then the move is called off: with the drain before it, a
 // call that waits is still served within its budget.
 export const MOVE_PAUSE_LIMIT_MS = 8000
@@ -418,38 +418,38 @@
 // ms. The span in which a proxy counts what it sends: the rule's, and 4 % for clocks that run apart, and the way to an instance.
 export const QUOTA_METER_WINDOW_MS = 5250
 // ms. Operations sent this close to each other may be counted as one lot, by the time of its last.
-export const QUOTA_METER_GRAIN_MS = 10
+export const QUOTA_METER_RESOLUTION_MS = 10
 // ms. Interval at which a proxy tells what its tenants hold, use and want, while there is anything to tell.
 export const QUOTA_REPORT_INTERVAL_MS = 500
 // ms. The same for a proxy that holds nothing: a new holder waits until it has heard that.
 export const QUOTA_IDLE_REPORT_INTERVAL_MS = 1000
 // ms. The least time from an answer to a proxy's next question. It gathers what comes at once.
-export const QUOTA_QUESTION_SPACING_MS = 2
+export const QUOTA_REQUEST_MIN_INTERVAL_MS = 2
 // ms. Until a question is asked that can wait a little: most of an allowance is used, or some of one can be told back.
-export const QUOTA_SOON_MS = 50
+export const QUOTA_REQUEST_DELAY_MS = 50
 // ratio. Of the time that a statement has: how long it waits for an allowance at most, and no longer than its route aims at. An
 // answer that there is none ends the wait at once, so that only those wait whose answer is on its way.
 export const QUOTA_WAIT_SHARE = 0.45
 // ms. A question that wasn't answered by then is given up: longer than an agent waits for a holder.
-export const QUOTA_QUESTION_TIMEOUT_MS = 500
+export const QUOTA_REQUEST_TIMEOUT_MS = 500
 // ms. Until the next question, after one that nobody answered.
-export const QUOTA_QUESTION_RETRY_MS = 100
+export const QUOTA_REQUEST_RETRY_DELAY_MS = 100
 // ms. A tenant that was given less than it wants isn't asked for again sooner; what has no allowance is refused at once.
-export const QUOTA_DENIAL_MS = 200
+export const QUOTA_DENIAL_BACKOFF_MS = 200
 // ms. An allowance that wasn't used for two windows is given back.
-export const QUOTA_IDLE_MS = 10000
+export const QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS = 10000
 // ratio. Of an allowance: what is left of it when more is asked for.
 export const QUOTA_LOW_SHARE = 0.25
 // operations. A smaller allowance isn't asked for before it is used up: it would be with each operation.
 export const QUOTA_MIN_LOW_ALLOWANCE = 4
 // operations, and ratio of what a proxy wants: what it is given beside that, if there is so much for all, so that operations needn't
 // wait for an answer.
-export const QUOTA_LEAST_EXTRA = 2
+export const QUOTA_MIN_EXTRA = 2
 export const QUOTA_EXTRA_SHARE = 0.5
 // ratio. Of what nobody wants: what proxies may have as extras. The rest is free for those that begin to want.
 export const QUOTA_SPARE_SHARE = 0.75
 // ratio. The same where that isn't one operation for each proxy.
-export const QUOTA_THIN_SPARE_SHARE = 0.25
+export const QUOTA_SCARCE_SPARE_SHARE = 0.25
 // ratio. Of a tenant's limit: what is kept for a new holder to grant at once, unless the tenant wants more than the rest.
 export const QUOTA_RESERVE_SHARE = 0.25
 // ratio. Of the rest: what a tenant needs for the reserve to be lent, and at the most for it to be kept again.
--- a/packages/base/src/data-file.ts
+++ b/packages/base/src/data-file.ts
@@ -12,7 +12,7 @@
 const MARK = 0xc1a9f11e
 const HEAD = 12
 
-export type Opened = { records: unknown[]; damaged: boolean; cut: number; empty: boolean }
+export type DataFileContents = { records: unknown[]; damaged: boolean; cut: number; empty: boolean }
 
 function pack(body: unknown): Uint8Array {
   const bytes = encode(body)
@@ -53,10 +53,10 @@
 }
 
 export type DataFile = {
-  open: () => Promise<Opened>
+  open: () => Promise<DataFileContents>
   append: (body: unknown) => Promise<void>
   // Called with what lives, to rewrite the file when it got long.
-  trim: (live: () => unknown[]) => Promise<boolean>
+  compact: (live: () => unknown[]) => Promise<boolean>
   reset: (live: unknown[]) => Promise<void>
   size: () => number
 }
@@ -67,7 +67,7 @@
   let least = 0
   const enter = makeSerialQueue()
 
-  async function open(): Promise<Opened> {
+  async function open(): Promise<DataFileContents> {
     const bytes = await world.disk.read(path)
     if (!bytes || bytes.length === 0) return { records: [], damaged: false, cut: 0, empty: true }
     const got = readRecords(bytes)
@@ -113,5 +113,5 @@
   function sizeNow(): number {
     return size
   }
-  return { open, append, trim, reset, size: sizeNow }
+  return { open, append, compact: trim, reset, size: sizeNow }
 }
--- a/packages/base/src/http-server.ts
+++ b/packages/base/src/http-server.ts
@@ -4,9 +4,9 @@
   RETRY_AFTER_OVERLOAD_S,
   BODY_LIMIT_BYTES,
   BODY_TIMEOUT_MS,
-  DRAIN_TAIL_MS,
+  CLOSE_TIMEOUT_MS,
   CONNECTION_GRACE_MS,
-  MAX_EDGE_CONNECTIONS,
+  MAX_LISTENER_CONNECTIONS,
 } from './constants.js'
 import { type Flag, TIMED_OUT, makeFlag, noop, pause, withTimeout } from './waiting.js'
 import type { Address, World } from './world.js'
@@ -20,7 +20,7 @@
   header: (name: string) => string | undefined
   body: unknown
   // The connection it came on: one object for the life of the connection.
-  line: object
+  connection: object
   // Fires when the caller went away before its answer was written.
   gone: Flag
   raw: { req: IncomingMessage; res: ServerResponse }
@@ -71,7 +71,7 @@
   res.end(text)
 }
 
-export function badInput(status: number, why: string, findings: unknown[] = []): HttpResponse {
+export function invalidRequest(status: number, why: string, findings: unknown[] = []): HttpResponse {
   return {
     status,
     body: { outcome: 'refused', class: 'INVALID_ARGUMENT', kept: 'nothing', again: false, why, findings },
@@ -85,7 +85,7 @@
   held?: number
   lines?: number
   quiet?: number
-  onLine?: (line: object, closed: Flag) => void
+  onConnection?: (line: object, closed: Flag) => void
   raw?: (path: string) => boolean
 }
 
@@ -124,7 +124,7 @@
       url = new URL(req.url ?? '/', 'http://x')
     } catch {
       res.setHeader('connection', 'close')
-      sendResponse(res, badInput(400, 'malformed path'))
+      sendResponse(res, invalidRequest(400, 'malformed path'))
       return
     }
     const most = typeof opt.limit === 'function' ? opt.limit(url.pathname) : (opt.limit ?? BODY_LIMIT_BYTES)
@@ -133,7 +133,7 @@
       const bytes = await withTimeout(world, BODY_TIMEOUT_MS, readBody(req, most, hold))
       if (bytes === TIMED_OUT) {
         res.setHeader('connection', 'close')
-        sendResponse(res, badInput(408, `body not whole within ${BODY_TIMEOUT_MS} ms`))
+        sendResponse(res, invalidRequest(408, `body not whole within ${BODY_TIMEOUT_MS} ms`))
         return
       }
       if (bytes === 'full') {
@@ -153,14 +153,14 @@
       }
       if (bytes === 'long') {
         res.setHeader('connection', 'close')
-        sendResponse(res, badInput(413, `body over ${most} bytes`))
+        sendResponse(res, invalidRequest(413, `body over ${most} bytes`))
         return
       }
       if (bytes.length > 0) {
         try {
           body = JSON.parse(bytes.toString('utf8'))
         } catch (e) {
-          sendResponse(res, badInput(400, `malformed JSON: ${(e as Error).message}`))
+          sendResponse(res, invalidRequest(400, `malformed JSON: ${(e as Error).message}`))
           return
         }
       }
@@ -180,7 +180,7 @@
       query: url.searchParams,
       header,
       body,
-      line: req.socket,
+      connection: req.socket,
       gone,
       raw: { req, res },
     })
@@ -231,7 +231,7 @@
   server.on('clientError', clientError)
 
   function line(sock: Duplex): void {
-    if (lines.size >= (opt.lines ?? MAX_EDGE_CONNECTIONS)) {
+    if (lines.size >= (opt.lines ?? MAX_LISTENER_CONNECTIONS)) {
       sock.on('error', noop)
       sock.destroy()
       return
@@ -244,7 +244,7 @@
     }
     sock.on('error', noop)
     sock.on('close', end)
-    opt.onLine?.(sock, closed)
+    opt.onConnection?.(sock, closed)
     watchQuiet()
     server.emit('connection', sock)
   }
@@ -276,7 +276,7 @@
   // Takes no new connections, so that a caller's dial fails with nothing sent; then ends each connection once it
   // is idle and has been for LINE_GRACE. A request on its way to one idle for longer is lost with it, so drain()
   // comes well before. Whoever is not done by then (a reader who follows, say) is ended all the same.
-  async function close(ms = DRAIN_TAIL_MS): Promise<void> {
+  async function close(ms = CLOSE_TIMEOUT_MS): Promise<void> {
     ending = true
     const done = listener.close()
     const until = world.now() + ms
--- a/packages/base/src/settings.ts
+++ b/packages/base/src/settings.ts
@@ -6,16 +6,16 @@
 import { Ok, Err, type Result } from './result.js'
 
 // Settings of one process: a JSON file, with flags that go before it. Lists in flags are parted by commas.
-export type Flags = [string, string][]
+export type CommandLineFlags = [string, string][]
 
 // How a settings file is written: JSON of ours, unless a source says otherwise. open: fields that we don't know are ignored.
-export type Format = { name: string; parse: (text: string) => unknown; open: boolean }
+export type SettingsFormat = { name: string; parse: (text: string) => unknown; open: boolean }
 function parseJson(text: string): unknown {
   return JSON.parse(text)
 }
-const JSON_FORMAT: Format = { name: 'JSON', parse: parseJson, open: false }
+const JSON_FORMAT: SettingsFormat = { name: 'JSON', parse: parseJson, open: false }
 
-function parse(path: string, bytes: Uint8Array | undefined, format: Format): Result<object, Finding[]> {
+function parse(path: string, bytes: Uint8Array | undefined, format: SettingsFormat): Result<object, Finding[]> {
   if (!bytes) return Err([{ place: path, what: 'no such file' }])
   let value: unknown
   try {
@@ -28,18 +28,18 @@
   return Ok(value)
 }
 
-export type Source<T> = {
+export type SettingsSource<T> = {
   path: string | undefined
-  flags: Flags
+  flags: CommandLineFlags
   lists: string[]
   more?: (set: T) => Finding[]
-  format?: Format
+  format?: SettingsFormat
 }
 
 export async function readSettings<T>(
   world: World,
   codec: t.Type<T, unknown, unknown>,
-  from: Source<T>,
+  from: SettingsSource<T>,
 ): Promise<Result<T, Finding[]>> {
   const all = new Map<string, unknown>()
   const format = from.format ?? JSON_FORMAT
@@ -71,7 +71,7 @@
 export function watchSettings<T>(
   world: World,
   codec: t.Type<T, unknown, unknown>,
-  from: Source<T>,
+  from: SettingsSource<T>,
   stop: Flag,
   signal: Signal,
   apply: (next: T) => void,
@@ -100,7 +100,7 @@
   void loop(world, 'settings', SETTINGS_INTERVAL_MS, stop, look, signal)
 }
 
-export function showFindings(findings: Finding[]): string {
+export function formatFindings(findings: Finding[]): string {
   let out = ''
   for (const f of findings) out += `${f.place}: ${f.what}\n`
   return out
--- a/packages/base/src/streams.ts
+++ b/packages/base/src/streams.ts
@@ -1,5 +1,5 @@
 import type { Duplex } from 'node:stream'
-import { CONNECTION_GRACE_MS, DRAIN_TAIL_MS, MAX_EDGE_CONNECTIONS, SESSION_START_TIMEOUT_MS } from './constants.js'
+import { CONNECTION_GRACE_MS, CLOSE_TIMEOUT_MS, MAX_LISTENER_CONNECTIONS, SESSION_START_TIMEOUT_MS } from './constants.js'
 import type { HttpListener } from './http-server.js'
 import { makeFlag, noop, pause } from './waiting.js'
 import type { Address, World } from './world.js'
@@ -20,7 +20,7 @@
   world: World,
   addr: Address,
   open: (stream: Duplex, seat: ConnectionSlot) => ConnectionHandler,
-  most: number = MAX_EDGE_CONNECTIONS,
+  most: number = MAX_LISTENER_CONNECTIONS,
 ): Promise<HttpListener> {
   const talks = new Map<Duplex, ConnectionHandler>()
   let busy = 0
@@ -64,7 +64,7 @@
     ending = true
     for (const talk of [...talks.values()]) if (talk.resting()) talk.end()
   }
-  async function close(ms = DRAIN_TAIL_MS): Promise<void> {
+  async function close(ms = CLOSE_TIMEOUT_MS): Promise<void> {
     drain()
     const done = listener.close()
     for (const talk of [...talks.values()]) if (talk.resting(true)) talk.end()
--- a/packages/base/src/validation.ts
+++ b/packages/base/src/validation.ts
@@ -126,8 +126,8 @@
 function isWhole(x: unknown): x is number {
   return Number.isSafeInteger(x) && (x as number) >= 0
 }
-export const Whole = refine('a whole number from 0', isWhole)
+export const WholeNumber = refine('a whole number from 0', isWhole)
 function isMs(x: unknown): x is number {
   return typeof x === 'number' && Number.isFinite(x) && x >= 0 && x <= 86400000
 }
-export const Ms = refine('milliseconds from 0 to 86400000', isMs)
+export const DurationMs = refine('milliseconds from 0 to 86400000', isMs)
--- a/packages/base/src/world.ts
+++ b/packages/base/src/world.ts
@@ -9,7 +9,7 @@
 export type Address = string
 
 export type Listener = { close: () => Promise<void> }
-export type DatagramSocket = { cast: (addr: Address, bytes: Uint8Array) => void; close: () => void }
+export type DatagramSocket = { send: (addr: Address, bytes: Uint8Array) => void; close: () => void }
 
 // All reach to the outside. Real processes get realWorld; the simulator gives each of
 // its processes one of its own on virtual time.
@@ -21,7 +21,7 @@
   log: Log
   listen: (addr: Address, take: (s: Duplex) => void) => Promise<Listener>
   dial: (addr: Address, ms: number) => Promise<Duplex>
-  wire: (addr: Address, take: (bytes: Uint8Array) => void) => Promise<DatagramSocket>
+  bindDatagrams: (addr: Address, take: (bytes: Uint8Array) => void) => Promise<DatagramSocket>
   // Disk: a write is done only once it, and the folder where it is new, are synced.
   disk: Disk
 }
@@ -189,7 +189,7 @@
       function up(): void {
         sock.removeListener('error', fail)
         sock.on('error', ignore)
-        done({ cast, close })
+        done({ send: cast, close })
       }
       sock.on('message', take)
       sock.once('error', fail)
@@ -198,5 +198,5 @@
     return new Promise(start)
   }
 
-  return { now: realNow, later, random: Math.random, log: out, listen, dial, wire, disk: realDisk() }
+  return { now: realNow, later, random: Math.random, log: out, listen, dial, bindDatagrams: wire, disk: realDisk() }
 }
--- a/packages/claynotch/src/daemons.ts
+++ b/packages/claynotch/src/daemons.ts
@@ -1,21 +1,21 @@
-import { serveHttp, type HttpRequest, type Flags, type HttpResponse, type World } from '@claynotch/base'
+import { serveHttp, type HttpRequest, type CommandLineFlags, type HttpResponse, type World } from '@claynotch/base'
 import { startAgent } from '@claynotch/agent'
-import { takeProbe } from '@claynotch/host'
+import { answerProbe } from '@claynotch/host'
 import { startProxy } from '@claynotch/proxy'
 import { startCore } from '@claynotch/register'
 import { BUILD } from './build.js'
-import { needsRestart, runDaemon, type Running } from './run.js'
+import { warnRestartNeeded, runDaemon, type RunningDaemon } from './run.js'
 import { AgentShape, checkAgent, checkCore, CoreShape, ProxyShape } from './settings.js'
 
-export async function runCore(path: string | undefined, flags: Flags): Promise<void> {
-  async function start(world: World, set: CoreShape): Promise<Running<CoreShape>> {
+export async function runCore(path: string | undefined, flags: CommandLineFlags): Promise<void> {
+  async function start(world: World, set: CoreShape): Promise<RunningDaemon<CoreShape>> {
     const core = await startCore(world, set)
     function ready(): string | undefined {
       return core.serving() ? undefined : `not serving: ${core.state()}`
     }
     function handle(ask: HttpRequest): HttpResponse {
       if (ask.path === '/seeds') return { status: 200, body: { cores: set.cores } }
-      return takeProbe(ask, { ready, metrics: core.metrics }) ?? { status: 404, body: { why: 'no such path' } }
+      return answerProbe(ask, { ready, metrics: core.metrics }) ?? { status: 404, body: { why: 'no such path' } }
     }
     const http = await serveHttp(world, set.http, handle)
     async function stop(): Promise<void> {
@@ -23,7 +23,7 @@
       await http.close()
     }
     function apply(next: CoreShape): void {
-      needsRestart(world, [
+      warnRestartNeeded(world, [
         ['id', set.id, next.id],
         ['cores', set.cores, next.cores],
         ['data', set.data, next.data],
@@ -35,11 +35,11 @@
   await runDaemon('core', CoreShape, { path, flags, lists: [], more: checkCore }, start)
 }
 
-export async function runAgent(path: string | undefined, flags: Flags): Promise<void> {
-  async function start(world: World, set: AgentShape): Promise<Running<AgentShape>> {
+export async function runAgent(path: string | undefined, flags: CommandLineFlags): Promise<void> {
+  async function start(world: World, set: AgentShape): Promise<RunningDaemon<AgentShape>> {
     const agent = await startAgent(world, { ...set, build: BUILD })
     function apply(next: AgentShape): void {
-      needsRestart(world, [
+      warnRestartNeeded(world, [
         ['node', set.node, next.node],
         ['area', set.area, next.area],
         ['link', set.link, next.link],
@@ -53,11 +53,11 @@
   await runDaemon('agent', AgentShape, { path, flags, lists: ['seeds'], more: checkAgent }, start)
 }
 
-export async function runProxy(path: string | undefined, flags: Flags): Promise<void> {
-  async function start(world: World, set: ProxyShape): Promise<Running<ProxyShape>> {
+export async function runProxy(path: string | undefined, flags: CommandLineFlags): Promise<void> {
+  async function start(world: World, set: ProxyShape): Promise<RunningDaemon<ProxyShape>> {
     const proxy = await startProxy(world, set)
     function apply(next: ProxyShape): void {
-      needsRestart(world, [
+      warnRestartNeeded(world, [
         ['listen', set.listen, next.listen],
         ['admin', set.admin, next.admin],
         ['agent', set.agent, next.agent],
--- a/packages/claynotch/src/main.ts
+++ b/packages/claynotch/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 import { defineCommand, runMain } from 'citty'
-import type { Flags } from '@claynotch/base'
+import type { CommandLineFlags } from '@claynotch/base'
 import { BUILD } from './build.js'
 import { runAgent, runCore, runProxy } from './daemons.js'
 import { apply, check, credential, move, replace, show } from './verbs.js'
@@ -10,8 +10,8 @@
 const settings = { type: 'string', description: 'settings file (JSON)' } as const
 const to = { type: 'string', description: 'http address of any agent', required: true } as const
 
-function flagsOf(args: object, names: string[]): Flags {
-  const out: Flags = []
+function flagsOf(args: object, names: string[]): CommandLineFlags {
+  const out: CommandLineFlags = []
   const all = new Map(pairs(args))
   for (const name of names) {
     const value = all.get(name)
--- a/packages/claynotch/src/run.ts
+++ b/packages/claynotch/src/run.ts
@@ -5,20 +5,20 @@
   makeLog,
   readSettings,
   realWorld,
-  showFindings,
+  formatFindings,
   watchSettings,
-  type Source,
+  type SettingsSource,
   type World,
 } from '@claynotch/base'
 
-export type Running<T> = { stop: () => Promise<void>; apply: (next: T) => void }
+export type RunningDaemon<T> = { stop: () => Promise<void>; apply: (next: T) => void }
 
 // Runs a daemon until it is told to stop: SIGTERM and SIGINT drain it and end with 0; SIGHUP reads its settings again.
 export async function runDaemon<T>(
   kind: string,
   codec: t.Type<T, unknown, unknown>,
-  from: Source<T>,
-  start: (world: World, set: T) => Promise<Running<T>>,
+  from: SettingsSource<T>,
+  start: (world: World, set: T) => Promise<RunningDaemon<T>>,
 ): Promise<void> {
   // Signals are held from the first line on: one that comes while the daemon starts is not lost, nor does it kill.
   const stop = makeFlag()
@@ -29,10 +29,10 @@
   const world = realWorld(makeLog({ program: kind }))
   const got = await readSettings(world, codec, from)
   if (got.err) {
-    process.stderr.write(showFindings(got.val))
+    process.stderr.write(formatFindings(got.val))
     process.exit(2)
   }
-  let running: Running<T>
+  let running: RunningDaemon<T>
   try {
     running = await start(world, got.val)
   } catch (e) {
@@ -47,7 +47,7 @@
 }
 
 // What can't change without a restart is named in the log when the file asks for it.
-export function needsRestart(world: World, names: [string, unknown, unknown][]): void {
+export function warnRestartNeeded(world: World, names: [string, unknown, unknown][]): void {
   for (const [name, old, next] of names)
     if (JSON.stringify(old) !== JSON.stringify(next)) world.log.warn('settings-need-restart', { field: name })
 }
--- a/packages/claynotch/src/verbs.ts
+++ b/packages/claynotch/src/verbs.ts
@@ -1,19 +1,19 @@
 import { readFile } from 'node:fs/promises'
 import {
-  checkAgainst,
+  checkAgainstFleet,
   checkCores,
-  differences,
+  describeChanges,
   makeCredential,
   readConfig,
   applyEdits,
-  showCores,
+  formatCoreSetStatus,
   type Config,
-  type CoreStatus,
+  type CoreSetStatus,
   type Credential,
   type Edit,
-  type Fleet,
+  type FleetState,
 } from '@claynotch/operator'
-import { AddressCodec, requestOnce, realWorld, showFindings, type HttpAnswer, type Finding } from '@claynotch/base'
+import { AddressCodec, requestOnce, realWorld, formatFindings, type HttpAnswer, type Finding } from '@claynotch/base'
 
 // Operator verbs. Exit codes: 0 done, 1 refused, 2 bad input, 3 unclear or no answer.
 const LIMIT = 15000
@@ -71,7 +71,7 @@
     findings.push({ place: '--whole, --edits', what: 'one of them is needed, or --stage to go on with an open stage' })
   if (args.expect !== undefined && !Number.isInteger(Number(args.expect)))
     findings.push({ place: '--expect', what: 'expected an epoch' })
-  if (findings.length > 0) stopWith(2, showFindings(findings))
+  if (findings.length > 0) stopWith(2, formatFindings(findings))
   let expect = Number(args.expect)
   if (args.expect === undefined)
     expect = ((await call(args.to, 'GET', '/configuration')).body as { epoch: number }).epoch
@@ -127,7 +127,7 @@
   }
   if (findings.length === 0 && edits.length !== 1)
     findings.push({ place: '--group, --confirm, --calloff', what: 'exactly one of them is needed' })
-  if (findings.length > 0) stopWith(2, showFindings(findings))
+  if (findings.length > 0) stopWith(2, formatFindings(findings))
   const now = (await call(args.to, 'GET', '/configuration')).body as { epoch: number }
   await send(args, { number, expect: now.epoch, edits })
 }
@@ -137,7 +137,7 @@
   if (!known.includes(args.what)) stopWith(2, `what: expected one of ${known.join(', ')}`)
   const got = await call(args.to, 'GET', `/${args.what}`)
   if (args.what === 'cores' && got.status === 200 && args.json !== true) {
-    process.stdout.write(showCores(got.body as CoreStatus))
+    process.stdout.write(formatCoreSetStatus(got.body as CoreSetStatus))
     process.exit(0)
   }
   process.stdout.write(typeof got.body === 'string' ? got.body : `${JSON.stringify(got.body, null, 2)}\n`)
@@ -158,7 +158,7 @@
 // What is wrong with the core set; an agent of before GET /cores tells nothing.
 async function findCoreFaults(to: string): Promise<Finding[]> {
   const got = await call(to, 'GET', '/cores')
-  return got.status === 200 ? checkCores(got.body as CoreStatus) : []
+  return got.status === 200 ? checkCores(got.body as CoreSetStatus) : []
 }
 
 // A configuration against the fleet as it is. Exit codes: 0 nothing found, 1 findings, 2 the configuration is
@@ -177,7 +177,7 @@
     moves: await read('/moves'),
     members: await read('/members'),
     groups: await read('/groups'),
-  } as Fleet
+  } as FleetState
   let next: unknown = now.config
   let findings: Finding[] = []
   if (args.whole !== undefined) next = await readJson(args.whole, 'whole')
@@ -191,14 +191,14 @@
   const got = findings.length > 0 ? undefined : readConfig(next)
   if (got?.err) findings = got.val
   const invalid = findings.length > 0
-  const changes = got?.ok ? differences(now.config, got.val) : []
-  if (got?.ok) findings = checkAgainst(got.val, fleet)
+  const changes = got?.ok ? describeChanges(now.config, got.val) : []
+  if (got?.ok) findings = checkAgainstFleet(got.val, fleet)
   if (got?.ok) findings.push(...(await findCoreFaults(args.to)))
   if (args.json === true)
     process.stdout.write(`${JSON.stringify({ epoch: now.epoch, valid: !invalid, findings, changes }, null, 2)}\n`)
   else {
     process.stdout.write(`present epoch ${now.epoch}; the configuration is ${invalid ? 'invalid' : 'valid'}\n`)
-    process.stdout.write(showFindings(findings))
+    process.stdout.write(formatFindings(findings))
     for (const c of changes) process.stdout.write(`would change ${c}\n`)
   }
   process.exit(invalid ? 2 : findings.length > 0 ? 1 : 0)
--- a/packages/failover/src/evidence.ts
+++ b/packages/failover/src/evidence.ts
@@ -1,4 +1,4 @@
-import { GOOD_OBSERVATION_MS, OBSERVATION_SKEW_MS } from '@claynotch/base'
+import { LEADER_EVIDENCE_LIFETIME_MS, OBSERVATION_SKEW_MS } from '@claynotch/base'
 
 /** What one node reports about instances, by instance name. */
 export type InstanceObservations = {
@@ -31,7 +31,7 @@
     const bad = badAgeMs.get(name)
     const good = goodAgeMs.get(name)
     if (bad !== undefined) failingAgesMs.push(bad)
-    else if (good !== undefined && good < GOOD_OBSERVATION_MS) goodAgesMs.push(good)
+    else if (good !== undefined && good < LEADER_EVIDENCE_LIFETIME_MS) goodAgesMs.push(good)
   }
   failingAgesMs.sort(descending)
   const since = failingAgesMs[Math.min(1, failingAgesMs.length - 1)] ?? 0
--- a/packages/failover/src/failover-view.ts
+++ b/packages/failover/src/failover-view.ts
@@ -1,7 +1,7 @@
 import { LEASE_CLOCK_SLACK_MS, LEASE_DURATION_MS, type Metrics, type World } from '@claynotch/base'
 import type { InstanceAdapter, Status } from '@claynotch/instance'
-import type { Body } from '@claynotch/operator'
-import type { PromotionEdge } from '@claynotch/host'
+import type { ConfigurationBody } from '@claynotch/operator'
+import type { PromotionAdapter } from '@claynotch/host'
 import type { GroupRecord, InstanceStatus, Member, Proposer, RegisterValue } from '@claynotch/register'
 import type { InstanceObservations } from './evidence.js'
 
@@ -12,7 +12,7 @@
   /** Time in ms without a good answer after which a leader is suspected. */
   suspicionTimeoutMs: number
   instance: InstanceAdapter
-  promotion: PromotionEdge
+  promotion: PromotionAdapter
   /** The address that receives promotion calls. */
   platform: () => string | undefined
   proposer: Proposer
@@ -33,7 +33,7 @@
   /** Reads the members from a quorum; undefined if no majority answers. */
   askMembers: () => Promise<{ members: Member[]; isComplete: boolean } | undefined>
   /** The configuration as this node knows it. */
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   metrics: Metrics
 }
 
--- a/packages/failover/src/group-context.ts
+++ b/packages/failover/src/group-context.ts
@@ -1,5 +1,5 @@
 import type { World } from '@claynotch/base'
-import type { PromotionEdge } from '@claynotch/host'
+import type { PromotionAdapter } from '@claynotch/host'
 import type { FailoverView } from './failover-view.js'
 import type { GroupInstances } from './group-instances.js'
 import type { WriteRecord } from './group-record-writer.js'
@@ -11,7 +11,7 @@
   group: string
   instances: GroupInstances
   write: WriteRecord
-  promote: PromotionEdge
+  promote: PromotionAdapter
   /** Schedules another step after a delay in ms. */
   scheduleCheck: (ms: number) => void
 }
--- a/packages/failover/src/group-failover.ts
+++ b/packages/failover/src/group-failover.ts
@@ -7,7 +7,7 @@
   type Signal,
   type World,
 } from '@claynotch/base'
-import type { PromotionEdge } from '@claynotch/host'
+import type { PromotionAdapter } from '@claynotch/host'
 import { groupKey, type GroupRecord } from '@claynotch/register'
 import { dutyHolderOf } from './duty-holder.js'
 import type { FailoverView } from './failover-view.js'
@@ -27,7 +27,7 @@
 export function startGroupFailover(
   world: World,
   view: FailoverView,
-  promote: PromotionEdge,
+  promote: PromotionAdapter,
   group: string,
   stop: Flag,
   signal: Signal,
--- a/packages/failover/src/group-instances.ts
+++ b/packages/failover/src/group-instances.ts
@@ -2,7 +2,7 @@
   DEMOTION_INTERVAL_MS,
   LEADER_PROBE_TIMEOUT_MS,
   MISSING_COMMITS_WAIT_MS,
-  NEWER_INSTANCE_MS,
+  NEWER_CANDIDATE_MARGIN_MS,
   SUSPECT_PROBE_TIMEOUT_MS,
   type World,
 } from '@claynotch/base'
@@ -125,7 +125,7 @@
     if (isLeaving(a) !== isLeaving(b)) return isLeaving(b)
     if (isHome(a) !== isHome(b)) return isHome(a)
     const ageDifferenceMs = (firstSeen.get(a) ?? 0) - (firstSeen.get(b) ?? 0)
-    return Math.abs(ageDifferenceMs) > NEWER_INSTANCE_MS ? ageDifferenceMs > 0 : a < b
+    return Math.abs(ageDifferenceMs) > NEWER_CANDIDATE_MARGIN_MS ? ageDifferenceMs > 0 : a < b
   }
   function mostAdvanced(probed: ProbedInstance[], oldLeader: string | undefined): ProbedInstance | undefined {
     let best: ProbedInstance | undefined
--- a/packages/failover/src/leader-watch.ts
+++ b/packages/failover/src/leader-watch.ts
@@ -4,7 +4,7 @@
   LEADER_PROBE_INTERVAL_MS,
   LEASE_DURATION_MS,
   PROMOTION_INTERVAL_MS,
-  TAKEOVER_DOUBT_MS,
+  TAKEOVER_SUSPICION_WINDOW_MS,
 } from '@claynotch/base'
 import type { GroupRecord, InstanceStatus } from '@claynotch/register'
 import { weighEvidence, type Evidence } from './evidence.js'
@@ -104,7 +104,7 @@
  */
 function failedWithHolder(now: number, memory: GroupMemory, status: InstanceStatus | undefined, good: number): boolean {
   const { takeoverAt } = memory
-  return takeoverAt !== undefined && now - takeoverAt < TAKEOVER_DOUBT_MS && status === undefined && good === 0
+  return takeoverAt !== undefined && now - takeoverAt < TAKEOVER_SUSPICION_WINDOW_MS && status === undefined && good === 0
 }
 
 /**
--- a/packages/failover/src/promotion-calls.ts
+++ b/packages/failover/src/promotion-calls.ts
@@ -1,5 +1,5 @@
 import type { Address, World } from '@claynotch/base'
-import type { Promotion, PromotionEdge, PromotionEnd } from '@claynotch/host'
+import type { PromotionRequest, PromotionAdapter, PromotionResult } from '@claynotch/host'
 
 /**
  * Limits this process to one promotion call per group at a time.
@@ -8,9 +8,9 @@
  * still be executed. The group's record, not the adapter that sends the call, decides which instance is promoted, so
  * the limit is enforced here, independent of the wire protocol.
  */
-export function limitToOneCallPerGroup(call: PromotionEdge): PromotionEdge {
+export function limitToOneCallPerGroup(call: PromotionAdapter): PromotionAdapter {
   const groupsInProgress = new Set<string>()
-  async function promote(world: World, platform: Address | undefined, promotion: Promotion): Promise<PromotionEnd> {
+  async function promote(world: World, platform: Address | undefined, promotion: PromotionRequest): Promise<PromotionResult> {
     const { group } = promotion
     if (groupsInProgress.has(group))
       return { end: 'unclear', why: 'a promotion call for this group is already pending' }
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -8,8 +8,8 @@
   PROMOTION_WAIT_LOG_INTERVAL_MS,
 } from '@claynotch/base'
 import { comparePositions, type LogPosition } from '@claynotch/instance'
-import type { PromotionEnd } from '@claynotch/host'
-import { departedOf, groupKey, type GroupRecord } from '@claynotch/register'
+import type { PromotionResult } from '@claynotch/host'
+import { departedFieldOf, groupKey, type GroupRecord } from '@claynotch/register'
 import { haveAllProxiesStopped, leaderEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
 import type { ProbedInstance, ProbeTarget } from './group-instances.js'
@@ -81,7 +81,7 @@
     planned,
     ...(oldLeader !== undefined ? { old: oldLeader } : {}),
     ...(context.instances.isSynchronous() ? { replicas: replicasWithOldLeader(record, context.instances.list()) } : {}),
-    ...departedOf(record),
+    ...departedFieldOf(record),
   }
   return (await write(version, next)) === true
 }
@@ -230,7 +230,7 @@
  * Delay in ms before the promotion call may be repeated for the same candidate. After a refusal it doubles, up to
  * PROMOTION_DONE_DELAY_MS.
  */
-function promotionRetryDelay(end: PromotionEnd['end'], memory: GroupMemory): number {
+function promotionRetryDelay(end: PromotionResult['end'], memory: GroupMemory): number {
   if (end === 'done') return PROMOTION_DONE_DELAY_MS
   if (end === 'unclear') return PROMOTION_UNCLEAR_DELAY_MS
   const previousDelayMs = Math.max(PROMOTION_REFUSED_DELAY_MS / 2, memory.lastPromotionCall?.delayMs ?? 0)
@@ -302,7 +302,7 @@
     addr: leader.addr,
     ...(term === undefined ? {} : { term }),
     ...(note ? { note } : {}),
-    ...departedOf(record),
+    ...departedFieldOf(record),
     ...(instances.isSynchronous() ? { replicas: replicasOf(record, instances.list(), leader.name) } : {}),
   })
   return isWritten === true
--- a/packages/failover/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -3,7 +3,7 @@
   FAILOVER_INTERVAL_MS,
   loop,
   makeSignal,
-  MOVE_NEAR_LAG_MS,
+  MOVE_CUTOVER_LAG_MS,
   MOVE_PAUSE_LIMIT_MS,
   SAMPLE_TIMEOUT_MS,
   type Signal,
@@ -11,7 +11,7 @@
   type World,
 } from '@claynotch/base'
 import { comparePositions, type LogPosition, type Status } from '@claynotch/instance'
-import { callOff, CONFIG_KEY, stepMove, switchMove, type Body, type Move } from '@claynotch/operator'
+import { callOffMove, CONFIG_KEY, advanceMove, completeMove, type ConfigurationBody, type Move } from '@claynotch/operator'
 import { groupKey, type GroupRecord, type RegisterValue } from '@claynotch/register'
 import { dutyHolderOf } from './duty-holder.js'
 import type { Duty } from './failover.js'
@@ -43,11 +43,11 @@
   let writeCount = 0
 
   /** Edits the configuration register; true: this edit was committed. */
-  async function changeConfiguration(edit: (body: Body) => Body | undefined): Promise<boolean> {
+  async function changeConfiguration(edit: (body: ConfigurationBody) => ConfigurationBody | undefined): Promise<boolean> {
     const tag = `${view.node}~move~${world.now()}~${++writeCount}`
     function editRegister(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       if (!now || now.tag === tag) return undefined
-      const body = edit(now.body as Body)
+      const body = edit(now.body as ConfigurationBody)
       return body ? { body, tag } : undefined
     }
     const committed = await view.proposer.change(CONFIG_KEY, editRegister)
@@ -56,8 +56,8 @@
     return committed.value?.tag === tag
   }
   async function advancePhase(move: Move, next: Move['phase'], position?: LogPosition): Promise<boolean> {
-    function edit(body: Body): Body | undefined {
-      return stepMove(body, move.id, move.phase, { phase: next, ...(position ? { mark: position } : {}) })
+    function edit(body: ConfigurationBody): ConfigurationBody | undefined {
+      return advanceMove(body, move.id, move.phase, { phase: next, ...(position ? { mark: position } : {}) })
     }
     const hasAdvanced = await changeConfiguration(edit)
     if (hasAdvanced)
@@ -72,8 +72,8 @@
     return hasAdvanced
   }
   async function cancelMove(move: Move, why: string): Promise<boolean> {
-    function edit(body: Body): Body | undefined {
-      return callOff(body, move.id, move.phase, why)
+    function edit(body: ConfigurationBody): ConfigurationBody | undefined {
+      return callOffMove(body, move.id, move.phase, why)
     }
     const isCancelled = await changeConfiguration(edit)
     if (isCancelled) {
@@ -135,7 +135,7 @@
     const now = world.now()
     const [sourceLeader, targetLeader] = await Promise.all([queryLeader(move.from), queryLeader(move.to)])
     if (sourceLeader) memory.sourcePositions.push({ at: now, mark: sourceLeader.mark })
-    while (memory.sourcePositions.length > 0 && memory.sourcePositions[0].at < now - MOVE_NEAR_LAG_MS)
+    while (memory.sourcePositions.length > 0 && memory.sourcePositions[0].at < now - MOVE_CUTOVER_LAG_MS)
       memory.sourcePositions.shift()
     if (targetLeader?.source?.group !== move.from) return false
     for (const sourcePosition of memory.sourcePositions)
@@ -174,8 +174,8 @@
       return await cancelMove(move, 'the target had no leader that holds everything')
     if (!(await haveProxiesStopped(memory))) return false
     if (!(await isTargetComplete(move, move.proof === 'reported' ? move.mark : undefined))) return false
-    function edit(body: Body): Body | undefined {
-      return switchMove(body, move.id)
+    function edit(body: ConfigurationBody): ConfigurationBody | undefined {
+      return completeMove(body, move.id)
     }
     const isSwitched = await changeConfiguration(edit)
     if (isSwitched) {
--- a/packages/fleet/src/control/model.ts
+++ b/packages/fleet/src/control/model.ts
@@ -11,7 +11,7 @@
  * - of each change of a register there is one value, whoever learned it.
  */
 import { MAX_NAMED_CHANGES } from '@claynotch/base'
-import type { Body, Decision } from '@claynotch/operator'
+import type { ConfigurationBody, Decision } from '@claynotch/operator'
 import type { RegisterValue } from '@claynotch/register'
 
 /** `epoch`: the one that it makes. `acceptedAt`: the epoch told, where it was told accepted. */
@@ -31,7 +31,7 @@
   orders: () => Order[]
   answered: (order: Order, got: Decision | undefined, where: string) => void
   /** A body that was chosen, as someone holds it. */
-  saw: (body: Body, where: string) => void
+  saw: (body: ConfigurationBody, where: string) => void
   /** A value that someone learned to be chosen. */
   learned: (key: string, value: RegisterValue, where: string) => void
   /** The highest epoch told accepted so far. */
@@ -39,7 +39,7 @@
   /** The highest epoch seen in force. */
   newest: () => number
   /** The last look: a body read at a majority after everything else. */
-  judge: (last: Body) => void
+  judge: (last: ConfigurationBody) => void
 }
 
 export function makeModel(broken: (what: string) => void): Model {
@@ -98,7 +98,7 @@
     else if (one.epoch !== epoch) broken(`${name} names epoch ${one.epoch} and is in force as ${epoch} by ${where}`)
     else if (one.refused !== undefined) broken(`${name} was refused (${one.refused}) and is in force by ${where}`)
   }
-  function saw(body: Body, where: string): void {
+  function saw(body: ConfigurationBody, where: string): void {
     let prior: number | undefined = body.history.length < MAX_NAMED_CHANGES ? 0 : undefined
     for (const h of body.history) {
       force(h.epoch, h.stream, where)
@@ -118,7 +118,7 @@
     if (old === undefined) tags.set(at, value.tag)
     else if (old !== value.tag) broken(`change ${value.turn} of ${key} is ${old}, and ${value.tag} by ${where}`)
   }
-  function judge(last: Body): void {
+  function judge(last: ConfigurationBody): void {
     saw(last, 'the last read')
     const least = last.history.length < MAX_NAMED_CHANGES ? 0 : last.history[0].epoch
     const kept = new Set<string>()
--- a/packages/fleet/src/control/operators.ts
+++ b/packages/fleet/src/control/operators.ts
@@ -3,7 +3,7 @@
  * and is sent again, the same, to another machine where no clear answer came within a second.
  */
 import { requestOnce, pause, type World } from '@claynotch/base'
-import type { Body, Change, Decision } from '@claynotch/operator'
+import type { ConfigurationBody, Change, Decision } from '@claynotch/operator'
 import { httpOf, type Box, type ControlFleet } from './fleet.js'
 import type { Model, Order } from './model.js'
 
@@ -19,7 +19,7 @@
   send: (order: Order, from: number) => Promise<Decision | undefined>
   /** Sends once to one box. */
   sendOnce: (order: Order, at: Box) => Promise<Decision | undefined>
-  read: (at: Box) => Promise<Body | undefined>
+  read: (at: Box) => Promise<ConfigurationBody | undefined>
 }
 
 /** pad: bytes of each document beside its name. */
@@ -54,12 +54,12 @@
     }
     return undefined
   }
-  async function read(at: Box): Promise<Body | undefined> {
+  async function read(at: Box): Promise<ConfigurationBody | undefined> {
     if (!world) return undefined
     const before = model.acknowledged()
     const got = await requestOnce(world, httpOf(at), 'GET', '/read', undefined, ANSWER_WAIT)
     if (!got.ok || got.val.status !== 200) return undefined
-    const body = got.val.body as Body
+    const body = got.val.body as ConfigurationBody
     model.saw(body, `a read at ${at.name}`)
     if (body.epoch < before)
       fleet.broken(`a read at ${at.name} saw epoch ${body.epoch} after ${before} was told accepted`)
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -1,5 +1,5 @@
 /** One run: a fleet with its model, its watchers and two operators, from its founding to the last judgement. */
-import type { Body } from '@claynotch/operator'
+import type { ConfigurationBody } from '@claynotch/operator'
 import { startCensus } from './census.js'
 import { makeFaults, type Faults } from './faults.js'
 import { makeControlFleet, type ControlFleet } from './fleet.js'
@@ -160,7 +160,7 @@
   }
   /** Every order once more, at some machine: what was decided stands. Then the last read. */
   async function lastLook(): Promise<void> {
-    let last: Body | undefined
+    let last: ConfigurationBody | undefined
     async function work(): Promise<void> {
       for (const [k, one] of model.orders().slice(-32).entries()) {
         const list = fleet.present()
--- a/packages/fleet/src/control/watch.ts
+++ b/packages/fleet/src/control/watch.ts
@@ -3,7 +3,7 @@
  * model, or goes back in one life, is told as broken.
  */
 import type { Agent } from '@claynotch/agent'
-import { CONFIG_KEY, type Body } from '@claynotch/operator'
+import { CONFIG_KEY, type ConfigurationBody } from '@claynotch/operator'
 import { CORESET_KEY, groupKey, type RegisterValue } from '@claynotch/register'
 import type { ControlFleet } from './fleet.js'
 import type { Model } from './model.js'
@@ -32,10 +32,10 @@
         fleet.broken(`${where} went back from change ${old.turn} to ${value.turn} of ${key}`)
       known.set(key, value)
       model.learned(key, value, where)
-      if (key === CONFIG_KEY) lookAtBody(value.body as Body, old?.body as Body | undefined, where)
+      if (key === CONFIG_KEY) lookAtBody(value.body as ConfigurationBody, old?.body as ConfigurationBody | undefined, where)
     }
   }
-  function lookAtBody(body: Body, old: Body | undefined, where: string): void {
+  function lookAtBody(body: ConfigurationBody, old: ConfigurationBody | undefined, where: string): void {
     if (old && body.epoch < old.epoch) fleet.broken(`${where} went back from epoch ${old.epoch} to ${body.epoch}`)
     model.saw(body, where)
   }
--- a/packages/fleet/src/instance.ts
+++ b/packages/fleet/src/instance.ts
@@ -178,7 +178,7 @@
       position?: number
       last?: number
     }
-    const s = sessionOf(ask.line)
+    const s = sessionOf(ask.connection)
     switch (ask.path) {
       case '/status':
         return {
@@ -225,7 +225,7 @@
         s.shapes.set(String(body.name), String(body.text))
         return good([])
       case '/reset':
-        sessions.delete(ask.line)
+        sessions.delete(ask.connection)
         return good([])
       case '/promotion': {
         const next = Number(body.epoch)
@@ -288,7 +288,7 @@
     }
     closed.watch(over)
   }
-  const http = await serveHttp(world, set.addr, handle, { onLine, limit: 4 * 1024 * 1024 })
+  const http = await serveHttp(world, set.addr, handle, { onConnection: onLine, limit: 4 * 1024 * 1024 })
 
   // --- replication: a follower fetches from the leader of the highest epoch ---
   let from: { addr: Address; line: HttpConnection } | undefined
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -1,5 +1,5 @@
 import { dutyHolderOf } from '@claynotch/failover'
-import type { Body, Config, Move } from '@claynotch/operator'
+import type { ConfigurationBody, Config, Move } from '@claynotch/operator'
 import { leaderIndex, newestOf, pick, wait, type Scenario } from './harm.js'
 import { lawOf, smallShape, type Decided, type Shape, type SimFleet } from './simfleet.js'
 
@@ -111,8 +111,8 @@
   return m.op !== 'browse'
 }
 // The configuration's register as the agent that has most of it knows it.
-function bodyNow(f: SimFleet): Body | undefined {
-  return newestOf(f, 'configuration') as Body | undefined
+function bodyNow(f: SimFleet): ConfigurationBody | undefined {
+  return newestOf(f, 'configuration') as ConfigurationBody | undefined
 }
 // Sends one change of edits; what was told.
 async function send(f: SimFleet, stream: string, edits: unknown[]): Promise<Decided> {
--- a/packages/fleet/src/simworld.ts
+++ b/packages/fleet/src/simworld.ts
@@ -121,7 +121,7 @@
     function close(): void {
       if (wires.get(at)?.proc === proc) wires.delete(at)
     }
-    return { cast, close }
+    return { send: cast, close }
   }
   function laterFor(proc: Proc, ms: number, run: () => void): Cancel {
     let off = false
@@ -153,7 +153,7 @@
     function write(_level: string, line: string): void {
       sink(proc, line)
     }
-    return { now, later, random, log: logTo(write), listen, dial, wire, disk: makeDisk(clock, random, proc) }
+    return { now, later, random, log: logTo(write), listen, dial, bindDatagrams: wire, disk: makeDisk(clock, random, proc) }
   }
   function forget(proc: Proc): void {
     for (const at of proc.open) if (listeners.get(at)?.proc === proc) listeners.delete(at)
--- a/packages/fleet/src/tablemodel/processes.ts
+++ b/packages/fleet/src/tablemodel/processes.ts
@@ -82,7 +82,7 @@
       log,
       listen: nowhere,
       dial: nowhere,
-      wire: nowhere,
+      bindDatagrams: nowhere,
       disk: { read: nowhere, append: nowhere, replace: nowhere, cut: nowhere },
     }
     const process: Process = { node, life, speed, state: 'up', isMute: false, isDeaf: false, missed: [], world }
--- a/packages/fleet/src/test/changes.test.ts
+++ b/packages/fleet/src/test/changes.test.ts
@@ -2,12 +2,12 @@
 import { encode, MAX_ANNOUNCEMENT_DELAY_MS, MAX_NAMED_CHANGES } from '@claynotch/base'
 import {
   allDecisions,
-  decide,
+  evaluateChange,
   emptyBody,
   findDecision,
-  lendable,
+  usableConnectionsPerProxy,
   readConfig,
-  type Body,
+  type ConfigurationBody,
   type Change,
   type Config,
   type Decision,
@@ -30,8 +30,8 @@
   label: { limits: { deep: { er: 1 } } },
 }
 
-function ruled(body: Body, stream: string, change: Change): { decision: Decision; body: Body; wrote: boolean } {
-  const got = decide(body, { stream, change })
+function ruled(body: ConfigurationBody, stream: string, change: Change): { decision: Decision; body: ConfigurationBody; wrote: boolean } {
+  const got = evaluateChange(body, { stream, change })
   if ('unclear' in got) throw new Error(`unclear: ${got.unclear}`)
   return 'known' in got
     ? { decision: got.known, body, wrote: false }
@@ -243,17 +243,17 @@
   }
   c.strictSame(
     [
-      lendable(base, 'g', 9),
-      lendable(base, 'g', 1),
-      lendable(base, 'g', 200),
-      lendable(base, 'g', 0),
-      lendable(base, 'g'),
-      lendable(base, 'none', 3),
+      usableConnectionsPerProxy(base, 'g', 9),
+      usableConnectionsPerProxy(base, 'g', 1),
+      usableConnectionsPerProxy(base, 'g', 200),
+      usableConnectionsPerProxy(base, 'g', 0),
+      usableConnectionsPerProxy(base, 'g'),
+      usableConnectionsPerProxy(base, 'none', 3),
     ],
     [9, 91, 1, 91, 1, 0],
   )
   c.strictSame(
-    [lendable({ ...base, proxies: 9 }, 'g'), lendable({ ...base, proxies: 9 }, 'g', 3)],
+    [usableConnectionsPerProxy({ ...base, proxies: 9 }, 'g'), usableConnectionsPerProxy({ ...base, proxies: 9 }, 'g', 3)],
     [8, 8],
     'a number is a number',
   )
--- a/packages/fleet/src/test/corestatus.test.ts
+++ b/packages/fleet/src/test/corestatus.test.ts
@@ -3,7 +3,7 @@
 import { startCoreMachine } from '@claynotch/claynotch'
 import { makeMarginWatch } from '@claynotch/agent'
 import { requestOnce, pause, type World } from '@claynotch/base'
-import { checkCores, showCores, type CoreStatus } from '@claynotch/operator'
+import { checkCores, formatCoreSetStatus, type CoreSetStatus } from '@claynotch/operator'
 import { tolerableLosses, quorumOf, votersOf, type CoreMember, type CoreSet, type CoreState } from '@claynotch/register'
 import { makeSim, type Machine, type Proc } from '../sim.js'
 
@@ -81,15 +81,15 @@
 }
 
 function findings(c: Test): void {
-  function status(cores: CoreStatus['cores'], more: Partial<CoreStatus> = {}): CoreStatus {
+  function status(cores: CoreSetStatus['cores'], more: Partial<CoreSetStatus> = {}): CoreSetStatus {
     return { epoch: 4, changing: false, quorum: true, lossesBorne: 1, cores, spares: [], ...more }
   }
-  function voting(ids: string[]): CoreStatus['cores'] {
-    const out: CoreStatus['cores'] = []
+  function voting(ids: string[]): CoreSetStatus['cores'] {
+    const out: CoreSetStatus['cores'] = []
     for (const id of ids) out.push({ id, addr: `${id}:1`, part: 'votes', state: 'voting', epoch: 4 })
     return out
   }
-  function whats(s: CoreStatus): string {
+  function whats(s: CoreSetStatus): string {
     const out: string[] = []
     for (const f of checkCores(s)) out.push(`${f.place}: ${f.what}`)
     return out.join('; ')
@@ -103,8 +103,8 @@
   })
   c.match(whats(short), /core c: doesn't vote now: refilling; cores: the next loss leaves no quorum/)
   c.match(whats({ ...short, quorum: false }), /nothing is decided/)
-  c.match(showCores(short), /losses borne now: 0/)
-  c.match(showCores(short), /c {2}c:1 {2}votes {2}refilling/)
+  c.match(formatCoreSetStatus(short), /losses borne now: 0/)
+  c.match(formatCoreSetStatus(short), /c {2}c:1 {2}votes {2}refilling/)
 }
 
 // Real core machines: what one agent tells, as voters go and come.
@@ -138,7 +138,7 @@
     async function read(at: string): Promise<string> {
       const answer = await requestOnce(world, at, 'GET', '/cores', undefined, 3000)
       if (answer.err || answer.val.status !== 200) return `${answer.err ? answer.val.why : answer.val.status}`
-      const s = answer.val.body as CoreStatus
+      const s = answer.val.body as CoreSetStatus
       const states: string[] = []
       for (const line of s.cores) states.push(line.state)
       return `${states.sort().join(' ')}, ${s.quorum ? `bears ${s.lossesBorne}` : 'no quorum'}`
--- a/packages/fleet/src/test/cutoff.test.ts
+++ b/packages/fleet/src/test/cutoff.test.ts
@@ -12,8 +12,8 @@
   type HttpResponse,
   type World,
 } from '@claynotch/base'
-import type { Promotion, PromotionEnd } from '@claynotch/host'
-import { emptyBody, makeDecision } from '@claynotch/operator'
+import type { PromotionRequest, PromotionResult } from '@claynotch/host'
+import { emptyBody, submitChange } from '@claynotch/operator'
 import { Summary } from '@claynotch/peer'
 import {
   fetchCoreSetFromSeeds,
@@ -38,13 +38,13 @@
 // ms. A step beyond the term in which what was decided within it may still be written.
 const STEP = 5
 type Called = { holder: string; at: number }
-type Cast = { f: SimFleet; called: Called[]; onCall: (run: (what: Promotion) => void) => void }
+type Cast = { f: SimFleet; called: Called[]; onCall: (run: (what: PromotionRequest) => void) => void }
 // cores: on machines of their own; the duty is held by one of the fronts.
 async function makeCast(seed: number): Promise<Cast> {
   const called: Called[] = []
-  let run: (what: Promotion) => void = ignore
+  let run: (what: PromotionRequest) => void = ignore
   function ignore(): void {}
-  async function promotion(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
+  async function promotion(world: World, at: Address | undefined, what: PromotionRequest): Promise<PromotionResult> {
     called.push({ holder: what.holder, at: f.sim.now() })
     run(what)
     return await defaultAdapters.promotion(world, at, what)
@@ -56,7 +56,7 @@
   if (!(await f.begin())) throw new Error('the fleet did not begin')
   f.traffic()
   await wait(f, 5000)
-  function onCall(next: (what: Promotion) => void): void {
+  function onCall(next: (what: PromotionRequest) => void): void {
     run = next
   }
   return { f, called, onCall }
@@ -159,7 +159,7 @@
         }
         const proposer = makeProposer(world, 'node', voters, quorum)
         const change = { number: 1, expect, whole: { proxies: 'live', groups: [], lanes: [] } }
-        const got = await makeDecision(proposer, { stream: 'stream', change }, 500)
+        const got = await submitChange(proposer, { stream: 'stream', change }, 500)
         told.push(got.decision)
       }
   }
@@ -243,7 +243,7 @@
       const got = readAs(Summary, decode(bytes))
       if (got.ok && got.val.node === f.fronts[0].node) heard.push({ at: f.sim.now(), sum: got.val })
     }
-    await world.wire(`${peer.machine.ip}:7200`, take)
+    await world.bindDatagrams(`${peer.machine.ip}:7200`, take)
   }
   f.sim.spawn(peer.machine, 'listener', listen)
   await wait(f, 1000)
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -2,8 +2,8 @@
 import { defaultAdapters as ownAgentEdges, type AgentAdapters } from '@claynotch/agent'
 import { pause, type Address, type World } from '@claynotch/base'
 import { weighEvidence, type InstanceObservations } from '@claynotch/failover'
-import type { Promotion, PromotionEnd } from '@claynotch/host'
-import { ownAdapters as ownProxyEdges } from '@claynotch/proxy'
+import type { PromotionRequest, PromotionResult } from '@claynotch/host'
+import { httpAdapters as ownProxyEdges } from '@claynotch/proxy'
 import { httpInstanceAdapter, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
 import { recordOf, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
@@ -146,7 +146,7 @@
 // --- instances that number their leaders by themselves ---
 // The stand-in takes whatever epoch it is promoted with; here it is the next one of the group, chosen as late as the
 // call takes effect, whatever the record says.
-type Odd = { ends: PromotionEnd['end'][]; after: number; calls: Promotion[]; demoted: string[] }
+type Odd = { ends: PromotionResult['end'][]; after: number; calls: PromotionRequest[]; demoted: string[] }
 function termed(f: () => SimFleet, odd: Odd): AgentAdapters {
   async function status(world: World, who: InstanceAddress, ms: number): ReturnType<InstanceAdapter['status']> {
     const got = await httpInstanceAdapter.status(world, who, ms)
@@ -164,7 +164,7 @@
     odd.demoted.push(who.name)
     return await status(world, who, ms)
   }
-  async function promotion(world: World, _at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
+  async function promotion(world: World, _at: Address | undefined, what: PromotionRequest): Promise<PromotionResult> {
     odd.calls.push(what)
     const end = odd.ends.shift() ?? 'done'
     async function carry(): Promise<void> {
@@ -179,7 +179,7 @@
   return { ...ownAgentEdges, instance: { ...httpInstanceAdapter, status, demote }, promotion }
 }
 async function terms(c: Test): Promise<void> {
-  const cases: [string, PromotionEnd['end'][], number][] = [
+  const cases: [string, PromotionResult['end'][], number][] = [
     ['promised, half a second before it leads', ['done'], 500],
     ['unclear, and carried out late', ['unclear'], 700],
     ['refused twice for their number', ['refused', 'refused'], 300],
--- a/packages/fleet/src/test/edges.test.ts
+++ b/packages/fleet/src/test/edges.test.ts
@@ -321,9 +321,9 @@
       ),
       'a newer program that does not',
     )
-    const wire = await world.wire('10.0.6.1:9', ignore)
+    const wire = await world.bindDatagrams('10.0.6.1:9', ignore)
     for (const body of [Buffer.from('junk'), encode({ v: 99, node: 'later' }), encode({ v: 1, node: 5 })])
-      wire.cast('10.0.2.1:7200', body)
+      wire.send('10.0.2.1:7200', body)
     await pause(world, 500)
     const metrics = f.fronts[0].agent!.metrics
     c.equal(metrics.get('claynotch_summary_garbage_total'), 2, 'garbage is counted')
--- a/packages/fleet/src/test/key-refusals.test.ts
+++ b/packages/fleet/src/test/key-refusals.test.ts
@@ -1,7 +1,7 @@
 import t, { type Test } from 'tap'
 import {
   KEY_REFUSAL_LOG_INTERVAL_MS,
-  MAX_KEYS_REMEMBERED,
+  MAX_REMEMBERED_KEYS,
   logTo,
   makeMetrics,
   type Metrics,
@@ -140,7 +140,7 @@
 function flood(c: Test): void {
   const r = makeRig()
   r.apply(3, [['amber', ['key-one']]])
-  const many = MAX_KEYS_REMEMBERED * 3
+  const many = MAX_REMEMBERED_KEYS * 3
   for (let k = 0; k < many; k++) r.deny(`key-${k}`)
   c.equal(r.lines.length, 1, 'one line at once')
   r.advance(KEY_REFUSAL_LOG_INTERVAL_MS - 1)
@@ -149,7 +149,7 @@
   c.equal(r.lines.length, 2)
   c.match(
     r.lines[1],
-    new RegExp(`refused=${many - 1} keys=${MAX_KEYS_REMEMBERED} `),
+    new RegExp(`refused=${many - 1} keys=${MAX_REMEMBERED_KEYS} `),
     'then all since, and no more memory',
   )
   r.advance(KEY_REFUSAL_LOG_INTERVAL_MS)
--- a/packages/fleet/src/test/orders.test.ts
+++ b/packages/fleet/src/test/orders.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
 import { pause, type World } from '@claynotch/base'
-import { CONFIG_KEY, makeDecision, type Body, type Order, type Verdict } from '@claynotch/operator'
+import { CONFIG_KEY, submitChange, type ConfigurationBody, type ChangeRequest, type ChangeAnswer } from '@claynotch/operator'
 import {
   makeProposer,
   makeRegisterStore,
@@ -50,7 +50,7 @@
     const key = ballot.join(' ')
     const ids = by.get(key) ?? new Set<string>()
     by.set(key, ids.add(id))
-    if (quorumOf(SET).met(ids)) epochs.push((value.body as Body).epoch)
+    if (quorumOf(SET).met(ids)) epochs.push((value.body as ConfigurationBody).epoch)
   }
   function passed(epoch: number): boolean {
     return epochs.some(isAbove)
@@ -92,14 +92,14 @@
   return { id, ask, tell }
 }
 
-function orderOf(k: number, expect: number, epoch: number): Order {
+function orderOf(k: number, expect: number, epoch: number): ChangeRequest {
   const lane = { name: `lane${k}`, database: `db${k}`, group: 'g', reads: 'leader' }
   const whole = { proxies: 'live', groups: [{ name: 'g', connections: 92 }], lanes: [lane] }
   return { stream: `digest${k}`, change: { number: 1, expect, epoch, whole } }
 }
 
 // What one play said, and what stood in the end.
-type Play = { told: { order: Order; verdict: Verdict; early: boolean }[]; history: Body['history'] }
+type Play = { told: { order: ChangeRequest; verdict: ChangeAnswer; early: boolean }[]; history: ConfigurationBody['history'] }
 
 async function playOnce(seed: number, list: Fate[]): Promise<Play> {
   const sim = makeSim(seed)
@@ -126,9 +126,9 @@
     function proposerOf(name: string): Proposer {
       return makeProposer(world, name, votersNow, quorum)
     }
-    async function send(name: string, order: Order, after: number): Promise<void> {
+    async function send(name: string, order: ChangeRequest, after: number): Promise<void> {
       await pause(world, after)
-      const verdict = await makeDecision(proposerOf(name), order, LIMIT)
+      const verdict = await submitChange(proposerOf(name), order, LIMIT)
       const early = verdict.decision === 'refused' && !chosen.passed(order.change.expect)
       out.told.push({ order, verdict, early })
     }
@@ -146,7 +146,7 @@
     at = list.length
     await pause(world, 2 * LATE_BY)
     const got = await proposerOf('reader').read(CONFIG_KEY)
-    if (got.done && got.value) out.history = (got.value.body as Body).history
+    if (got.done && got.value) out.history = (got.value.body as ConfigurationBody).history
     over = true
   }
   sim.spawn(sim.machine('m', '10.0.0.1'), 'm', run)
--- a/packages/fleet/src/test/parts.test.ts
+++ b/packages/fleet/src/test/parts.test.ts
@@ -9,11 +9,11 @@
   type World,
 } from '@claynotch/base'
 import {
-  decide,
+  evaluateChange,
   digestOf,
   emptyBody,
   readConfig,
-  type Body,
+  type ConfigurationBody,
   type Change,
   type Config,
   type Decision,
@@ -160,13 +160,13 @@
 // what must come of each.
 async function decisions(c: Test): Promise<void> {
   const rnd = makeRandom(9)
-  let body: Body = emptyBody()
+  let body: ConfigurationBody = emptyBody()
   let epoch = 0
   const first = new Map<string, { told: string; change: Change }>()
   const last = new Map<string, number>()
   let rivals = 0
-  function ruled(stream: string, change: Change): { decision: Decision; body: Body | undefined } {
-    const got = decide(body, { stream, change, digest: digestOf(change) })
+  function ruled(stream: string, change: Change): { decision: Decision; body: ConfigurationBody | undefined } {
+    const got = evaluateChange(body, { stream, change, digest: digestOf(change) })
     if ('unclear' in got) throw new Error(got.unclear)
     return 'known' in got ? { decision: got.known, body: undefined } : got
   }
--- a/packages/fleet/src/test/promotions.test.ts
+++ b/packages/fleet/src/test/promotions.test.ts
@@ -1,12 +1,12 @@
 import t, { type Test } from 'tap'
 import { makeFlag, pause, serveHttp, type HttpRequest, type Flag, type HttpResponse, type World } from '@claynotch/base'
 import { limitToOneCallPerGroup } from '@claynotch/failover'
-import { promote, type Promotion, type PromotionEnd } from '@claynotch/host'
+import { promote, type PromotionRequest, type PromotionResult } from '@claynotch/host'
 import { makeSim } from '../sim.js'
 
 // The promotion call: which are on their way, and which are made no more.
 
-const what: Promotion = { group: 'ledger', instance: 'i-1', addr: '10.0.9.1:80', epoch: 4, holder: 'front1', fence: 7 }
+const what: PromotionRequest = { group: 'ledger', instance: 'i-1', addr: '10.0.9.1:80', epoch: 4, holder: 'front1', fence: 7 }
 
 // Runs on a node beside a platform that notes each call and answers it after so many ms.
 async function beside(run: (world: World, asks: HttpRequest[]) => Promise<void>, ms = 50): Promise<void> {
@@ -51,7 +51,7 @@
 // A call that ends badly, by a throw too, keeps nobody from the next one.
 async function freed(c: Test): Promise<void> {
   let thrown = 0
-  async function broken(): Promise<PromotionEnd> {
+  async function broken(): Promise<PromotionResult> {
     thrown++
     throw new Error('a fault of the edge')
   }
@@ -68,7 +68,7 @@
 async function lapsed(c: Test): Promise<void> {
   const sim = makeSim(2)
   const asks: HttpRequest[] = []
-  const ends: PromotionEnd[] = []
+  const ends: PromotionResult[] = []
   const ready: Flag = makeFlag()
   let until = 0
   async function start(world: World): Promise<void> {
--- a/packages/fleet/src/test/quota-allowances.test.ts
+++ b/packages/fleet/src/test/quota-allowances.test.ts
@@ -3,10 +3,10 @@
   makeFlag,
   makeMetrics,
   pause,
-  QUOTA_DENIAL_MS,
-  QUOTA_IDLE_MS,
+  QUOTA_DENIAL_BACKOFF_MS,
+  QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS,
   QUOTA_METER_WINDOW_MS,
-  QUOTA_QUESTION_TIMEOUT_MS,
+  QUOTA_REQUEST_TIMEOUT_MS,
   QUOTA_REPORT_INTERVAL_MS,
   type Metrics,
   type World,
@@ -147,7 +147,7 @@
   for (let k = 0; k < 50; k++) c.equal(await reserve(), undefined)
   c.equal(world.now(), from, 'no wait, as the holder said no just now')
   c.equal(questions.length, asked)
-  await pause(world, QUOTA_DENIAL_MS + 1)
+  await pause(world, QUOTA_DENIAL_BACKOFF_MS + 1)
   answer.allowance = 3
   c.equal(await spend(2), 1, 'it asks anew after a while')
 }
@@ -156,12 +156,12 @@
   { world, answer, reserve, allowances, questions, mostUnderWay }: Bench,
 ): Promise<void> {
   answer.allowance = 9
-  answer.afterMs = QUOTA_QUESTION_TIMEOUT_MS + 50
+  answer.afterMs = QUOTA_REQUEST_TIMEOUT_MS + 50
   c.equal(await reserve(), undefined)
   answer.allowance = 0
   answer.afterMs = ANSWER_MS
   c.equal(
-    await mostHeld(world, allowances, 3 * QUOTA_QUESTION_TIMEOUT_MS),
+    await mostHeld(world, allowances, 3 * QUOTA_REQUEST_TIMEOUT_MS),
     0,
     'a later question told that it holds nothing',
   )
@@ -209,7 +209,7 @@
 async function givenBack(c: Test, { world, answer, spend, questions }: Bench): Promise<void> {
   answer.allowance = 3
   c.equal(await spend(1), 1)
-  await pause(world, QUOTA_IDLE_MS - 1000)
+  await pause(world, QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS - 1000)
   c.same(questions.at(-1)?.lines, [[TENANT, 3, 0, 0, 0]])
   answer.allowance = 0
   await pause(world, 3000)
@@ -224,7 +224,7 @@
   await pause(world, QUOTA_REPORT_INTERVAL_MS + 100)
   // Nobody lowers it: the holder is away.
   answer.allowance = undefined
-  await pause(world, QUOTA_IDLE_MS + 1000)
+  await pause(world, QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS + 1000)
   c.same(questions.at(-1)?.lines, [[TENANT, 0, 0, 0, 0]], 'it gives back what it does not use')
 }
 async function oneAtATime(c: Test, { world, answer, reserve, mostUnderWay, questions }: Bench): Promise<void> {
--- a/packages/fleet/src/test/quota-holder-fleet.ts
+++ b/packages/fleet/src/test/quota-holder-fleet.ts
@@ -5,7 +5,7 @@
   makeMetrics,
   makePersistentLink,
   pause,
-  QUOTA_QUESTION_TIMEOUT_MS,
+  QUOTA_REQUEST_TIMEOUT_MS,
   QUOTA_WINDOW_MS,
   readAs,
   requestOnce,
@@ -173,7 +173,7 @@
       }
       async function ask(question: QuotaQuestion): Promise<QuotaAnswer['grants'] | undefined> {
         if (front.isMute) return undefined
-        const answer = readAs(QuotaAnswer, await agent.ask(question, QUOTA_QUESTION_TIMEOUT_MS))
+        const answer = readAs(QuotaAnswer, await agent.ask(question, QUOTA_REQUEST_TIMEOUT_MS))
         return answer.ok ? answer.val.grants : undefined
       }
       function isActive(): boolean {
--- a/packages/fleet/src/test/quota-holder.test.ts
+++ b/packages/fleet/src/test/quota-holder.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import { QUOTA_SLOTS, requestOnce, type World } from '@claynotch/base'
-import type { Tenant, TenantLine } from '@claynotch/operator'
+import type { Tenant, TenantStatus } from '@claynotch/operator'
 import { dutyHolderOf } from '@claynotch/failover'
 import { quotaKey, quotaSlotOf } from '@claynotch/register'
 import { task } from './beside.js'
@@ -105,14 +105,14 @@
   }
 }
 /** What GET /tenants says at some core machine. */
-async function readTenants(fleet: QuotaFleet): Promise<TenantLine[]> {
+async function readTenants(fleet: QuotaFleet): Promise<TenantStatus[]> {
   let body: unknown
   async function get(world: World): Promise<void> {
     const got = await requestOnce(world, '10.0.1.1:8000', 'GET', '/tenants', undefined, 2000)
     if (got.ok) ({ body } = got.val)
   }
   await task(fleet.sim, fleet.sim.machine('reader', '10.0.6.2'), get)
-  return body as TenantLine[]
+  return body as TenantStatus[]
 }
 async function shown(c: Test): Promise<void> {
   const fleet = await begin(1)
@@ -128,7 +128,7 @@
   fleet.sim.kill(fleet.holder(SLOT).proc)
   const after = (await readTenants(fleet)).find(isOfSlot)
   c.ok(after && after.out === undefined, 'what is out is not told without its holder')
-  function isOfSlot(one: TenantLine): boolean {
+  function isOfSlot(one: TenantStatus): boolean {
     return one.slot === SLOT
   }
 }
--- a/packages/fleet/src/test/replicated-group.ts
+++ b/packages/fleet/src/test/replicated-group.ts
@@ -1,12 +1,12 @@
 import { makeFlag, makeMetrics, Err, Ok, type Result, type World } from '@claynotch/base'
 import { startFailover, type FailoverView, type InstanceObservations } from '@claynotch/failover'
-import type { Promotion, PromotionEnd } from '@claynotch/host'
+import type { PromotionRequest, PromotionResult } from '@claynotch/host'
 import type { InstanceAddress, InstanceAdapter, Status } from '@claynotch/instance'
-import type { Body } from '@claynotch/operator'
+import type { ConfigurationBody } from '@claynotch/operator'
 import {
   groupKey,
   ZERO_BALLOT,
-  type Committed,
+  type RegisterOutcome,
   type GroupRecord,
   type InstanceStatus,
   type Member,
@@ -214,7 +214,7 @@
       { goodAgeMs, badAgeMs },
     ]
   }
-  function promotion(_world: World, _at: unknown, { instance: name }: Promotion): Promise<PromotionEnd> {
+  function promotion(_world: World, _at: unknown, { instance: name }: PromotionRequest): Promise<PromotionResult> {
     const one = instances.get(name)
     if (!one?.isUp) return Promise.resolve({ end: 'refused', why: 'not running' })
     function lead(): void {
@@ -229,10 +229,10 @@
     sim.at(PROMOTION_MS, lead)
     return Promise.resolve({ end: 'done', why: '' })
   }
-  function done(key: string): Promise<Committed> {
+  function done(key: string): Promise<RegisterOutcome> {
     return Promise.resolve({ done: true, value: registers.get(key), ballot: ZERO_BALLOT })
   }
-  function change(key: string, edit: RegisterEdit): Promise<Committed> {
+  function change(key: string, edit: RegisterEdit): Promise<RegisterOutcome> {
     const now = registers.get(key)
     const next = edit(now)
     if (next) registers.set(key, { turn: (now?.turn ?? 0) + 1, ...next })
@@ -249,7 +249,7 @@
     const member = { node: 'front', life: 'x', ...described, acks, highs, open: 0 }
     return Promise.resolve({ members: [member], isComplete: true })
   }
-  function body(): Body {
+  function body(): ConfigurationBody {
     const groups = [{ name: GROUP, connections: 90, sync: sync.value }]
     return { epoch: 1, config: { proxies: 'live', groups, lanes: [] }, streams: [], history: [] }
   }
--- a/packages/fleet/src/test/teams.test.ts
+++ b/packages/fleet/src/test/teams.test.ts
@@ -1,15 +1,15 @@
 import t, { type Test } from 'tap'
 import { requestOnce, pause, type World } from '@claynotch/base'
 import {
-  checkAgainst,
+  checkAgainstFleet,
   checkCredentials,
   compilePolicy,
-  differences,
+  describeChanges,
   makeCredential,
   readConfig,
   type Config,
   type Credential,
-  type Fleet,
+  type FleetState,
 } from '@claynotch/operator'
 import { makeSimFleet, smallShape, type SimFleet } from '../simfleet.js'
 import { beside } from './beside.js'
@@ -243,7 +243,7 @@
       return (await requestOnce(world, f.fronts[0].http, 'GET', path, undefined, 5000)).unwrap().body
     }
     const now = (await get('/configuration')) as { epoch: number; config: Config }
-    const fleet = { ...now, members: await get('/members'), groups: await get('/groups') } as Fleet
+    const fleet = { ...now, members: await get('/members'), groups: await get('/groups') } as FleetState
     const next: Config = {
       proxies: 2,
       groups: [...now.config.groups, { name: 'ghost', connections: 60 }],
@@ -251,7 +251,7 @@
       lanes: [...now.config.lanes.slice(1), { name: 'new', database: 'd', group: 'ghost', reads: 'leader' }],
     }
     c.ok(readConfig(next).ok, 'valid in itself')
-    const found = checkAgainst(next, fleet)
+    const found = checkAgainstFleet(next, fleet)
     const text = found.map(showOf)
     for (const want of [
       /^\/proxies: 3 members are up/,
@@ -261,10 +261,10 @@
       /^present \/lanes\/0: the lane book-g1 would be dropped/,
     ])
       c.ok(text.some(matches(want)), `${want}`)
-    const changes = differences(now.config, next)
+    const changes = describeChanges(now.config, next)
     for (const want of [/^proxies: 4 -> 2/, /^group ghost: new/, /^lane book-g1: dropped/, /^team desks: changed/])
       c.ok(changes.some(matches(want)), `${want}`)
-    c.strictSame(differences(now.config, now.config), [], 'the same again changes nothing')
+    c.strictSame(describeChanges(now.config, now.config), [], 'the same again changes nothing')
   }
   await beside(f, run)
 }
--- a/packages/host/src/index.ts
+++ b/packages/host/src/index.ts
@@ -11,7 +11,7 @@
 // The call that makes an instance the leader. at: where the machines' keeper takes it; undefined: straight to the instance.
 // epoch: the one that it is to lead. holder, fence: the node that holds the group's duty; the fence rises with each holder.
 // may: asked once the connection stands, right before the call is written; false: it is not made any more.
-export type Promotion = {
+export type PromotionRequest = {
   group: string
   instance: string
   addr: Address
@@ -21,15 +21,15 @@
   may?: () => boolean
 }
 // done: it was carried out, or will be. refused: it was not. unclear: the instance's status must tell.
-export type PromotionEnd = { end: 'done' | 'refused' | 'unclear'; why: string }
-export type PromotionEdge = (world: World, at: Address | undefined, what: Promotion) => Promise<PromotionEnd>
+export type PromotionResult = { end: 'done' | 'refused' | 'unclear'; why: string }
+export type PromotionAdapter = (world: World, at: Address | undefined, what: PromotionRequest) => Promise<PromotionResult>
 
 // The edge to whoever keeps the machines: probes in, the single promotion call out.
 
 export type Probes = { ready: () => string | undefined; metrics: Metrics }
 
 // Answers GET /live, /ready and /metrics; undefined for any other path.
-export function takeProbe(ask: HttpRequest, probes: Probes): HttpResponse | undefined {
+export function answerProbe(ask: HttpRequest, probes: Probes): HttpResponse | undefined {
   if (ask.path === '/live') return { status: 200, body: { live: true } }
   if (ask.path === '/ready') {
     const why = probes.ready()
@@ -42,7 +42,7 @@
 }
 
 // Our own promotion call: an instance refuses an epoch that is not above its own.
-export async function promote(world: World, at: Address | undefined, what: Promotion): Promise<PromotionEnd> {
+export async function promote(world: World, at: Address | undefined, what: PromotionRequest): Promise<PromotionResult> {
   const { group, instance, epoch } = what
   const body = { group, instance, epoch }
   const got = await requestOnce(world, at ?? what.addr, 'POST', '/promotion', body, PROMOTION_TIMEOUT_MS, [], what.may)
--- a/packages/instance/src/announcement.ts
+++ b/packages/instance/src/announcement.ts
@@ -2,10 +2,10 @@
 import {
   AddressCodec,
   RETRY_AFTER_OVERLOAD_S,
-  badInput,
+  invalidRequest,
   Name,
   readStrict,
-  Whole,
+  WholeNumber,
   type HttpRequest,
   type HttpResponse,
 } from '@claynotch/base'
@@ -25,7 +25,7 @@
     area: Name,
     role: t.union([t.literal('leader'), t.literal('follower')]),
   }),
-  t.partial({ leaving: t.boolean, sequence: Whole, gone: t.boolean }),
+  t.partial({ leaving: t.boolean, sequence: WholeNumber, gone: t.boolean }),
 ])
 export type Announcement = t.TypeOf<typeof Announcement>
 
@@ -38,9 +38,9 @@
   request: HttpRequest,
   handle: (announcement: Announcement) => Promise<string | undefined>,
 ): Promise<HttpResponse> {
-  if (request.method !== 'POST') return badInput(405, 'announcements are posted')
+  if (request.method !== 'POST') return invalidRequest(405, 'announcements are posted')
   const parsed = readStrict(Announcement, request.body)
-  if (parsed.err) return badInput(400, 'not an announcement', parsed.val)
+  if (parsed.err) return invalidRequest(400, 'not an announcement', parsed.val)
   const why = await handle(parsed.val)
   return why === undefined
     ? { status: 200, body: { heard: true } }
--- a/packages/operator/src/against.ts
+++ b/packages/operator/src/against.ts
@@ -1,10 +1,10 @@
 import type { Finding } from '@claynotch/base'
-import { lendable, type Config, type Move } from './config.js'
+import { usableConnectionsPerProxy, type Config, type Move } from './config.js'
 import { withoutLabels } from './tenants.js'
 
 // A configuration against the fleet as it is. What is read of the fleet is what any agent tells on
 // GET /configuration, /members and /groups.
-export type Fleet = {
+export type FleetState = {
   epoch: number
   config: Config | null
   moves?: Move[]
@@ -23,7 +23,7 @@
 }
 
 // What would change, one line each.
-export function differences(now: Config | null, next: Config): string[] {
+export function describeChanges(now: Config | null, next: Config): string[] {
   const out: string[] = []
   if (now?.proxies !== next.proxies) out.push(`proxies: ${now?.proxies ?? 'none'} -> ${next.proxies}`)
   if (JSON.stringify(now?.policy) !== JSON.stringify(next.policy))
@@ -46,9 +46,9 @@
   return out
 }
 
-export function checkAgainst(next: Config, fleet: Fleet): Finding[] {
+export function checkAgainstFleet(next: Config, fleet: FleetState): Finding[] {
   const out: Finding[] = []
-  const groups = new Map<string, Fleet['groups'][number]>()
+  const groups = new Map<string, FleetState['groups'][number]>()
   for (const g of fleet.groups) groups.set(g.name, g)
   if (next.proxies !== 'live' && fleet.members.length > next.proxies)
     out.push({
@@ -110,7 +110,7 @@
   for (const [k, team] of (next.teams ?? []).entries()) {
     let lent = 0
     for (const lane of next.lanes)
-      if (lane.team === team.name) lent = Math.max(lent, lendable(next, lane.group, fleet.members.length))
+      if (lane.team === team.name) lent = Math.max(lent, usableConnectionsPerProxy(next, lane.group, fleet.members.length))
     if (team.pending !== undefined && lent > 0 && team.pending > lent * 8)
       out.push({
         place: `/teams/${k}/pending`,
--- a/packages/operator/src/config.ts
+++ b/packages/operator/src/config.ts
@@ -1,11 +1,11 @@
 import * as t from 'io-ts'
 import {
   Count,
-  Ms,
+  DurationMs,
   Name,
   POLICY_LIMIT_BYTES,
   readStrict,
-  Whole,
+  WholeNumber,
   type Finding,
   Ok,
   Err,
@@ -16,7 +16,7 @@
 
 // The operator's configuration.
 // reads: 'leader', every read goes to the leader; else within ms, and own (a session reads its own writes).
-const Reads = t.union([t.literal('leader'), t.intersection([t.type({ within: Ms }), t.partial({ own: t.boolean })])])
+const Reads = t.union([t.literal('leader'), t.intersection([t.type({ within: DurationMs }), t.partial({ own: t.boolean })])])
 // path: tells lanes of one database apart; of those that have one, no two may have database and path alike.
 // limit: ms that one statement may take. aim: ms that a call should be answered within. sends: most sends of a call.
 // rank: who is served first where there isn't enough for all, 0 before 1. public: nobody is asked for a key.
@@ -27,10 +27,10 @@
     team: Name,
     pending: Count,
     path: t.string,
-    limit: Ms,
-    aim: Ms,
+    limit: DurationMs,
+    aim: DurationMs,
     sends: Count,
-    rank: Whole,
+    rank: WholeNumber,
     public: t.boolean,
     label: t.unknown,
   }),
@@ -41,7 +41,7 @@
 // instance acknowledges it.
 const Group = t.intersection([
   t.type({ name: Name, connections: Count }),
-  t.partial({ guard: Ms, home: t.array(Name), sync: t.union([t.literal(0), t.literal(1)]), label: t.unknown }),
+  t.partial({ guard: DurationMs, home: t.array(Name), sync: t.union([t.literal(0), t.literal(1)]), label: t.unknown }),
 ])
 // share: weight of the team when connections are short. sessions, pending: most open sessions, and most calls
 // waiting or running, on one proxy.
@@ -50,7 +50,7 @@
   // proxies: how many share each instance's connections; 'live': as many as are members with a proxy now.
   t.type({ proxies: t.union([Count, t.literal('live')]), groups: t.array(Group), lanes: t.array(Lane) }),
   // transactionIdle: ms; an open transaction that rests for longer may be ended.
-  t.partial({ transactionIdle: Ms, label: t.unknown }),
+  t.partial({ transactionIdle: DurationMs, label: t.unknown }),
   // policy: a Lua text that matches calls for the lane 'auto' to lanes; fallback: the lane where it fails.
   // tenants: whose keys the routes that aren't public ask for; without them no key is asked for.
   t.partial({ teams: t.array(Team), tenants: t.array(Tenant), policy: t.type({ lua: t.string, fallback: Name }) }),
@@ -71,7 +71,7 @@
 
 // The most connections to one instance that one proxy may lend. live: members with a proxy, for configurations that
 // share by them; while it isn't known, each proxy has a single one.
-export function lendable(config: Config, group: string, live?: number): number {
+export function usableConnectionsPerProxy(config: Config, group: string, live?: number): number {
   for (const g of config.groups) {
     if (g.name !== group) continue
     if (config.proxies !== 'live') return Math.max(0, Math.floor(g.connections / config.proxies) - KEPT_BACK)
@@ -89,7 +89,7 @@
   return false
 }
 
-export function guardOf(config: Config | undefined, group: string): number | undefined {
+export function replicationGuardMsOf(config: Config | undefined, group: string): number | undefined {
   for (const g of config?.groups ?? []) if (g.name === group) return g.guard
   return undefined
 }
@@ -150,7 +150,7 @@
     }
   }
   for (const [k, g] of config.groups.entries()) {
-    if (lendable(config, g.name) < 1)
+    if (usableConnectionsPerProxy(config, g.name) < 1)
       out.push({
         place: `/groups/${k}/connections`,
         what: `${g.connections} connections over ${config.proxies} proxies leave none to lend (each proxy keeps ${KEPT_BACK} back)`,
@@ -182,7 +182,7 @@
 export const Change = t.intersection([
   t.type({ number: Count, expect: t.number }),
   // epoch: the one that the change makes, above the present one; without it the next.
-  t.partial({ epoch: Whole }),
+  t.partial({ epoch: WholeNumber }),
   // stage: areas that work by the new configuration; the others keep the one before until a later change says all.
   t.partial({ whole: t.unknown, edits: t.array(Edit), stage: t.union([t.literal('all'), t.array(Name)]) }),
 ])
@@ -263,11 +263,11 @@
 export type Unclear = { stream: string; number: number; decision: 'unclear'; why: string; findings: Finding[] }
 // What the sender of a change is told. Invariants: an accepted change is never refused afterwards, a refused one that
 // names its epoch never accepted; each rests on a chosen value.
-export type Verdict = Decision | Unclear
+export type ChangeAnswer = Decision | Unclear
 
 // A change as it was sent. digest: see Decision. team: set where the caller may change that team's lanes only.
 // hindered: what the fleet as it is has against the change.
-export type Order = { stream: string; change: Change; digest?: string; team?: string; hindered?: Finding[] }
+export type ChangeRequest = { stream: string; change: Change; digest?: string; team?: string; hindered?: Finding[] }
 
 // A move of lanes from one group to another, under way. id: the epoch that opened it.
 // Phases: copy, the target draws near; ease, no new reading transactions, open ones get their time; drain, no new writes and transactions, open ones get their time; quiet, no write
@@ -297,7 +297,7 @@
 // was dropped yet (mayBeForgotten in kept.ts).
 // What is kept is so bounded by HISTORY_KEPT, CONFIGS_KEPT, NAMED_KEPT, STREAMS_KEPT times DECISIONS_KEPT, and one configuration.
 // stage: set while only some areas work by config; the others work by prior, that of epoch priorEpoch.
-export type Body = {
+export type ConfigurationBody = {
   epoch: number
   config: Config | null
   stage?: { areas: string[]; prior: Config; priorEpoch: number }
@@ -309,14 +309,14 @@
 export type Made = { epoch: number; stream: string; number: number; digest?: string; config?: Config; named?: true }
 
 // The configuration that an area works by, its epoch, and the moves under way (never beside a stage).
-export function configFor(body: Body, area: string): { config: Config | null; epoch: number; moves: Move[] } {
+export function configurationForArea(body: ConfigurationBody, area: string): { config: Config | null; epoch: number; moves: Move[] } {
   if (body.stage && !body.stage.areas.includes(area))
     return { config: body.stage.prior, epoch: body.stage.priorEpoch, moves: [] }
   return { config: body.config, epoch: body.epoch, moves: body.moves ?? [] }
 }
 
 /** The body without past changes and decisions, for those who only work by it. */
-export function inForce(body: Body): Body {
+export function withoutHistory(body: ConfigurationBody): ConfigurationBody {
   return { ...body, streams: [], history: [] }
 }
 
@@ -324,7 +324,7 @@
   return config?.tenants ? { ...config, tenants: withoutLabels(config.tenants) } : config
 }
 /** The body without the tenants' labels, which hold their keys in plain text. */
-export function withoutTenantLabels(body: Body): Body {
+export function withoutTenantLabels(body: ConfigurationBody): ConfigurationBody {
   const { stage } = body
   return {
     ...body,
@@ -334,6 +334,6 @@
 }
 
 export const CONFIG_KEY = 'configuration'
-export function emptyBody(): Body {
+export function emptyBody(): ConfigurationBody {
   return { epoch: 0, config: null, streams: [], history: [] }
 }
--- a/packages/operator/src/cores.ts
+++ b/packages/operator/src/cores.ts
@@ -6,7 +6,7 @@
 // state: 'voting'; 'refilling', it answers and may not vote yet; 'behind', it answers under another set (epoch);
 // 'silent', no answer within ROUND_LIFE.
 // heard: ms since it was heard last by this agent.
-export type CoreLine = {
+export type CoreStatusEntry = {
   id: string
   addr: string
   part: 'votes' | 'stays' | 'joins' | 'leaves'
@@ -17,19 +17,19 @@
 // epoch: of the set as this agent knows it. quorum: those that vote now can decide. lossesBorne: of these so many may be
 // lost, whichever they are, with a quorum left; 0 where there is none.
 // spares: core machines that stand by and don't vote.
-export type CoreStatus = {
+export type CoreSetStatus = {
   epoch: number
   changing: boolean
   quorum: boolean
   lossesBorne: number
-  cores: CoreLine[]
+  cores: CoreStatusEntry[]
   spares: string[]
 }
 
 // The fewest cores of which one may be lost.
 const LEAST_CORES = 3
 
-export function checkCores(status: CoreStatus): Finding[] {
+export function checkCores(status: CoreSetStatus): Finding[] {
   const out: Finding[] = []
   let size = 0
   for (const c of status.cores) if (c.part !== 'joins') size++
@@ -45,7 +45,7 @@
 }
 
 // For people, a line each.
-export function showCores(status: CoreStatus): string {
+export function formatCoreSetStatus(status: CoreSetStatus): string {
   const { epoch, changing, quorum, lossesBorne, cores, spares } = status
   const head = [
     `core set of epoch ${epoch}${changing ? ', being changed' : ''}`,
@@ -56,7 +56,7 @@
   if (spares.length > 0) lines.push(`spares: ${spares.join(', ')}`)
   return `${[...head, ...lines].join('\n')}\n`
 }
-function showCore(c: CoreLine, epoch: number): string {
+function showCore(c: CoreStatusEntry, epoch: number): string {
   const words = [c.id, c.addr, c.part, c.state]
   if (c.epoch !== undefined && c.epoch !== epoch) words.push(`epoch ${c.epoch}`)
   if (c.heard !== undefined && c.state !== 'voting') words.push(`heard ${c.heard} ms ago`)
--- a/packages/operator/src/decide.ts
+++ b/packages/operator/src/decide.ts
@@ -1,5 +1,5 @@
 import { encode, REGISTER_VALUE_LIMIT_BYTES, type Finding } from '@claynotch/base'
-import { applyEdits, readConfig, type Body, type Config, type Decision, type Move, type Order } from './config.js'
+import { applyEdits, readConfig, type ConfigurationBody, type Config, type Decision, type Move, type ChangeRequest } from './config.js'
 import { beyondTeam } from './credentials.js'
 import { epochMadeBy, findDecision, keepDecision, keepNamed, mayBeForgotten, withDigest } from './kept.js'
 import { checkMoves, editMoves, SYSTEM } from './moves.js'
@@ -8,14 +8,14 @@
 // 'known': nothing is written: this stream and number were decided before, and the first decision stands; or the change
 // names its epoch and is refused: for good, as no later body takes what this one refuses.
 // 'unclear': nothing is written and nothing can be told: it may have been taken, or may yet be.
-export type Ruling = { known: Decision } | { unclear: string } | { body: Body; decision: Decision }
+export type Ruling = { known: Decision } | { unclear: string } | { body: ConfigurationBody; decision: Decision }
 
 // The configuration that a change makes, with what stands beside it.
-type Outcome = { config: Config; stage?: Body['stage']; moves?: Move[] }
+type Outcome = { config: Config; stage?: ConfigurationBody['stage']; moves?: Move[] }
 // A step of the way: what it refuses, or undefined for "go on".
 type Refusal = { why: string; findings: Finding[] }
 
-export function decide(body: Body, order: Order): Ruling {
+export function evaluateChange(body: ConfigurationBody, order: ChangeRequest): Ruling {
   const first = firstDecision(body, order)
   if (first) return { known: first }
   const doubt = doubtOf(body, order)
@@ -30,7 +30,7 @@
 // --- what was decided before ---
 
 // The first decision on this number stands; under it any other change has lost, or is none that an operator may send.
-function firstDecision(body: Body, order: Order): Decision | undefined {
+function firstDecision(body: ConfigurationBody, order: ChangeRequest): Decision | undefined {
   const { stream, change, digest } = order
   if (stream === SYSTEM) return refused(body, order, refuse(`the stream ${SYSTEM} is the system's own`))
   const first = findDecision(body, stream, change.number)
@@ -43,7 +43,7 @@
 }
 
 // Why nothing can be told: what the change expects lies before all that is remembered, or ahead.
-function doubtOf(body: Body, { change }: Order): string | undefined {
+function doubtOf(body: ConfigurationBody, { change }: ChangeRequest): string | undefined {
   const made = epochMadeBy(change)
   // It could never have been taken.
   if (made <= change.expect) return undefined
@@ -56,7 +56,7 @@
   return undefined
 }
 
-function refusePassed(body: Body, { stream, change }: Order): Refusal | undefined {
+function refusePassed(body: ConfigurationBody, { stream, change }: ChangeRequest): Refusal | undefined {
   const mine = body.streams.find(isMine)
   function isMine(s: { name: string }): boolean {
     return s.name === stream
@@ -71,7 +71,7 @@
 function refuse(why: string, findings: Finding[] = []): Refusal {
   return { why, findings }
 }
-function refused(body: Body, order: Order, { why, findings }: Refusal): Decision {
+function refused(body: ConfigurationBody, order: ChangeRequest, { why, findings }: Refusal): Decision {
   const { stream, change, digest } = order
   return {
     stream,
@@ -85,7 +85,7 @@
 }
 
 // Whoever sends it, and on what.
-function refuseOrder(body: Body, { change, team, hindered = [] }: Order): Refusal | undefined {
+function refuseOrder(body: ConfigurationBody, { change, team, hindered = [] }: ChangeRequest): Refusal | undefined {
   const beyond = team === undefined ? [] : beyondTeam(team, change, body.config)
   if (beyond.length > 0) return refuse("not this team's to change", beyond)
   const epoch = epochMadeBy(change)
@@ -101,7 +101,7 @@
 
 // --- what it makes ---
 
-function outcomeOf(body: Body, { change }: Order): Outcome | Refusal {
+function outcomeOf(body: ConfigurationBody, { change }: ChangeRequest): Outcome | Refusal {
   const { stage } = body
   // A stage opened further, or to all, with nothing else changed.
   if (stage && change.stage !== undefined && change.whole === undefined && change.edits === undefined) {
@@ -127,7 +127,7 @@
 }
 
 // Moves and stages beside a configuration that is valid by itself.
-function outcomeWith(body: Body, change: Order['change'], config: Config): Outcome | Refusal {
+function outcomeWith(body: ConfigurationBody, change: ChangeRequest['change'], config: Config): Outcome | Refusal {
   const staged = body.stage !== undefined || change.stage !== undefined
   const moved = editMoves(body, config, change.edits ?? [], staged, epochMadeBy(change))
   if (moved.err) return refuse('invalid move', moved.val)
@@ -162,13 +162,13 @@
 // --- what is kept of it ---
 
 // One that names its epoch isn't remembered.
-function refusal(body: Body, order: Order, what: Refusal): Ruling {
+function refusal(body: ConfigurationBody, order: ChangeRequest, what: Refusal): Ruling {
   const decision = refused(body, order, what)
   if (order.change.epoch !== undefined) return { known: decision }
   return { body: keepDecision(body, decision), decision }
 }
 
-function acceptance(body: Body, order: Order, made: Outcome): Ruling {
+function acceptance(body: ConfigurationBody, order: ChangeRequest, made: Outcome): Ruling {
   const { stream, change, digest } = order
   const { config, stage, moves } = made
   const named = change.epoch !== undefined
@@ -181,7 +181,7 @@
     findings: [],
     ...withDigest(digest),
   }
-  const next: Body = { ...body }
+  const next: ConfigurationBody = { ...body }
   delete next.stage
   delete next.moves
   if (stage) next.stage = stage
--- a/packages/operator/src/edge.ts
+++ b/packages/operator/src/edge.ts
@@ -1,7 +1,7 @@
 import { createInterface } from 'node:readline'
 import {
-  badInput,
-  FOLLOW_INTERVAL_MS,
+  invalidRequest,
+  DECISION_READER_CHECK_INTERVAL_MS,
   Name,
   OPERATOR_BODY_LIMIT_BYTES,
   readStrict,
@@ -18,17 +18,17 @@
   Change,
   CONFIG_KEY,
   emptyBody,
-  type Body,
+  type ConfigurationBody,
   type Edit,
-  type Order,
+  type ChangeRequest,
   type Unclear,
-  type Verdict,
+  type ChangeAnswer,
 } from './config.js'
-import type { CoreStatus } from './cores.js'
+import type { CoreSetStatus } from './cores.js'
 import { identify, stopCaller, type Credential } from './credentials.js'
-import { decide } from './decide.js'
+import { evaluateChange } from './decide.js'
 import { allDecisions, digestOf } from './kept.js'
-import type { TenantLine } from './tenants.js'
+import type { TenantStatus } from './tenants.js'
 
 // The operator's edge: numbered changes in, decisions out, and what there is to read.
 // 'unclear' is said where no majority settled the change in time, and where what is remembered can't tell: the same number
@@ -37,32 +37,32 @@
   // undefined: no majority.
   members: () => Promise<unknown>
   // undefined: no set is known yet. Told without a majority too.
-  cores: () => Promise<CoreStatus | undefined>
+  cores: () => Promise<CoreSetStatus | undefined>
   groups: () => unknown
-  tenants: () => Promise<TenantLine[]>
+  tenants: () => Promise<TenantStatus[]>
   replace: (group: string, to: string | undefined) => Promise<{ ok: boolean; why: string }>
   // What stands against moves that a change asks for, in the fleet as it is.
   hinders: (edits: Edit[]) => Promise<Finding[]>
   // What this agent knows of the configuration, and a bell for news of it.
-  body: () => Body | undefined
+  body: () => ConfigurationBody | undefined
   news: Signal
 }
 
 const NO_MAJORITY = 'no majority of cores settled it in time; send the same number again'
 
-export function unclear(order: Order, why: string): Unclear {
+export function unclearAnswer(order: ChangeRequest, why: string): Unclear {
   return { stream: order.stream, number: order.change.number, decision: 'unclear', why, findings: [] }
 }
 
 // Decides one change at the cores. What is told rests on the chosen value: a ruling counts only if the very round that it was
 // made in ended with the value it was made on, or made, chosen; each round judges anew.
-export async function makeDecision(proposer: Proposer, order: Order, limit?: number): Promise<Verdict> {
+export async function submitChange(proposer: Proposer, order: ChangeRequest, limit?: number): Promise<ChangeAnswer> {
   const tag = `${order.stream}#${order.change.number}`
-  let out: Verdict = unclear(order, NO_MAJORITY)
+  let out: ChangeAnswer = unclearAnswer(order, NO_MAJORITY)
   function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
-    const ruling = decide((now?.body as Body | undefined) ?? emptyBody(), order)
+    const ruling = evaluateChange((now?.body as ConfigurationBody | undefined) ?? emptyBody(), order)
     if ('unclear' in ruling) {
-      out = unclear(order, ruling.unclear)
+      out = unclearAnswer(order, ruling.unclear)
       return undefined
     }
     if ('known' in ruling) {
@@ -73,10 +73,10 @@
     return { body: ruling.body, tag }
   }
   const got = await proposer.change(CONFIG_KEY, edit, limit)
-  return got.done ? out : unclear(order, NO_MAJORITY)
+  return got.done ? out : unclearAnswer(order, NO_MAJORITY)
 }
 
-export function makeOperatorEdge(
+export function makeOperatorApi(
   world: World,
   proposer: Proposer,
   reading: Reading,
@@ -104,7 +104,7 @@
       }
     const change = got.val
     const hindered = await reading.hinders(change.edits ?? [])
-    const made = await makeDecision(proposer, { stream, change, digest: digestOf(change), team, hindered })
+    const made = await submitChange(proposer, { stream, change, digest: digestOf(change), team, hindered })
     metrics.add('claynotch_decisions_total', [['decision', made.decision]])
     return made
   }
@@ -142,13 +142,13 @@
           res.write(`${JSON.stringify(d)}\n`)
         }
       }
-      await reading.news.wait(world, FOLLOW_INTERVAL_MS, ask.gone)
+      await reading.news.wait(world, DECISION_READER_CHECK_INTERVAL_MS, ask.gone)
     }
     return undefined
   }
-  async function body(): Promise<Body | undefined> {
+  async function body(): Promise<ConfigurationBody | undefined> {
     const got = await proposer.look(CONFIG_KEY)
-    return got.done ? ((got.value?.body as Body | undefined) ?? emptyBody()) : undefined
+    return got.done ? ((got.value?.body as ConfigurationBody | undefined) ?? emptyBody()) : undefined
   }
   async function take(ask: HttpRequest): Promise<HttpResponse | undefined> {
     const who = identify(credentials(), ask.header('authorization'))
@@ -164,18 +164,18 @@
     if (ask.method === 'POST' && parts[0] === 'streams' && parts.length === 2) {
       if (!Name.is(parts[1])) {
         ask.raw.req.resume()
-        return badInput(400, 'a stream needs a name', [{ place: '/streams/', what: 'expected a name' }])
+        return invalidRequest(400, 'a stream needs a name', [{ place: '/streams/', what: 'expected a name' }])
       }
       return await changes(ask, parts[1], who?.team)
     }
     if (ask.method === 'POST' && parts[0] === 'groups' && parts.length === 3 && parts[2] === 'replacement') {
       const to = (ask.body as { to?: unknown } | undefined)?.to
       if (to !== undefined && !Name.is(to))
-        return badInput(400, 'not understood', [{ place: '/to', what: 'expected a name' }])
+        return invalidRequest(400, 'not understood', [{ place: '/to', what: 'expected a name' }])
       const got = await reading.replace(parts[1], to as string | undefined)
       return { status: got.ok ? 202 : 409, body: got }
     }
-    if (ask.method !== 'GET') return badInput(404, `no such path: ${ask.method} ${ask.path}`)
+    if (ask.method !== 'GET') return invalidRequest(404, `no such path: ${ask.method} ${ask.path}`)
     switch (parts[0]) {
       case 'configuration': {
         const now = await body()
@@ -219,7 +219,7 @@
       case 'groups':
         return { status: 200, body: reading.groups() }
     }
-    return badInput(404, `no such path: ${ask.method} ${ask.path}`)
+    return invalidRequest(404, `no such path: ${ask.method} ${ask.path}`)
   }
   function noMajority(): HttpResponse {
     return {
--- a/packages/operator/src/kept.ts
+++ b/packages/operator/src/kept.ts
@@ -7,13 +7,13 @@
   MIN_NAMED_CHANGES,
   MAX_OPERATOR_STREAMS,
 } from '@claynotch/base'
-import type { Body, Change, Config, Decision, Made } from './config.js'
+import type { ConfigurationBody, Change, Config, Decision, Made } from './config.js'
 
 // What the configuration's register remembers of changes: their decisions, what each made, and from where on that is whole.
 
 // --- reading ---
 
-export function findDecision(body: Body, stream: string, number: number): Decision | undefined {
+export function findDecision(body: ConfigurationBody, stream: string, number: number): Decision | undefined {
   for (const s of body.streams) if (s.name === stream) for (const d of s.decisions) if (d.number === number) return d
   for (const h of body.history) if (h.stream === stream && h.number === number) return accepted(h)
   return undefined
@@ -27,7 +27,7 @@
 }
 
 // Every decision there is to read back, by stream and number.
-export function allDecisions(body: Body, stream?: string): Decision[] {
+export function allDecisions(body: ConfigurationBody, stream?: string): Decision[] {
   const byKey = new Map<string, Decision>()
   for (const h of body.history) byKey.set(`${h.stream} ${h.number}`, accepted(h))
   for (const s of body.streams) for (const d of s.decisions) byKey.set(`${d.stream} ${d.number}`, d)
@@ -53,7 +53,7 @@
 
 // Whether the change may have been taken, though nothing kept tells of it: all of its kind from its epoch on must be there
 // to say that it was not.
-export function mayBeForgotten(body: Body, change: Change): boolean {
+export function mayBeForgotten(body: ConfigurationBody, change: Change): boolean {
   const named = change.epoch !== undefined
   let oldest: number | undefined
   let count = 0
@@ -69,7 +69,7 @@
 // --- writing ---
 
 // The body with one more decision, and with it, where it was accepted, a configuration.
-export function keepDecision(body: Body, decision: Decision, config?: Config): Body {
+export function keepDecision(body: ConfigurationBody, decision: Decision, config?: Config): ConfigurationBody {
   const { stream, number, epoch, digest } = decision
   const streams = putDecision(body.streams, decision)
   if (!config) return { ...body, streams }
@@ -78,17 +78,17 @@
   return { ...body, epoch, config, streams, history }
 }
 // The body with an accepted change that named its epoch.
-export function keepNamed(body: Body, decision: Decision, config: Config): Body {
+export function keepNamed(body: ConfigurationBody, decision: Decision, config: Config): ConfigurationBody {
   const { stream, number, epoch, digest } = decision
   const made: Made = { epoch, stream, number, ...withDigest(digest), named: true }
   const history = [...lastOf(body.history, true, MAX_NAMED_CHANGES - 1), made]
   return { ...body, epoch, config, history }
 }
 // The stream that is used now becomes the last one used.
-function putDecision(from: Body['streams'], decision: Decision): Body['streams'] {
+function putDecision(from: ConfigurationBody['streams'], decision: Decision): ConfigurationBody['streams'] {
   let used = 0
-  let mine: Body['streams'][number] | undefined
-  const streams: Body['streams'] = []
+  let mine: ConfigurationBody['streams'][number] | undefined
+  const streams: ConfigurationBody['streams'] = []
   for (const s of from) {
     used = Math.max(used, s.used)
     if (s.name === decision.stream) mine = s
--- a/packages/operator/src/moves.ts
+++ b/packages/operator/src/moves.ts
@@ -1,5 +1,5 @@
 import { Ok, Err, type Finding, type Result } from '@claynotch/base'
-import type { Body, Config, Edit, Move } from './config.js'
+import type { ConfigurationBody, Config, Edit, Move } from './config.js'
 import { keepDecision } from './kept.js'
 
 // Moves of lanes between groups, as a part of the configuration's register. Everything here is pure: the register
@@ -8,13 +8,13 @@
 // The system's own stream: how moves ended. No operator may write to it.
 export const SYSTEM = 'system'
 
-export function moveOf(moves: Move[] | undefined, lane: string): Move | undefined {
+export function findOpenMove(moves: Move[] | undefined, lane: string): Move | undefined {
   for (const m of moves ?? []) if (m.lanes.includes(lane)) return m
   return undefined
 }
 
 // The lanes that an edit means to move, as far as they are there.
-export function meantBy(e: Extract<Edit, { op: 'move' }>, config: Config | null | undefined): Config['lanes'] {
+export function lanesToMove(e: Extract<Edit, { op: 'move' }>, config: Config | null | undefined): Config['lanes'] {
   const out: Config['lanes'] = []
   for (const lane of config?.lanes ?? [])
     if (e.lanes ? e.lanes.includes(lane.name) : lane.group === e.group) out.push(lane)
@@ -23,7 +23,7 @@
 
 // Moves after a change's edits; config is what the change's other edits make of it, epoch the one that it makes.
 export function editMoves(
-  body: Body,
+  body: ConfigurationBody,
   config: Config,
   edits: Edit[],
   staged: boolean,
@@ -34,7 +34,7 @@
   for (const [k, e] of edits.entries()) {
     if (e.op === 'move') {
       const lanes: string[] = []
-      for (const lane of meantBy(e, config)) lanes.push(lane.name)
+      for (const lane of lanesToMove(e, config)) lanes.push(lane.name)
       const bad: Finding[] = []
       if ((e.lanes === undefined) === (e.group === undefined))
         bad.push({ place: `/edits/${k}`, what: 'exactly one of lanes and group is needed' })
@@ -63,7 +63,7 @@
             what: `the lane ${lane.name} is to the same database ${lane.database} and has to go along`,
           })
       for (const name of lanes)
-        if (moveOf(moves, name)) bad.push({ place: `/edits/${k}`, what: `the lane ${name} is being moved already` })
+        if (findOpenMove(moves, name)) bad.push({ place: `/edits/${k}`, what: `the lane ${name} is being moved already` })
       out.push(...bad)
       if (bad.length === 0)
         moves = [
@@ -71,7 +71,7 @@
           { id: epoch, lanes, from: [...froms][0], to: e.to, proof: e.proof ?? 'reported', phase: 'copy' },
         ]
     } else if (e.op === 'confirm' || e.op === 'calloff') {
-      const mine = moveOf(moves, e.lane)
+      const mine = findOpenMove(moves, e.lane)
       if (!mine) out.push({ place: `/edits/${k}/lane`, what: `no move of the lane ${e.lane} is under way` })
       else if (e.op === 'calloff') moves = without(moves, mine)
       else if (mine.proof !== 'confirmed')
@@ -117,23 +117,23 @@
   for (const m of moves) out.push(m.id === next.id ? next : m)
   return out
 }
-function find(body: Body, id: number, phase: Move['phase']): Move | undefined {
+function find(body: ConfigurationBody, id: number, phase: Move['phase']): Move | undefined {
   for (const m of body.moves ?? []) if (m.id === id && m.phase === phase) return m
   return undefined
 }
 
 // One step forward; undefined where the move isn't in that phase any more.
-export function stepMove(
-  body: Body,
+export function advanceMove(
+  body: ConfigurationBody,
   id: number,
   phase: Move['phase'],
   next: Pick<Move, 'phase' | 'mark'>,
-): Body | undefined {
+): ConfigurationBody | undefined {
   const mine = find(body, id, phase)
   return mine ? { ...body, moves: put(body.moves ?? [], { ...mine, ...next }) } : undefined
 }
 // The end, in one value: the lanes' group is the other, and the move is gone. Before this it can be called off.
-export function switchMove(body: Body, id: number): Body | undefined {
+export function completeMove(body: ConfigurationBody, id: number): ConfigurationBody | undefined {
   const mine = find(body, id, 'held')
   if (!mine || !body.config) return undefined
   const lanes: Config['lanes'] = []
@@ -143,7 +143,7 @@
     lanes,
   })
 }
-export function callOff(body: Body, id: number, phase: Move['phase'], why: string): Body | undefined {
+export function callOffMove(body: ConfigurationBody, id: number, phase: Move['phase'], why: string): ConfigurationBody | undefined {
   const mine = find(body, id, phase)
   return mine
     ? ended(
@@ -154,7 +154,7 @@
       )
     : undefined
 }
-function ended(body: Body, mine: Move, decision: 'accepted' | 'refused', why: string, config?: Config): Body {
+function ended(body: ConfigurationBody, mine: Move, decision: 'accepted' | 'refused', why: string, config?: Config): ConfigurationBody {
   const moves = without(body.moves ?? [], mine)
   let number = 1
   for (const s of body.streams) if (s.name === SYSTEM) number += s.decisions[s.decisions.length - 1]?.number ?? 0
--- a/packages/operator/src/tenants.ts
+++ b/packages/operator/src/tenants.ts
@@ -35,7 +35,7 @@
  * A tenant as GET /tenants tells it. slot, holder, term: who counts its operations. out: what all proxies together may run in one
  * window, as far as the holder knows; undefined: it didn't answer.
  */
-export type TenantLine = {
+export type TenantStatus = {
   name: string
   rate: number | undefined
   burst: number | undefined
--- a/packages/operator/src/test/orders.test.ts
+++ b/packages/operator/src/test/orders.test.ts
@@ -1,9 +1,9 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
 import { MAX_NAMED_CHANGES, MIN_NAMED_CHANGES } from '@claynotch/base'
-import type { Config, Change, Decision, Order } from '../config.js'
-import { emptyBody, type Body } from '../config.js'
-import { decide } from '../decide.js'
+import type { Config, Change, Decision, ChangeRequest } from '../config.js'
+import { emptyBody, type ConfigurationBody } from '../config.js'
+import { evaluateChange } from '../decide.js'
 import { digestOf } from '../kept.js'
 import { SYSTEM } from '../moves.js'
 
@@ -24,22 +24,22 @@
 type Taken = { key: string; content: string; epoch: number }
 type Model = { epoch: number; taken: Taken[]; refused: Map<string, string> }
 
-function keyOf(o: Order): string {
+function keyOf(o: ChangeRequest): string {
   return `${o.stream} ${o.change.number}`
 }
-function contentOf(o: Order): string {
+function contentOf(o: ChangeRequest): string {
   return JSON.stringify([o.change.epoch, o.change.whole])
 }
-function isValid(o: Order): boolean {
+function isValid(o: ChangeRequest): boolean {
   return (o.change.whole as Config).lanes[0].group === 'g'
 }
-function madeBy(o: Order): number {
+function madeBy(o: ChangeRequest): number {
   return o.change.epoch ?? o.change.expect + 1
 }
 // What may be told of an order: exactly one word, or, where 'forgotten' is said, 'unclear' as well.
 type Wanted = { word: 'accepted' | 'refused' | 'unclear'; epoch?: number; writes: boolean; forgettable: boolean }
 
-function wantedOf(model: Model, o: Order): Wanted {
+function wantedOf(model: Model, o: ChangeRequest): Wanted {
   const named = o.change.epoch !== undefined
   const old = model.taken.find(isIt)
   function isIt(x: Taken): boolean {
@@ -54,7 +54,7 @@
   if (o.change.expect !== model.epoch || !isValid(o)) return { word: 'refused', writes: !named, forgettable: behind }
   return { word: 'accepted', epoch: madeBy(o), writes: true, forgettable: false }
 }
-function note(model: Model, o: Order, got: Decision): void {
+function note(model: Model, o: ChangeRequest, got: Decision): void {
   if (got.decision === 'accepted') {
     model.taken.push({ key: keyOf(o), content: contentOf(o), epoch: got.epoch })
     model.epoch = got.epoch
@@ -62,9 +62,9 @@
 }
 
 // One order at the real code and at the model; the body afterwards.
-function step(body: Body, model: Model, o: Order, mayForget: boolean, counts: Map<string, number>): Body {
+function step(body: ConfigurationBody, model: Model, o: ChangeRequest, mayForget: boolean, counts: Map<string, number>): ConfigurationBody {
   const wanted = wantedOf(model, o)
-  const got = decide(body, o)
+  const got = evaluateChange(body, o)
   const word = 'unclear' in got ? 'unclear' : 'known' in got ? got.known.decision : got.decision.decision
   const name = `${keyOf(o)} ${JSON.stringify(o.change)} at ${body.epoch}`
   counts.set(word, (counts.get(word) ?? 0) + 1)
@@ -96,7 +96,7 @@
   up: fc.integer({ min: 0, max: 3 }),
   valid: fc.boolean(),
 })
-function newOrder(d: Draw, named: boolean, epoch: number, count: number): Order {
+function newOrder(d: Draw, named: boolean, epoch: number, count: number): ChangeRequest {
   const expect = Math.max(0, d.base <= 0 && d.base > -2 ? epoch : epoch + d.base)
   const whole = configOf(`w${count}`, d.valid || d.back > 10)
   const change: Change = { number: 1, expect, whole, ...(named ? { epoch: expect + d.up } : {}) }
@@ -104,12 +104,12 @@
   change.number = count + 1
   return { stream: `s${d.stream}`, change, digest: digestOf(change) }
 }
-function rivalOf(o: Order, count: number): Order {
+function rivalOf(o: ChangeRequest, count: number): ChangeRequest {
   const change: Change = { ...o.change, whole: configOf(`r${count}`, true) }
   if (o.change.epoch !== undefined) return { stream: `rival${count}`, change }
   return { ...o, change, digest: digestOf(change) }
 }
-function orderOf(d: Draw, named: boolean, epoch: number, sent: Order[]): Order {
+function orderOf(d: Draw, named: boolean, epoch: number, sent: ChangeRequest[]): ChangeRequest {
   const old = sent[sent.length - 1 - d.back]
   if (d.kind === 'again' && old) return old
   if (d.kind === 'rival' && old) return rivalOf(old, sent.length)
@@ -121,7 +121,7 @@
   function plays(named: boolean, draws: Draw[]): void {
     let body = emptyBody()
     const model: Model = { epoch: 0, taken: [], refused: new Map() }
-    const sent: Order[] = []
+    const sent: ChangeRequest[] = []
     for (const d of draws) {
       const o = orderOf(d, named, body.epoch, sent)
       sent.push(o)
@@ -136,7 +136,7 @@
 // --- what was forgotten ---
 
 // The body as an earlier program leaves it behind, which kept NAMED_KEPT_LEAST changes and knew nothing of digests.
-function trimmedByEarlier(body: Body): Body {
+function trimmedByEarlier(body: ConfigurationBody): ConfigurationBody {
   return { ...body, history: body.history.slice(-MIN_NAMED_CHANGES) }
 }
 // Two thousand changes that name their epoch, programs of both kinds taking turns at writing; all of them sent again,
@@ -149,7 +149,7 @@
   ] as const) {
     let body = emptyBody()
     const model: Model = { epoch: 0, taken: [], refused: new Map() }
-    const sent: Order[] = []
+    const sent: ChangeRequest[] = []
     for (let k = 0; k < count; k++) {
       const change: Change = { number: 1, expect: body.epoch, epoch: body.epoch + 2, whole: configOf(`n${k}`, true) }
       const o = { stream: `digest${k}`, change }
@@ -177,8 +177,8 @@
   let body = emptyBody()
   const model: Model = { epoch: 0, taken: [], refused: new Map() }
   const counts = new Map<string, number>()
-  const first: Order = { stream: 'a', change: { number: 1, expect: 0, epoch: 3, whole: configOf('a', true) } }
-  const low: Order = { stream: 'b', change: { number: 1, expect: 0, epoch: 1, whole: configOf('b', true) } }
+  const first: ChangeRequest = { stream: 'a', change: { number: 1, expect: 0, epoch: 3, whole: configOf('a', true) } }
+  const low: ChangeRequest = { stream: 'b', change: { number: 1, expect: 0, epoch: 1, whole: configOf('b', true) } }
   body = step(body, model, first, false, counts)
   step(body, model, low, false, counts)
   c.equal(counts.get('refused'), 1, 'below the first one that was taken')
@@ -186,25 +186,25 @@
 
 // The very same one under a fresh expectation is the same one; no operator writes in the system's stream.
 function numbers(c: Test): void {
-  function own(expect: number, name: string): Order {
+  function own(expect: number, name: string): ChangeRequest {
     const change: Change = { number: 7, expect, whole: configOf(name, true) }
     return { stream: 'desk', change, digest: digestOf(change) }
   }
-  const got = decide(emptyBody(), own(0, 'a'))
+  const got = evaluateChange(emptyBody(), own(0, 'a'))
   if (!('body' in got)) throw new Error('not taken')
   const { body } = got
-  c.match(decide(body, own(0, 'a')), { known: { decision: 'accepted', epoch: 1 } })
-  c.match(decide(body, own(1, 'a')), { known: { decision: 'accepted', epoch: 1 } }, 'with a fresh expectation')
-  c.match(decide(body, own(0, 'b')), { known: { decision: 'refused', why: /another change's, which was accepted/ } })
-  c.match(decide(body, own(1, 'b')), { known: { decision: 'refused' } })
+  c.match(evaluateChange(body, own(0, 'a')), { known: { decision: 'accepted', epoch: 1 } })
+  c.match(evaluateChange(body, own(1, 'a')), { known: { decision: 'accepted', epoch: 1 } }, 'with a fresh expectation')
+  c.match(evaluateChange(body, own(0, 'b')), { known: { decision: 'refused', why: /another change's, which was accepted/ } })
+  c.match(evaluateChange(body, own(1, 'b')), { known: { decision: 'refused' } })
   // A program of before digests wrote it: the number alone tells.
-  const bare: Body = JSON.parse(JSON.stringify(body, dropDigest)) as Body
+  const bare: ConfigurationBody = JSON.parse(JSON.stringify(body, dropDigest)) as ConfigurationBody
   function dropDigest(key: string, value: unknown): unknown {
     return key === 'digest' ? undefined : value
   }
-  c.match(decide(bare, own(1, 'b')), { known: { decision: 'accepted', epoch: 1 } }, 'as that program told it')
+  c.match(evaluateChange(bare, own(1, 'b')), { known: { decision: 'accepted', epoch: 1 } }, 'as that program told it')
   const system = { ...own(1, 'c'), stream: SYSTEM }
-  c.match(decide(body, system), { known: { decision: 'refused', why: /system's own/ } })
+  c.match(evaluateChange(body, system), { known: { decision: 'refused', why: /system's own/ } })
 }
 
 function sync(run: (c: Test) => void): (c: Test) => Promise<void> {
--- a/packages/peer/src/heard-summaries.ts
+++ b/packages/peer/src/heard-summaries.ts
@@ -1,5 +1,5 @@
 import { LRUCache } from 'lru-cache'
-import { MAX_HEARD_SUMMARIES, OBSERVATION_LIFETIME_MS, SUMMARY_LIFETIME_MS, type World } from '@claynotch/base'
+import { MAX_CACHED_SUMMARIES, OBSERVATION_LIFETIME_MS, SUMMARY_LIFETIME_MS, type World } from '@claynotch/base'
 import type { Summary } from './summary.js'
 
 /** The newest summary of each node; bounded, as names come from the network. */
@@ -17,7 +17,7 @@
 }
 
 export function makeHeardSummaries(world: World): HeardSummaries {
-  const newest = new LRUCache<string, { heardAt: number; summary: Summary }>({ max: MAX_HEARD_SUMMARIES })
+  const newest = new LRUCache<string, { heardAt: number; summary: Summary }>({ max: MAX_CACHED_SUMMARIES })
 
   function add(summary: Summary): boolean {
     const known = newest.get(summary.node)
--- a/packages/proxy/src/adapter.ts
+++ b/packages/proxy/src/adapter.ts
@@ -1,5 +1,5 @@
 import {
-  badInput,
+  invalidRequest,
   serveHttp,
   type Address,
   type HttpRequest,
@@ -7,7 +7,7 @@
   type HttpListener,
   type World,
 } from '@claynotch/base'
-import { takeProbe, type Probes } from '@claynotch/host'
+import { answerProbe, type Probes } from '@claynotch/host'
 import { httpInstanceAdapter, type InstanceAdapter } from '@claynotch/instance'
 import { readDeadline, readWord, writeVerdict } from '@claynotch/requester'
 import type { ClientMemory } from './client-memory.js'
@@ -30,11 +30,11 @@
 function httpRequester(world: World, options: ClientListenOptions, sessions: Sessions): Promise<HttpListener> {
   async function handle(ask: HttpRequest): Promise<HttpResponse> {
     const word = readWord(ask)
-    if (word.err) return badInput(word.val.status, word.val.why, word.val.findings)
+    if (word.err) return invalidRequest(word.val.status, word.val.why, word.val.findings)
     const ms = readDeadline(ask)
-    if (ms.err) return badInput(400, 'not understood', ms.val)
+    if (ms.err) return invalidRequest(400, 'not understood', ms.val)
     return writeVerdict(await sessions.run(word.val, ms.val, ask.gone))
   }
   return serveHttp(world, options.addr, handle, { lines: options.connections })
 }
-export const ownAdapters: ProxyAdapters = { instance: httpInstanceAdapter, requester: httpRequester, probes: takeProbe }
+export const httpAdapters: ProxyAdapters = { instance: httpInstanceAdapter, requester: httpRequester, probes: answerProbe }
--- a/packages/proxy/src/client-memory.ts
+++ b/packages/proxy/src/client-memory.ts
@@ -1,7 +1,7 @@
 import {
   ALL_CLIENTS_MEMORY_LIMIT_BYTES,
-  CLIENT_QUESTIONS_LIMIT,
-  CLIENT_QUESTIONS_LIMIT_BYTES,
+  MAX_CLIENT_PENDING_REQUESTS,
+  CLIENT_PENDING_REQUESTS_LIMIT_BYTES,
   CLIENT_UNREAD_ANSWERS_LIMIT_BYTES,
   type Metrics,
 } from '@claynotch/base'
@@ -16,7 +16,7 @@
   /** Whether more is to be read from the connection. A single question may be as long as the wire allows, and is read to its end. */
   mayRead: () => boolean
   /** Whether its next question may be taken up. */
-  mayAnswer: () => boolean
+  mayTakeRequest: () => boolean
   close: () => void
 }
 
@@ -48,7 +48,7 @@
     }
     function mayRead(): boolean {
       if (questions === 0) return true
-      return questions <= CLIENT_QUESTIONS_LIMIT && questionBytes <= CLIENT_QUESTIONS_LIMIT_BYTES
+      return questions <= MAX_CLIENT_PENDING_REQUESTS && questionBytes <= CLIENT_PENDING_REQUESTS_LIMIT_BYTES
     }
     function mayAnswer(): boolean {
       return unreadBytes <= CLIENT_UNREAD_ANSWERS_LIMIT_BYTES
@@ -56,7 +56,7 @@
     function close(): void {
       set(0, 0, 0)
     }
-    return { set, mayRead, mayAnswer, close }
+    return { set, mayRead, mayTakeRequest: mayAnswer, close }
   }
   function totalBytes(): number {
     return total
--- a/packages/proxy/src/key-refusals.ts
+++ b/packages/proxy/src/key-refusals.ts
@@ -1,7 +1,7 @@
 import { LRUCache } from 'lru-cache'
 import {
   KEY_REFUSAL_LOG_INTERVAL_MS,
-  MAX_KEYS_REMEMBERED,
+  MAX_REMEMBERED_KEYS,
   RETRY_AFTER_PROMOTION_S,
   type Metrics,
   type World,
@@ -42,8 +42,8 @@
 type UnreportedRefusals = { count: number; keys: Set<string>; lane: string; removed: RemovedKey | undefined }
 
 export function makeKeyRefusals(world: World, state: State, metrics: Metrics): KeyRefusals {
-  const removed = new LRUCache<string, RemovedKey>({ max: MAX_KEYS_REMEMBERED })
-  const refused = new LRUCache<string, RefusedKey>({ max: MAX_KEYS_REMEMBERED })
+  const removed = new LRUCache<string, RemovedKey>({ max: MAX_REMEMBERED_KEYS })
+  const refused = new LRUCache<string, RefusedKey>({ max: MAX_REMEMBERED_KEYS })
   const unreported = new Map<KeyRefusalReason, UnreportedRefusals>()
   const reportedAt = new Map<KeyRefusalReason, number>()
   let comparedRules: Rules | undefined
@@ -132,7 +132,7 @@
     unreportedRefusals.count++
     unreportedRefusals.lane = lane
     if (keyHash !== undefined) {
-      if (unreportedRefusals.keys.size < MAX_KEYS_REMEMBERED) unreportedRefusals.keys.add(keyHash)
+      if (unreportedRefusals.keys.size < MAX_REMEMBERED_KEYS) unreportedRefusals.keys.add(keyHash)
       unreportedRefusals.removed = removed.get(keyHash)
       if (reason === 'unknown' || reason === 'no-lease') rememberRefusedKey(keyHash)
     }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -1,7 +1,7 @@
 import {
   CLIENT_DESCRIPTORS_SHARE,
   DRAIN_TIMEOUT_MS,
-  DRAIN_TAIL_MS,
+  CLOSE_TIMEOUT_MS,
   makeHello,
   makePersistentLink,
   loop,
@@ -9,7 +9,7 @@
   makeFlag,
   makeMetrics,
   makeSignal,
-  MAX_EDGE_CONNECTIONS,
+  MAX_LISTENER_CONNECTIONS,
   PROXY_REPORT_INTERVAL_MS,
   NOT_READY_NOTICE_MS,
   pause,
@@ -24,7 +24,7 @@
   type HttpResponse,
   type World,
 } from '@claynotch/base'
-import { CONFIG_KEY, lendable } from '@claynotch/operator'
+import { CONFIG_KEY, usableConnectionsPerProxy } from '@claynotch/operator'
 import { AgentFeed, groupOf, type ProxyReport } from '@claynotch/register'
 import { provedStalenessMs } from './freshness.js'
 import { makeClientMemory } from './client-memory.js'
@@ -32,7 +32,7 @@
 import { makePool, type Pool } from './pool.js'
 import { makeQuotaStep } from './quota-step.js'
 import { makeSessions, type Sessions } from './sessions.js'
-import { ownAdapters, type ProxyAdapters } from './adapter.js'
+import { httpAdapters, type ProxyAdapters } from './adapter.js'
 import { makeState, type State } from './state.js'
 import { startWatch, type Watch } from './watch.js'
 
@@ -51,7 +51,7 @@
   pool: Pool
 }
 
-export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = ownAdapters): Promise<Proxy> {
+export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = httpAdapters): Promise<Proxy> {
   const stop = makeFlag()
   const metrics = makeMetrics()
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
@@ -83,7 +83,7 @@
   // here, so an agent never feeds one while another may still work.
   const clientMemory = makeClientMemory(metrics)
   const connections =
-    set.descriptors === undefined ? MAX_EDGE_CONNECTIONS : Math.floor(set.descriptors * CLIENT_DESCRIPTORS_SHARE)
+    set.descriptors === undefined ? MAX_LISTENER_CONNECTIONS : Math.floor(set.descriptors * CLIENT_DESCRIPTORS_SHARE)
   const listen = { addr: set.listen, connections }
   const http = await edges.requester(world, listen, sessions, clientMemory)
   function admin(ask: HttpRequest): HttpResponse {
@@ -106,7 +106,7 @@
       const config = state.config()
       let whole = true
       if (config && config.proxies !== 'live')
-        for (const [name, one] of watch.all()) if (!pool.shrink(name, lendable(config, one.group))) whole = false
+        for (const [name, one] of watch.all()) if (!pool.shrink(name, usableConnectionsPerProxy(config, one.group))) whole = false
       // A lane whose move eases or drains has done so once what was to end has ended.
       for (const lane of state.rules()?.lanes.values() ?? []) {
         if (
@@ -133,7 +133,7 @@
   function badNow(now: number): [string, number][] {
     const out: [string, number][] = []
     for (const [name, one] of watch.all()) {
-      if (one.usage === 0) waits.delete(name)
+      if (one.callsInFlight === 0) waits.delete(name)
       else waits.set(name, Math.max(waits.get(name) ?? now, one.lastOk))
       const from = Math.min(
         one.failing ?? now,
@@ -252,7 +252,7 @@
     draining = true
     sessions.cut('the node stops')
     // No new connections from here on; those that are left are answered to the end.
-    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + DRAIN_TAIL_MS : half - CONNECTION_GRACE_MS)
+    await http.close(set.grace === undefined ? ATTEMPT_TIMEOUT_MS + CLOSE_TIMEOUT_MS : half - CONNECTION_GRACE_MS)
     state.expireLeases()
     note()
     await pause(world, 20)
--- a/packages/proxy/src/quota-step.ts
+++ b/packages/proxy/src/quota-step.ts
@@ -1,6 +1,6 @@
 import {
   CHECK_OUT_TIMEOUT_MS,
-  QUOTA_QUESTION_TIMEOUT_MS,
+  QUOTA_REQUEST_TIMEOUT_MS,
   QUOTA_WAIT_SHARE,
   readAs,
   RETRY_AFTER_PROMOTION_S,
@@ -51,7 +51,7 @@
   stopped: Flag,
 ): QuotaStep {
   async function ask(question: QuotaQuestion): Promise<QuotaGrant[] | undefined> {
-    const answer = readAs(QuotaAnswer, await askAgent(question, QUOTA_QUESTION_TIMEOUT_MS))
+    const answer = readAs(QuotaAnswer, await askAgent(question, QUOTA_REQUEST_TIMEOUT_MS))
     return answer.ok ? answer.val.grants : undefined
   }
   function isActive(): boolean {
--- a/packages/proxy/src/rules.ts
+++ b/packages/proxy/src/rules.ts
@@ -1,7 +1,7 @@
 import { MAX_QUEUED_CALLS } from '@claynotch/base'
 import {
   compilePolicy,
-  moveOf,
+  findOpenMove,
   tenantsByKey,
   type Config,
   type Move,
@@ -92,7 +92,7 @@
   const laneByDatabase = new Map<string, LaneRules>()
   for (const lane of config.lanes) {
     const maxPending = lane.pending ?? MAX_QUEUED_CALLS
-    const phase = moveOf(moves, lane.name)?.phase
+    const phase = findOpenMove(moves, lane.name)?.phase
     const toLeader: Step = { op: 'aim', at: 'leader' }
     const forReads: Step =
       lane.reads === 'leader'
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -1,9 +1,9 @@
 import { makeSignal, type Signal, type World } from '@claynotch/base'
-import { CONFIG_KEY, configFor, type Body, type Config } from '@claynotch/operator'
+import { CONFIG_KEY, configurationForArea, type ConfigurationBody, type Config } from '@claynotch/operator'
 import {
   groupKey,
   groupOf,
-  shareOf,
+  slotIndexOf,
   SHARES_KEY,
   type AgentFeed,
   type GroupRecord,
@@ -114,8 +114,8 @@
         appliedAt: world.now(),
       })
       if (cell.key === CONFIG_KEY) {
-        const body = cell.body as Body
-        const ownConfig = configFor(body, area)
+        const body = cell.body as ConfigurationBody
+        const ownConfig = configurationForArea(body, area)
         // A version that only records a decision leaves the rules as they are.
         const nextRulesKey = `${ownConfig.epoch} ${JSON.stringify(ownConfig.moves)}`
         if (nextRulesKey !== appliedRulesKey)
@@ -177,8 +177,8 @@
     changed.notify()
   }
   function config(): Config | undefined {
-    const body = records.get(CONFIG_KEY)?.body as Body | undefined
-    return body ? (configFor(body, area).config ?? undefined) : undefined
+    const body = records.get(CONFIG_KEY)?.body as ConfigurationBody | undefined
+    return body ? (configurationForArea(body, area).config ?? undefined) : undefined
   }
   function hasValidLease(): boolean {
     const leased = records.get(CONFIG_KEY)
@@ -195,7 +195,7 @@
     const leased = records.get(SHARES_KEY)
     if (!leased || world.now() >= leased.leaseExpiresAt) return false
     const { slots } = leased.body as ConnectionShares
-    const slot = shareOf(slots, node)
+    const slot = slotIndexOf(slots, node)
     return slot >= 0 && slot < size && slots[slot]?.ready === true
   }
   function liveProxies(): number {
--- a/packages/quota/src/allocation.ts
+++ b/packages/quota/src/allocation.ts
@@ -1,10 +1,10 @@
 import {
   QUOTA_EXTRA_SHARE,
-  QUOTA_LEAST_EXTRA,
+  QUOTA_MIN_EXTRA,
   QUOTA_METER_WINDOW_MS,
   QUOTA_REPORT_INTERVAL_MS,
   QUOTA_SPARE_SHARE,
-  QUOTA_THIN_SPARE_SHARE,
+  QUOTA_SCARCE_SPARE_SHARE,
 } from '@claynotch/base'
 
 /**
@@ -54,11 +54,11 @@
     extrasOfOthers += Math.max(0, other.granted - other.need)
     if (isActive(other)) activeCount++
   }
-  const desiredExtra = QUOTA_LEAST_EXTRA + Math.ceil(own.need * QUOTA_EXTRA_SHARE)
+  const desiredExtra = QUOTA_MIN_EXTRA + Math.ceil(own.need * QUOTA_EXTRA_SHARE)
   const surplusPerProxy = Math.floor((surplus * QUOTA_SPARE_SHARE) / activeCount)
   // With less than one operation for each proxy, only a few proxies get one: a proxy that starts to need operations
   // would find none free if the others held them all.
-  const distributable = Math.floor(surplus * (surplusPerProxy >= 1 ? QUOTA_SPARE_SHARE : QUOTA_THIN_SPARE_SHARE))
+  const distributable = Math.floor(surplus * (surplusPerProxy >= 1 ? QUOTA_SPARE_SHARE : QUOTA_SCARCE_SPARE_SHARE))
   return own.need + Math.min(desiredExtra, Math.max(1, surplusPerProxy), Math.max(0, distributable - extrasOfOthers))
 }
 
--- a/packages/quota/src/allowances.ts
+++ b/packages/quota/src/allowances.ts
@@ -2,18 +2,18 @@
   loop,
   makeSignal,
   noop,
-  QUOTA_DENIAL_MS,
-  QUOTA_IDLE_MS,
+  QUOTA_DENIAL_BACKOFF_MS,
+  QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS,
   QUOTA_IDLE_REPORT_INTERVAL_MS,
   QUOTA_LOG_INTERVAL_MS,
   QUOTA_LOW_SHARE,
   QUOTA_METER_WINDOW_MS,
   QUOTA_MIN_LOW_ALLOWANCE,
-  QUOTA_QUESTION_RETRY_MS,
-  QUOTA_QUESTION_SPACING_MS,
-  QUOTA_QUESTION_TIMEOUT_MS,
+  QUOTA_REQUEST_RETRY_DELAY_MS,
+  QUOTA_REQUEST_MIN_INTERVAL_MS,
+  QUOTA_REQUEST_TIMEOUT_MS,
   QUOTA_REPORT_INTERVAL_MS,
-  QUOTA_SOON_MS,
+  QUOTA_REQUEST_DELAY_MS,
   TIMED_OUT,
   withTimeout,
   type Cancel,
@@ -226,7 +226,7 @@
     account.isKnownEmpty = false
     if (account.waiters.size === 0 && hasFreeAllowance(account)) {
       const reservation = makeReservation(account)
-      if (isLow(account)) askWithin(QUOTA_SOON_MS)
+      if (isLow(account)) askWithin(QUOTA_REQUEST_DELAY_MS)
       return reservation
     }
     const isDenied = world.now() < account.deniedUntil
@@ -260,7 +260,7 @@
     )
   }
   function returnIdleAllowance(account: Account): void {
-    if (world.now() - account.lastWantedAt > QUOTA_IDLE_MS) account.allowance = 0
+    if (world.now() - account.lastWantedAt > QUOTA_ALLOWANCE_IDLE_TIMEOUT_MS) account.allowance = 0
   }
   function currentLines(): QuotaLine[] {
     const lines: QuotaLine[] = []
@@ -279,7 +279,7 @@
     account.isKnownEmpty = held === 0 && wanted === 0 && allowance === 0
     metrics.set('claynotch_quota_allowance', [['tenant', tenant]], allowance)
     // Reports soon what the proxy can release, as others may wait for it.
-    if (allowance < held && used < held) askWithin(QUOTA_SOON_MS)
+    if (allowance < held && used < held) askWithin(QUOTA_REQUEST_DELAY_MS)
     account.isShort = allowance < wanted
     serveWaiters(account)
     refuseWaiters(account)
@@ -289,7 +289,7 @@
     for (const waiter of account.waiters) {
       if (waiter.firstQuestion > lastQuestion) continue
       waiter.settle(undefined)
-      account.deniedUntil = world.now() + QUOTA_DENIAL_MS
+      account.deniedUntil = world.now() + QUOTA_DENIAL_BACKOFF_MS
     }
   }
   function applyGrants(grants: QuotaGrant[], lines: QuotaLine[]): void {
@@ -312,17 +312,17 @@
     lastQuestion++
     nextQuestionAt = askedAt + (lines.length > 0 ? QUOTA_REPORT_INTERVAL_MS : QUOTA_IDLE_REPORT_INTERVAL_MS)
     metrics.add('claynotch_quota_questions_total')
-    const grants = await withTimeout(world, QUOTA_QUESTION_TIMEOUT_MS, options.ask(question))
+    const grants = await withTimeout(world, QUOTA_REQUEST_TIMEOUT_MS, options.ask(question))
     if (grants === undefined || grants === TIMED_OUT) {
       metrics.add('claynotch_quota_unanswered_total')
-      askWithin(QUOTA_QUESTION_RETRY_MS)
+      askWithin(QUOTA_REQUEST_RETRY_DELAY_MS)
       return
     }
     // The lease had a gap since the question: the holder may have granted the same operations to other proxies.
     if (!checkLease() || currentLeaseSince !== leaseAtQuestion) return
     applyGrants(grants, lines)
     // Tenants without an answer, whose operations still wait, are asked for again a little later.
-    if (isAnyoneWaiting()) askWithin(QUOTA_QUESTION_RETRY_MS)
+    if (isAnyoneWaiting()) askWithin(QUOTA_REQUEST_RETRY_DELAY_MS)
   }
   function mayAsk(): boolean {
     return checkLease() && (accounts.size > 0 || options.isActive())
@@ -333,7 +333,7 @@
     if (mayAsk()) await askOnce()
     else nextQuestionAt = world.now() + QUOTA_REPORT_INTERVAL_MS
   }
-  void loop(world, 'quota', QUOTA_QUESTION_SPACING_MS, stop, step)
+  void loop(world, 'quota', QUOTA_REQUEST_MIN_INTERVAL_MS, stop, step)
 
   function heldNow(tenant: string): number {
     const account = accounts.get(tenant)
--- a/packages/quota/src/test/window-meter.test.ts
+++ b/packages/quota/src/test/window-meter.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
-import { QUOTA_METER_GRAIN_MS } from '@claynotch/base'
+import { QUOTA_METER_RESOLUTION_MS } from '@claynotch/base'
 import { makeWindowMeter } from '../window-meter.js'
 
 const WINDOW_MS = 1000
@@ -50,7 +50,7 @@
       times.push(time)
       steps++
       const count = meter.count()
-      if (count < within(WINDOW_MS) || count > within(WINDOW_MS + QUOTA_METER_GRAIN_MS)) return false
+      if (count < within(WINDOW_MS) || count > within(WINDOW_MS + QUOTA_METER_RESOLUTION_MS)) return false
     }
     return true
   }
--- a/packages/quota/src/window-meter.ts
+++ b/packages/quota/src/window-meter.ts
@@ -1,4 +1,4 @@
-import { QUOTA_METER_GRAIN_MS } from '@claynotch/base'
+import { QUOTA_METER_RESOLUTION_MS } from '@claynotch/base'
 
 /**
  * Counts events within the last window.
@@ -26,7 +26,7 @@
     const addedAt = now()
     const newest = buckets.at(-1)
     total++
-    if (newest && addedAt - newest.firstAt <= QUOTA_METER_GRAIN_MS) {
+    if (newest && addedAt - newest.firstAt <= QUOTA_METER_RESOLUTION_MS) {
       newest.events++
       newest.lastAt = addedAt
     } else buckets.push({ firstAt: addedAt, lastAt: addedAt, events: 1 })
--- a/packages/register/src/register-store.ts
+++ b/packages/register/src/register-store.ts
@@ -240,7 +240,7 @@
   async function appendRecord(record: FileRecord): Promise<void> {
     async function appendAndTrim(): Promise<void> {
       await file.append(record)
-      await file.trim(liveRecords)
+      await file.compact(liveRecords)
     }
     await guardWrite(appendAndTrim)
   }
