--- a/packages/agent/src/quota-holder.ts
+++ b/packages/agent/src/quota-holder.ts
@@ -252,7 +252,7 @@
     metrics.set('claynotch_quota_holder', [['slot', String(slot)]], heldSlots.has(slot) ? 1 : 0)
   }
   function updateReadiness(slot: number, heldSlot: HeldSlot): void {
-    if (heldSlot.isReady || !heldSlot.takeover.isOver()) return
+    if (heldSlot.isReady || !heldSlot.takeover.isComplete()) return
     heldSlot.isReady = true
     world.log.info('quota-slot-ready', { slot, term: heldSlot.term, ms: Math.round(world.now() - heldSlot.claimedAt) })
   }
@@ -266,7 +266,7 @@
     function isMissing(name: string): boolean {
       return !listed.has(name)
     }
-    heldSlot.takeover.listed(proxyNodes)
+    heldSlot.takeover.nodesListed(proxyNodes)
     const missing = heldSlot.ledger.nodes().filter(isMissing)
     if (missing.length === 0 && !heldSlot.takeover.needsRead(proxyNodes)) return
     const { membersRead, beganAt } = await sharedRead()
@@ -291,7 +291,7 @@
    */
   async function updateReserve(slot: number, heldSlot: HeldSlot): Promise<void> {
     const config = view.config()
-    if (!config || !heldSlot.takeover.isOver() || !mayAnswer(slot, heldSlot) || !isConfigurationCurrent()) return
+    if (!config || !heldSlot.takeover.isComplete() || !mayAnswer(slot, heldSlot) || !isConfigurationCurrent()) return
     const limits = quotaLimits(config, view.tolerance)
     function limitWithoutReserve(tenant: string): number | undefined {
       return withoutReserve(limits(tenant))
@@ -301,7 +301,7 @@
       const limit = limitWithoutReserve(tenant)
       return limit === undefined ? undefined : limit * share
     }
-    heldSlot.needsReserve = heldSlot.ledger.needs(reserveThreshold)
+    heldSlot.needsReserve = heldSlot.ledger.needsMoreThan(reserveThreshold)
     // After a limit was lowered, more than the limit without the reserve may be outstanding until allowances shrink.
     const isReserveInUse = heldSlot.ledger.exceeds(limitWithoutReserve)
     if ((heldSlot.needsReserve || isReserveInUse) && !heldSlot.isReserveLent) {
@@ -372,7 +372,7 @@
     lines: QuotaLine[],
     limits: (tenant: string) => number | undefined,
   ): QuotaGrant[] {
-    const isTakeoverComplete = heldSlot.takeover.isOver()
+    const isTakeoverComplete = heldSlot.takeover.isComplete()
     const includesReserve = !isTakeoverComplete || (heldSlot.isReserveLent && heldSlot.needsReserve)
     function limitOf(tenant: string): number | undefined {
       return includesReserve ? limits(tenant) : withoutReserve(limits(tenant))
@@ -391,10 +391,10 @@
     if (asker !== question.node || !isConfigurationCurrent()) return REFUSED
     for (const [tenant] of question.lines) if (quotaSlotOf(tenant) !== question.slot) return REFUSED
     heldSlot.takeover.heard(question.node, question.life)
-    if (!heldSlot.takeover.isAlone()) return REFUSED
+    if (!heldSlot.takeover.isSoleHolder()) return REFUSED
     const proxy = { ...question, knownSince: heldSlot.takeover.proxyKnownSince(question.node) }
     const grants = recordReport(heldSlot, proxy, question.lines, quotaLimits(config, view.tolerance))
-    heldSlot.takeover.told(question.node)
+    heldSlot.takeover.answered(question.node)
     countGrants(question, grants)
     return { ok: true, grants: changedGrants(question.lines, grants) }
   }
@@ -404,7 +404,7 @@
     if (!heldSlot || term !== heldSlot.term || !mayAnswer(slot, heldSlot)) return REFUSED
     const usesByTenant: QuotaGrant[] = []
     for (const { name } of view.config()?.tenants ?? [])
-      if (quotaSlotOf(name) === slot) usesByTenant.push([name, heldSlot.ledger.liability(name)])
+      if (quotaSlotOf(name) === slot) usesByTenant.push([name, heldSlot.ledger.outstanding(name)])
     return { ok: true, uses: usesByTenant }
   }
   void loop(world, 'quota-holder', LEASE_RENEWAL_INTERVAL_MS, stop, checkSlots, registerChanged)
--- a/packages/agent/src/quota-takeover.ts
+++ b/packages/agent/src/quota-takeover.ts
@@ -36,19 +36,19 @@
  */
 export type Takeover = {
   /** Whether this is the only holder that answers. */
-  isAlone: () => boolean
+  isSoleHolder: () => boolean
   /** Records that a complete read, begun at beganAt, shows that the previous holder has no lease. */
   predecessorAbsent: (beganAt: number) => void
   /** Whether the takeover is complete. */
-  isOver: () => boolean
+  isComplete: () => boolean
   /** Records that this incarnation of the node's proxy asked, whether it is answered or not. */
   heard: (node: string, life: string) => void
   /** Local time (ms) since which no earlier incarnation of the node's proxy can have used anything that isn't known. */
   proxyKnownSince: (node: string) => number
   /** Records that the node's proxy was answered, so what it holds is known. */
-  told: (node: string) => void
+  answered: (node: string) => void
   /** Adds the nodes with a proxy that lease renewals report, which may be out of date. */
-  listed: (nodes: ReadonlySet<string>) => void
+  nodesListed: (nodes: ReadonlySet<string>) => void
   /** Applies a complete read of the nodes with a proxy that began at beganAt. */
   read: (nodes: ReadonlySet<string>, beganAt: number) => void
   /** Whether a complete read would advance the takeover, given the listed nodes. */
@@ -126,13 +126,13 @@
     return false
   }
   return {
-    isAlone: isSoleHolder,
+    isSoleHolder: isSoleHolder,
     predecessorAbsent,
-    isOver: isComplete,
+    isComplete: isComplete,
     heard,
     proxyKnownSince,
-    told: answered,
-    listed: expectNodes,
+    answered: answered,
+    nodesListed: expectNodes,
     read,
     needsRead,
   }
--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -9,7 +9,7 @@
 import type { OwnSummary, Summary } from '@claynotch/peer'
 import { groupKey, type GroupRecord, type ProxyReport } from '@claynotch/register'
 import type { InstanceTable } from './instance-table.js'
-import { spread } from './spread.js'
+import { spreadHash } from './spread.js'
 
 /** Builds the summaries that this node sends to others, and evaluates what theirs report about instances. */
 
@@ -103,7 +103,7 @@
    * their names, so that a holder receives them at the same rate in a fleet of any size. All nodes report failures.
    */
   function reportsSuccessesTo(holder: string): boolean {
-    return spread(view.node, holder) / 2 ** 32 < WITNESS_COUNT / view.proxyCount()
+    return spreadHash(view.node, holder) / 2 ** 32 < WITNESS_COUNT / view.proxyCount()
   }
   /** The ages of the instances that the group records name as leader, previous leader or candidate. */
   function onlyLeaders(ages: InstanceAges): InstanceAges {
--- a/packages/quota/src/allowances.ts
+++ b/packages/quota/src/allowances.ts
@@ -31,7 +31,7 @@
    * Consumes the reservation; must be called synchronously with the send. False: the lease under which it was granted
    * has had a gap, so nothing may be sent.
    */
-  sent: () => boolean
+  markSent: () => boolean
   /** Nothing was sent: returns the operation to the allowance. */
   cancel: () => void
 }
@@ -176,7 +176,7 @@
       closeReservation()
       serveWaiters(account)
     }
-    return { tenant: account.tenant, sent: markSent, cancel }
+    return { tenant: account.tenant, markSent: markSent, cancel }
   }
   /** Counts a refused operation; logs at most once in QUOTA_LOG_INTERVAL_MS. */
   function recordRefusal(account: Account): void {
--- a/packages/quota/src/ledger.ts
+++ b/packages/quota/src/ledger.ts
@@ -34,7 +34,7 @@
     reserveOf?: (tenant: string) => number,
   ) => QuotaGrant[]
   /** Whether the proxies of some tenant together need more than limitOf gives for it. */
-  needs: (limitOf: (tenant: string) => number | undefined) => boolean
+  needsMoreThan: (limitOf: (tenant: string) => number | undefined) => boolean
   /** Whether more operations of some tenant are outstanding than limitOf gives for it. */
   exceeds: (limitOf: (tenant: string) => number | undefined) => boolean
   /**
@@ -46,7 +46,7 @@
   /** Nodes whose proxy may hold something. */
   nodes: () => string[]
   /** The outstanding operations of the tenant: those that may run in one window by all that is known here. */
-  liability: (tenant: string) => number
+  outstanding: (tenant: string) => number
 }
 
 /** One tenant at one proxy, as of its last recorded question. */
@@ -225,5 +225,5 @@
     for (const [tenant, state] of tenantStates) if (totalOutstanding(state) > (limitOf(tenant) ?? Infinity)) return true
     return false
   }
-  return { report, needs: needsMoreThan, exceeds, gone, nodes, liability: outstanding }
+  return { report, needsMoreThan: needsMoreThan, exceeds, gone, nodes, outstanding: outstanding }
 }
--- a/packages/quota/src/test/ledger.test.ts
+++ b/packages/quota/src/test/ledger.test.ts
@@ -41,7 +41,7 @@
     return grants[0]?.[1]
   }
   function liability(): number {
-    return ledger.liability(TENANT)
+    return ledger.outstanding(TENANT)
   }
   return { ledger, time, limit: currentLimit, mayGrow, report, liability }
 }
--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -196,7 +196,11 @@
         'const isNewer = !old || value.turn > old.value.turn;',
         'const isNewer = !old || value.turn !== old.value.turn;',
       ],
-      ['agent/dist/proxy-link.js', '(to.sent.get(key) ?? 0) < value.turn', '(to.sent.get(key) ?? 0) !== value.turn'],
+      [
+        'agent/dist/proxy-link.js',
+        '(target.sent.get(key) ?? 0) < value.turn',
+        '(target.sent.get(key) ?? 0) !== value.turn',
+      ],
     ],
   },
   {
@@ -1019,28 +1023,35 @@
     rule: 'news of an instance is acknowledged once a majority has it',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/instance-reports.js', 'untold.set(name, begun);', '']],
+    edits: [['agent/dist/instance-reports.js', 'unreported.set(name, latestRound);', '']],
   },
   {
     name: 'beat-one-core',
     rule: 'that an instance leaves, as one core told it, is told again by who acknowledges it',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/instance-table.js', 'isUnreported: isOwnLeaving || changed', 'isUnreported: changed']],
+    edits: [['agent/dist/instance-table.js', 'needsReport: isOwnLeaving || changed', 'needsReport: changed']],
   },
   {
     name: 'beat-after-failed-round',
     rule: 'no word is acknowledged while the last round reached no majority',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/instance-reports.js', 'if (!reached) return false;', '']],
+    edits: [
+      [
+        'agent/dist/instance-reports.js',
+        `if (!isLastRoundAccepted)
+                return false;`,
+        '',
+      ],
+    ],
   },
   {
     name: 'beat-same-round',
     rule: 'news is told by a round that began after it',
     test: 'cutoff.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/instance-reports.js', 'if (at < round)', 'if (true)']],
+    edits: [['agent/dist/instance-reports.js', 'if (changedInRound < round)', 'if (true)']],
   },
   {
     name: 'call-without-term',
@@ -1398,14 +1409,14 @@
     rule: 'what fails is told by every node',
     test: 'summary-source.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/summary-source.js', 'bad.length > 0 || isWitness(node)', 'isWitness(node)']],
+    edits: [['agent/dist/summary-source.js', 'bad.length > 0 || reportsSuccessesTo(node)', 'reportsSuccessesTo(node)']],
   },
   {
     name: 'witnesses-all',
     rule: 'what a holder of a duty hears of good answers is bounded',
     test: 'summary-source.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/summary-source.js', 'bad.length > 0 || isWitness(node)', 'true']],
+    edits: [['agent/dist/summary-source.js', 'bad.length > 0 || reportsSuccessesTo(node)', 'true']],
   },
   {
     name: 'config-unheeded',
@@ -1493,7 +1504,7 @@
     rule: 'DRAIN: an acknowledged sign-off is on the disks of a majority',
     test: 'platform/dist/test/sign-off.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/departures.js', 'owed.set(name, before.group);', 'void before;']],
+    edits: [['agent/dist/departures.js', 'pendingSignOffs.set(name, previous.group);', 'void previous;']],
   },
   {
     name: 'client-questions-unbounded',
@@ -1579,7 +1590,7 @@
     rule: 'DRAIN: an acknowledged sign-off outlives every process (review case 3)',
     soak: ['--seconds', '15', '--draw', 'primary-sign-off-then-cores-kill'],
     seeds: [1, 3],
-    edits: [['agent/dist/departures.js', 'owed.set(name, before.group)', 'void before.group']],
+    edits: [['agent/dist/departures.js', 'pendingSignOffs.set(name, previous.group)', 'void previous.group']],
   },
   {
     name: 'soak-end-of-log-waited',
@@ -1717,7 +1728,11 @@
     test: 'quota-allowances.test.js',
     seeds: [1, 1],
     edits: [
-      ['quota/dist/allowances.js', 'return account.sent.count() + account.reserved;', 'return account.sent.count();'],
+      [
+        'quota/dist/allowances.js',
+        'return account.sentMeter.count() + account.reserved;',
+        'return account.sentMeter.count();',
+      ],
     ],
   },
   {
@@ -1726,7 +1741,11 @@
     test: 'packages/quota/dist/test/window-meter.test.js',
     seeds: [1, 1],
     edits: [
-      ['quota/dist/window-meter.js', 'now() - lots[old].lastAt > windowMs', 'now() - lots[old].firstAt > windowMs'],
+      [
+        'quota/dist/window-meter.js',
+        'now() - buckets[expiredCount].lastAt > windowMs',
+        'now() - buckets[expiredCount].firstAt > windowMs',
+      ],
     ],
   },
   {
@@ -1757,14 +1776,21 @@
     rule: 'QUOTA: what was reserved before the lease lapsed is not sent after it',
     test: 'quota-allowances.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/allowances.js', 'isLeaseUnbroken() && leasedSince === restsOn', 'true']],
+    edits: [['quota/dist/allowances.js', 'checkLease() && currentLeaseSince === leaseAtReservation', 'true']],
   },
   {
     name: 'quota-answer-across-lapse',
     rule: 'QUOTA: an answer to a question from before the lease lapsed is dropped',
     test: 'quota-allowances.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/allowances.js', 'if (!isLeaseUnbroken() || leasedSince !== askedUnder) return;', '']],
+    edits: [
+      [
+        'quota/dist/allowances.js',
+        `if (!checkLease() || currentLeaseSince !== leaseAtQuestion)
+            return;`,
+        '',
+      ],
+    ],
   },
   {
     name: 'quota-late-answer',
@@ -1820,8 +1846,9 @@
     edits: [
       [
         'proxy/dist/quota-step.js',
-        'delete call.reservation; return reservation.sent();',
-        'reservation.sent(); return true;',
+        `delete call.reservation;
+        return reservation.markSent();`,
+        'reservation.markSent(); return true;',
       ],
     ],
   },
@@ -1830,14 +1857,14 @@
     rule: 'QUOTA: what a proxy holds is charged until it tells less',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'return Math.max(held, used, answered);', 'return answered;']],
+    edits: [['quota/dist/ledger.js', 'return Math.max(held, used, granted);', 'return granted;']],
   },
   {
     name: 'quota-answered-uncharged',
     rule: 'QUOTA: what a proxy was answered is charged before it tells it',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'return Math.max(held, used, answered);', 'return Math.max(held, used);']],
+    edits: [['quota/dist/ledger.js', 'return Math.max(held, used, granted);', 'return Math.max(held, used);']],
   },
   {
     name: 'quota-late-question',
@@ -1845,10 +1872,10 @@
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
     edits: [
-      ['quota/dist/ledger.js', 'if (known && known.askedAt >= askedAt)', 'if (false)'],
+      ['quota/dist/ledger.js', 'if (previous && previous.askedAt >= askedAt)', 'if (false)'],
       [
         'quota/dist/ledger.js',
-        'if (known && (askedAt < known.askedAt || (askedAt === known.askedAt && life !== known.life)))',
+        'if (proxy && (askedAt < proxy.askedAt || (askedAt === proxy.askedAt && life !== proxy.life)))',
         'if (false)',
       ],
     ],
@@ -1865,35 +1892,35 @@
     rule: 'QUOTA: what a proxy had that ended cools for a window',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'if (known && known.life !== life)', 'if (false)']],
+    edits: [['quota/dist/ledger.js', 'if (proxy && proxy.life !== life)', 'if (false)']],
   },
   {
     name: 'quota-gone-by-old-look',
     rule: 'QUOTA: a node that was answered since it was seen without a lease keeps what it has',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'if (known && known.answeredAt > seenAt)', 'if (false)']],
+    edits: [['quota/dist/ledger.js', 'if (proxy && proxy.answeredAt > seenAt)', 'if (false)']],
   },
   {
     name: 'quota-lease-back-counted-twice',
     rule: 'a tenant is refused below its limit: one meter counted what a proxy ran before its lease lapsed and since',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'if (book.accounts.get(node)?.life === life)', 'if (false)']],
+    edits: [['quota/dist/ledger.js', 'if (state.accounts.get(node)?.life === life)', 'if (false)']],
   },
   {
     name: 'quota-new-holder-grows',
     rule: 'QUOTA: a new holder gives out no more than it was told',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'Math.min(limit, book.ceiling + (mayGrow ? 0 : reserve))', 'limit']],
+    edits: [['quota/dist/ledger.js', 'Math.min(limit, state.ceiling + (mayGrow ? 0 : reserve))', 'limit']],
   },
   {
     name: 'quota-new-holder-early',
     rule: 'QUOTA: a new holder waits one window after the last node told it what it holds',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'mayGrow && now() >= growsFrom', 'mayGrow']],
+    edits: [['quota/dist/ledger.js', 'mayGrow && now() >= growthAllowedAt', 'mayGrow']],
   },
   {
     name: 'quota-left-untold',
@@ -1903,8 +1930,9 @@
     edits: [
       [
         'quota/dist/ledger.js',
-        'proxies.delete(node); cool(node);',
-        'growsFrom = -Infinity; proxies.delete(node); cool(node);',
+        `proxies.delete(node);
+        convertToResidual(node);`,
+        'growthAllowedAt = -Infinity; proxies.delete(node); convertToResidual(node);',
       ],
     ],
   },
@@ -1913,7 +1941,7 @@
     rule: 'QUOTA: the sum of allowances does not grow past the limit',
     test: 'packages/quota/dist/test/ledger.test.js',
     seeds: [1, 1],
-    edits: [['quota/dist/ledger.js', 'return Math.min(share, most);', 'return share;']],
+    edits: [['quota/dist/ledger.js', 'return Math.min(share, maxAllowance);', 'return share;']],
   },
   {
     name: 'quota-without-lease',
@@ -1923,8 +1951,8 @@
     edits: [
       [
         'agent/dist/quota-holder.js',
-        'return world.now() < Math.min(known?.currentUntil ?? 0, view.dutyUntil());',
-        'return world.now() < (known?.currentUntil ?? 0);',
+        'return world.now() < Math.min(register?.currentUntil ?? 0, view.dutyUntil());',
+        'return world.now() < (register?.currentUntil ?? 0);',
       ],
     ],
   },
@@ -1936,7 +1964,7 @@
     edits: [
       [
         'agent/dist/quota-holder.js',
-        'return world.now() < Math.min(known?.currentUntil ?? 0, view.dutyUntil());',
+        'return world.now() < Math.min(register?.currentUntil ?? 0, view.dutyUntil());',
         'return world.now() < view.dutyUntil();',
       ],
     ],
@@ -1946,7 +1974,7 @@
     rule: 'QUOTA: a holder of quotas answers under another term',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-holder.js', '|| question.term !== one.term ||', '||']],
+    edits: [['agent/dist/quota-holder.js', '|| question.term !== heldSlot.term ||', '||']],
   },
   {
     name: 'quota-any-asker',
@@ -1989,7 +2017,7 @@
     edits: [
       [
         'agent/dist/quota-holder.js',
-        'if (!isFree && (isListed(before) || !isGone(before, await membership.read())))',
+        'if (!isFree && (isListed(predecessor) || !hasNoLease(predecessor, await membership.read())))',
         'if (false)',
       ],
     ],
@@ -2002,8 +2030,9 @@
     edits: [
       [
         'agent/dist/quota-holder.js',
-        'if (read?.isComplete !== true) return false;',
-        'if (read === undefined) return false;',
+        `if (membersRead?.isComplete !== true)
+            return false;`,
+        'if (membersRead === undefined) return false;',
       ],
     ],
   },
@@ -2015,8 +2044,9 @@
     edits: [
       [
         'agent/dist/quota-holder.js',
-        'if (read?.isComplete !== true) return false;',
-        'if (read === undefined) return true; if (read.isComplete !== true) return false;',
+        `if (membersRead?.isComplete !== true)
+            return false;`,
+        'if (membersRead === undefined) return true; if (membersRead.isComplete !== true) return false;',
       ],
     ],
   },
@@ -2025,14 +2055,14 @@
     rule: 'QUOTA: of two claims of a slot the second counts too',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-holder.js', 'return isSame(now, before);', 'return true;']],
+    edits: [['agent/dist/quota-holder.js', 'return isSameHolder(current, predecessor);', 'return true;']],
   },
   {
     name: 'quota-kept-without-vote',
     rule: 'QUOTA: a slot stays with a core that nobody asks',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-holder.js', 'if (one && (one.isReleased || !votes()))', 'if (false)']],
+    edits: [['agent/dist/quota-holder.js', 'if (heldSlot && (heldSlot.isReleased || !isVoter()))', 'if (false)']],
   },
   {
     name: 'quota-grows-at-once',
@@ -2042,8 +2072,8 @@
     edits: [
       [
         'agent/dist/quota-holder.js',
-        'one.ledger.report(proxy, lines, limitOf, isOver, reserveOf)',
-        'one.ledger.report(proxy, lines, limitOf, true, reserveOf)',
+        'heldSlot.ledger.report(proxy, lines, limitOf, isTakeoverComplete, reserveOf)',
+        'heldSlot.ledger.report(proxy, lines, limitOf, true, reserveOf)',
       ],
     ],
   },
@@ -2053,7 +2083,7 @@
     test: 'quota-guards.test.js',
     seeds: [1, 1],
     edits: [
-      ['agent/dist/quota-holder.js', "const hasReserve = before?.reserve === 'kept';", 'const hasReserve = true;'],
+      ['agent/dist/quota-holder.js', "const hasReserve = predecessor?.reserve === 'kept';", 'const hasReserve = true;'],
     ],
   },
   {
@@ -2061,21 +2091,21 @@
     rule: 'QUOTA: a holder grants the reserve while the register says that it is kept',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-holder.js', 'one.isReserveLent && one.needsReserve', 'one.needsReserve']],
+    edits: [['agent/dist/quota-holder.js', 'heldSlot.isReserveLent && heldSlot.needsReserve', 'heldSlot.needsReserve']],
   },
   {
     name: 'quota-two-holders',
     rule: 'QUOTA: a new holder answers beside the one before',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-holder.js', 'if (!one.takeover.isAlone())', 'if (false)']],
+    edits: [['agent/dist/quota-holder.js', 'if (!heldSlot.takeover.isSoleHolder())', 'if (false)']],
   },
   {
     name: 'quota-renewal-under-way',
     rule: 'QUOTA: a holder that came back at the claim is overlooked',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-takeover.js', 'if (beganAt >= since + RENEWALS_END_MS)', 'if (true)']],
+    edits: [['agent/dist/quota-takeover.js', 'if (beganAt >= since + RENEWAL_COMPLETION_MS)', 'if (true)']],
   },
   {
     name: 'quota-window-not-awaited',
@@ -2085,8 +2115,8 @@
     edits: [
       [
         'agent/dist/quota-takeover.js',
-        'quietSince === undefined || now() < quietSince + SETTLED_MS',
-        'quietSince === undefined',
+        'noLossSince === undefined || now() < noLossSince + USAGE_EXPIRY_MS',
+        'noLossSince === undefined',
       ],
     ],
   },
@@ -2098,8 +2128,8 @@
     edits: [
       [
         'agent/dist/quota-takeover.js',
-        'return hasTold && now() >= at + SETTLED_MS;',
-        'return now() >= at + SETTLED_MS;',
+        'return hasReported && now() >= knownSince + USAGE_EXPIRY_MS;',
+        'return now() >= knownSince + USAGE_EXPIRY_MS;',
       ],
     ],
   },
@@ -2108,21 +2138,34 @@
     rule: 'QUOTA: what an earlier life of a proxy ran is overlooked',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-takeover.js', 'return hasTold && now() >= at + SETTLED_MS;', 'return hasTold;']],
+    edits: [
+      [
+        'agent/dist/quota-takeover.js',
+        'return hasReported && now() >= knownSince + USAGE_EXPIRY_MS;',
+        'return hasReported;',
+      ],
+    ],
   },
   {
     name: 'quota-gone-untold',
     rule: 'QUOTA: what a front machine ran that went before it told is overlooked',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-takeover.js', 'if (!hasTold) quietSince = now();', '']],
+    edits: [
+      [
+        'agent/dist/quota-takeover.js',
+        `if (!hasReported)
+                noLossSince = now();`,
+        '',
+      ],
+    ],
   },
   {
     name: 'quota-came-meanwhile',
     rule: 'QUOTA: a front machine that came during a takeover is overlooked',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-takeover.js', 'if (isAlone() && beganAt >= aloneFrom())', 'if (true)']],
+    edits: [['agent/dist/quota-takeover.js', 'if (isSoleHolder() && beganAt >= soleHolderFrom())', 'if (true)']],
   },
   {
     name: 'quota-relay-late-answer',
@@ -2136,7 +2179,13 @@
     rule: 'QUOTA: a proxy with nothing to tell is never heard of',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-relay.js', 'due.length === 0 && state.told.knows({ term, life })', 'due.length === 0']],
+    edits: [
+      [
+        'agent/dist/quota-relay.js',
+        'due.length === 0 && state.reportedLines.isInformed({ term, life })',
+        'due.length === 0',
+      ],
+    ],
   },
   {
     name: 'quota-asked-behind',
@@ -2146,7 +2195,7 @@
     edits: [
       [
         'agent/dist/quota-directory.js',
-        'if (holder.err || world.now() >= (known?.currentUntil ?? 0))',
+        'if (holder.err || world.now() >= (register?.currentUntil ?? 0))',
         'if (holder.err)',
       ],
     ],
@@ -2163,14 +2212,14 @@
     rule: 'QUOTA: a holder does not know what changed',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-told.js', 'before && isSameLine(before.line, line) &&', 'before &&']],
+    edits: [['agent/dist/quota-told.js', 'previous && isSameLine(previous.line, line) &&', 'previous &&']],
   },
   {
     name: 'quota-refresh-untold',
     rule: 'QUOTA: a holder can take nothing back of what does not change',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-told.js', '&& now() - before.at < QUOTA_REFRESH_INTERVAL_MS', '']],
+    edits: [['agent/dist/quota-told.js', '&& now() - previous.reportedAt < QUOTA_REFRESH_INTERVAL_MS', '']],
   },
   {
     name: 'quota-grant-not-taken',
@@ -2184,21 +2233,29 @@
     rule: 'QUOTA: a new holder is told only what changed',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-told.js', 'if (!knows(to))\n known.clear();\n const out = [];', 'const out = [];']],
+    edits: [
+      [
+        'agent/dist/quota-told.js',
+        `if (!isInformed(target))
+            reportedByTenant.clear();
+        const due = [];`,
+        'const out = [];',
+      ],
+    ],
   },
   {
     name: 'quota-unanswered-not-told',
     rule: 'QUOTA: what was not answered counts as told',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-told.js', 'known.delete(line[0]);', '']],
+    edits: [['agent/dist/quota-told.js', 'reportedByTenant.delete(line[0]);', '']],
   },
   {
     name: 'quota-slow-awaited',
     rule: 'a slow holder of quotas holds up the tenants of all others',
     test: 'quota-guards.test.js',
     seeds: [1, 1],
-    edits: [['agent/dist/quota-relay.js', '(isSlow ? slow : prompt)', 'prompt']],
+    edits: [['agent/dist/quota-relay.js', '(isSlow ? slowAnswers : promptAnswers)', 'promptAnswers']],
   },
   {
     name: 'quota-slow-flooded',
