--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -15,14 +15,17 @@
 import { type Event, LOOK_SUFFIX, type Mix, runRequester } from './requester.js'
 import { makeSim } from './sim.js'
 import { serviceRate, type ServiceHistory, type TimeSpan } from './service-rate.js'
-import type { Box, CoreBox, CrowdOptions, Decided, Front, SimFleet } from './simfleettypes.js'
+import type { Box, CoreBox, RequesterOptions, Decided, Front, SimFleet } from './simfleettypes.js'
 import { watchFleet } from './simwatch.js'
 import { lawOf, type Shape } from './simshape.js'
 
 export type { Box, CoreBox, Decided, Front, SimFleet } from './simfleettypes.js'
 export { lawOf, smallShape, type Shape } from './simshape.js'
 
-// A whole fleet in the simulator: cores, front machines, instances, the platform and requesters.
+/**
+ * Builds a complete fleet in the simulator: cores, front machines (an agent and a proxy each), instances, the
+ * platform and requesters.
+ */
 export function makeSimFleet(
   seed: number,
   shape: Shape,
@@ -35,52 +38,56 @@
   const boxes: Box[] = []
   const promotions: SimFleet['promotions'] = []
   const decided: SimFleet['decided'] = []
+  /** Breaches found by watching the proxies and group records while the simulation runs. */
   const watched: Breach[] = []
+  /** The rules of each lane by the accepted changes, in order. */
   const laws: Law[] = []
-  const stop = makeFlag()
-  const places: CoreMember[] = []
-  for (let k = 0; k < shape.cores; k++) places.push({ id: `core${k + 1}`, addr: `10.0.1.${k + 1}:7000` })
+  const trafficStopFlag = makeFlag()
+  const coreMembers: CoreMember[] = []
+  for (let k = 0; k < shape.cores; k++) coreMembers.push({ id: `core${k + 1}`, addr: `10.0.1.${k + 1}:7000` })
   const seeds: Address[] = []
   for (let k = 0; k < Math.min(3, shape.cores); k++) seeds.push(`10.0.1.${k + 1}:7001`)
   const platform = sim.machine('platform', '10.0.9.1')
-  const crowd = sim.machine('crowd', '10.0.8.1')
-  const desk = sim.machine('desk', '10.0.7.1')
+  const requesterMachine = sim.machine('crowd', '10.0.8.1')
+  const operatorMachine = sim.machine('desk', '10.0.7.1')
 
-  function startCoreAt(k: number): void {
-    const box = cores[k]
+  /** Starts a core and its HTTP server, which lists the cores; with coreAgents, an agent in the same process. */
+  function startCoreAt(index: number): void {
+    const coreHost = cores[index]
     async function start(world: World): Promise<void> {
-      const core = await startCore(world, { id: box.id, cores: places, data: '/data' })
-      box.core = core
+      const core = await startCore(world, { id: coreHost.id, cores: coreMembers, data: '/data' })
+      coreHost.core = core
       if (shape.coreAgents === true)
         await startAgent(world, {
-          node: box.id,
-          area: shape.areas[k % shape.areas.length],
-          peer: `${box.machine.ip}:7002`,
+          node: coreHost.id,
+          area: shape.areas[index % shape.areas.length],
+          peer: `${coreHost.machine.ip}:7002`,
           seeds,
           coreSet: core.coreSet,
           core: { place: core.place, adopt: core.adopt, serveQuotas: core.serveQuotas },
           build: 'sim',
         })
-      function handle(ask: HttpRequest): HttpResponse {
-        if (ask.path === '/seeds') return { status: 200, body: { cores: places } }
+      function handle(request: HttpRequest): HttpResponse {
+        if (request.path === '/seeds') return { status: 200, body: { cores: coreMembers } }
         return { status: 404, body: {} }
       }
-      await serveHttp(world, box.http, handle)
+      await serveHttp(world, coreHost.http, handle)
     }
-    box.core = undefined
-    box.proc = sim.spawn(box.machine, box.id, start)
+    coreHost.core = undefined
+    coreHost.proc = sim.spawn(coreHost.machine, coreHost.id, start)
   }
-  function startAgentAt(k: number): void {
-    const f = fronts[k]
+  /** Starts the agent of a front machine. */
+  function startAgentAt(index: number): void {
+    const front = fronts[index]
     async function start(world: World): Promise<void> {
-      f.agent = await startAgent(
+      front.agent = await startAgent(
         world,
         {
-          node: f.node,
-          area: shape.areas[k % shape.areas.length],
+          node: front.node,
+          area: shape.areas[index % shape.areas.length],
           link: '127.0.0.1:7100',
-          peer: `${f.machine.ip}:7200`,
-          http: f.http,
+          peer: `${front.machine.ip}:7200`,
+          http: front.http,
           seeds,
           platform: `${platform.ip}:80`,
           ...(shape.operators ? { operators: shape.operators } : {}),
@@ -90,91 +97,94 @@
         opt.agentEdges,
       )
     }
-    f.agent = undefined
-    f.agentProc = sim.spawn(f.machine, `${f.node}-agent`, start)
+    front.agent = undefined
+    front.agentProc = sim.spawn(front.machine, `${front.node}-agent`, start)
   }
-  function startProxyAt(k: number): void {
-    const f = fronts[k]
+  /** Starts the proxy of a front machine. */
+  function startProxyAt(index: number): void {
+    const front = fronts[index]
     async function start(world: World): Promise<void> {
-      f.proxy = await startProxy(
+      front.proxy = await startProxy(
         world,
-        { listen: f.listen, admin: `${f.machine.ip}:7301`, agent: '127.0.0.1:7100' },
+        { listen: front.listen, admin: `${front.machine.ip}:7301`, agent: '127.0.0.1:7100' },
         opt.proxyEdges,
       )
     }
-    f.proxy = undefined
-    f.proxyProc = sim.spawn(f.machine, `${f.node}-proxy`, start)
+    front.proxy = undefined
+    front.proxyProc = sim.spawn(front.machine, `${front.node}-proxy`, start)
   }
+  /** Adds a front machine and starts its agent and proxy; returns its index. */
   function addFront(): number {
-    const k = fronts.length
-    const machine = sim.machine(`front${k + 1}`, `10.0.2.${k + 1}`)
+    const index = fronts.length
+    const machine = sim.machine(`front${index + 1}`, `10.0.2.${index + 1}`)
     fronts.push({
       machine,
       agentProc: undefined as never,
       proxyProc: undefined as never,
       agent: undefined,
       proxy: undefined,
-      node: `front${k + 1}`,
+      node: `front${index + 1}`,
       http: `${machine.ip}:7080`,
       listen: `${machine.ip}:7300`,
     })
-    startAgentAt(k)
-    startProxyAt(k)
-    return k
+    startAgentAt(index)
+    startProxyAt(index)
+    return index
   }
-  function startBoxAt(k: number): void {
-    const b = boxes[k]
+  /** Starts an instance; the first one of its group starts as leader. */
+  function startBoxAt(index: number): void {
+    const host = boxes[index]
     const peers: Address[] = []
-    for (const o of boxes) if (o.group === b.group && o !== b) peers.push(o.addr)
-    const first = boxes.find(isSameGroup) === b
-    function isSameGroup(o: Box): boolean {
-      return o.group === b.group
+    for (const other of boxes) if (other.group === host.group && other !== host) peers.push(other.addr)
+    const startsAsLeader = boxes.find(isSameGroup) === host
+    function isSameGroup(other: Box): boolean {
+      return other.group === host.group
     }
     const agents: Address[] = []
-    for (let n = 0; n < Math.min(3, fronts.length); n++) agents.push(fronts[(k + n) % fronts.length].http)
-    const from = (shape.copies ?? []).find(isTarget)?.[0]
-    function isTarget(c: [string, string]): boolean {
-      return c[1] === b.group
+    for (let n = 0; n < Math.min(3, fronts.length); n++) agents.push(fronts[(index + n) % fronts.length].http)
+    const sourceGroup = (shape.copies ?? []).find(isTarget)?.[0]
+    function isTarget(copy: [string, string]): boolean {
+      return copy[1] === host.group
     }
-    const sources: Address[] = []
-    for (const o of boxes) if (o.group === from) sources.push(o.addr)
+    const sourceAddresses: Address[] = []
+    for (const other of boxes) if (other.group === sourceGroup) sourceAddresses.push(other.addr)
     async function start(world: World): Promise<void> {
-      b.instance = await startInstance(world, {
-        ...(from !== undefined ? { source: { group: from, peers: sources } } : {}),
-        name: b.name,
-        group: b.group,
-        area: shape.areas[k % shape.areas.length],
-        addr: b.addr,
+      host.instance = await startInstance(world, {
+        ...(sourceGroup !== undefined ? { source: { group: sourceGroup, peers: sourceAddresses } } : {}),
+        name: host.name,
+        group: host.group,
+        area: shape.areas[index % shape.areas.length],
+        addr: host.addr,
         peers,
         agents,
-        leader: first,
+        leader: startsAsLeader,
         connections: shape.connections,
         lag: shape.lag,
         data: '/data',
       })
     }
-    b.proc = sim.spawn(b.machine, b.name, start)
+    host.proc = sim.spawn(host.machine, host.name, start)
   }
-  // What a killed instance had recorded is kept for the judge; its memory is gone for itself.
-  function killBox(k: number): void {
-    const b = boxes[k]
-    sim.kill(b.proc)
-    if (b.instance) b.records.push({ ...b.instance.record(), log: [] })
-    b.instance = undefined
+  /** Kills an instance. The judge keeps what it had recorded; the instance itself loses its memory. */
+  function killBox(index: number): void {
+    const host = boxes[index]
+    sim.kill(host.proc)
+    if (host.instance) host.records.push({ ...host.instance.record(), log: [] })
+    host.instance = undefined
   }
 
-  // --- the platform: forwards the single promotion call ---
+  /** The platform's HTTP server: forwards a promotion call to the instance that it names. */
   async function startPlatform(world: World): Promise<void> {
-    async function handle(ask: HttpRequest): Promise<HttpResponse> {
-      const body = ask.body as { group: string; instance: string; epoch: number }
-      const box = boxes.find(isIt)
-      function isIt(b: Box): boolean {
-        return b.name === body.instance
+    async function handle(request: HttpRequest): Promise<HttpResponse> {
+      const body = request.body as { group: string; instance: string; epoch: number }
+      const host = boxes.find(isNamedInstance)
+      function isNamedInstance(candidate: Box): boolean {
+        return candidate.name === body.instance
       }
-      if (!box) return { status: 404, body: {} }
+      if (!host) return { status: 404, body: {} }
       promotions.push({ ...body, at: sim.now() })
-      const got = await requestOnce(world, box.addr, 'POST', '/promotion', body, 2000)
-      return got.ok ? { status: got.val.status, body: got.val.body } : { status: 502, body: {} }
+      const answer = await requestOnce(world, host.addr, 'POST', '/promotion', body, 2000)
+      return answer.ok ? { status: answer.val.status, body: answer.val.body } : { status: 502, body: {} }
     }
     await serveHttp(world, `${platform.ip}:80`, handle)
   }
@@ -195,7 +205,7 @@
     for (let k = 0; k < shape.instances; k++) {
       const ip = `10.0.${10 + g}.${k + 1}`
       const machine = sim.machine(`${group}${k + 1}`, ip)
-      // One clock for all instances, so that the judge can compare their times with those of requesters.
+      // All instances share one clock, so that the judge can compare their times with the requesters' times.
       machine.skew = 0
       boxes.push({
         machine,
@@ -208,81 +218,84 @@
       })
     }
   }
-  crowd.skew = 0
+  requesterMachine.skew = 0
   for (let k = 0; k < boxes.length; k++) startBoxAt(k)
 
+  /** Sends configuration changes, one after the other, to the operator endpoint of one agent. */
   function change(front: number, stream: string, lines: unknown[]): { done: () => boolean; out: () => Decided[] } {
-    let over = false
-    let out: Decided[] = []
+    let isEnded = false
+    let decisions: Decided[] = []
     async function start(world: World): Promise<void> {
       for (const line of lines) {
-        const got = await requestOnce(world, fronts[front].http, 'POST', `/streams/${stream}`, line, 12000)
-        if (got.err) out = [...out, { decision: 'no answer', why: got.val.why }]
-        else if (typeof got.val.body === 'string') out = [...out, JSON.parse(got.val.body) as Decided]
-        else out = [...out, got.val.body as Decided]
+        const answer = await requestOnce(world, fronts[front].http, 'POST', `/streams/${stream}`, line, 12000)
+        if (answer.err) decisions = [...decisions, { decision: 'no answer', why: answer.val.why }]
+        else if (typeof answer.val.body === 'string') decisions = [...decisions, JSON.parse(answer.val.body) as Decided]
+        else decisions = [...decisions, answer.val.body as Decided]
         const { number, expect } = line as { number: number; expect: number }
-        decided.push({ stream, number, expect, told: out[out.length - 1], at: sim.now() })
+        decided.push({ stream, number, expect, told: decisions[decisions.length - 1], at: sim.now() })
       }
-      over = true
+      isEnded = true
     }
-    sim.spawn(desk, `operator ${stream}`, start)
+    sim.spawn(operatorMachine, `operator ${stream}`, start)
     function done(): boolean {
-      return over
+      return isEnded
     }
-    function get(): Decided[] {
-      return out
+    function currentDecisions(): Decided[] {
+      return decisions
     }
-    return { done, out: get }
+    return { done, out: currentDecisions }
   }
+  /** Sends one HTTP request to the agent of a front machine. */
   function ask(
     front: number,
     path: string,
     method = 'GET',
     body?: unknown,
   ): { done: () => boolean; body: () => unknown; status: () => number } {
-    let over = false
-    let got: unknown
+    let isEnded = false
+    let answerBody: unknown
     let status = 0
     async function start(world: World): Promise<void> {
-      const one = await requestOnce(world, fronts[front].http, method, path, body, 12000)
-      if (one.ok) ({ body: got, status } = one.val)
-      over = true
+      const answer = await requestOnce(world, fronts[front].http, method, path, body, 12000)
+      if (answer.ok) ({ body: answerBody, status } = answer.val)
+      isEnded = true
     }
-    sim.spawn(desk, 'reader', start)
+    sim.spawn(operatorMachine, 'reader', start)
     function done(): boolean {
-      return over
+      return isEnded
     }
-    function bodyNow(): unknown {
-      return got
+    function currentBody(): unknown {
+      return answerBody
     }
-    function statusNow(): number {
+    function currentStatus(): number {
       return status
     }
-    return { done, body: bodyNow, status: statusNow }
+    return { done, body: currentBody, status: currentStatus }
   }
+  /** Whether every proxy has a lease, its connection share and a steady record of each group. */
   function allReady(): boolean {
-    for (const f of fronts) {
-      if (!f.proxy?.state.hasValidLease() || !f.proxy.state.hasConnectionShare()) return false
-      for (const g of shape.groups) if (f.proxy.state.group(g)?.record.phase !== 'steady') return false
+    for (const front of fronts) {
+      if (!front.proxy?.state.hasValidLease() || !front.proxy.state.hasConnectionShare()) return false
+      for (const group of shape.groups) if (front.proxy.state.group(group)?.record.phase !== 'steady') return false
     }
     return true
   }
-  // Founds the cores, takes the configuration, and waits until each proxy serves.
+  /** Waits for cores and agents, sends the configuration, and waits until every proxy is ready; false: timed out. */
   async function begin(): Promise<boolean> {
-    function up(): boolean {
-      for (const c of cores) if (!c.core?.serving()) return false
-      for (const f of fronts) if (!f.agent || f.agent.leaseExpiresAt() === 0) return false
+    function isStarted(): boolean {
+      for (const coreHost of cores) if (!coreHost.core?.serving()) return false
+      for (const front of fronts) if (!front.agent || front.agent.leaseExpiresAt() === 0) return false
       return true
     }
-    if (!(await sim.until(up, 20000))) return false
-    const sent = change(0, 'setup', [{ number: 1, expect: 0, whole: shape.config }])
-    if (!(await sim.until(sent.done, 15000)) || sent.out()[0].decision !== 'accepted') return false
+    if (!(await sim.until(isStarted, 20000))) return false
+    const setup = change(0, 'setup', [{ number: 1, expect: 0, whole: shape.config }])
+    if (!(await sim.until(setup.done, 15000)) || setup.out()[0].decision !== 'accepted') return false
     for (const lane of shape.config.lanes) laws.push(lawOf(lane, sim.now()))
     return await sim.until(allReady, 15000)
   }
   watchFleet(sim, shape, fronts, decided, watched)
-  function isOver(): boolean {
-    return stop.fired()
+  function isTrafficStopped(): boolean {
+    return trafficStopFlag.fired()
   }
   function traffic(): void {
     crowdIn(shape.mixes, shape.requesters, shape.think)
@@ -291,20 +304,21 @@
   function serviceRateNow(window: TimeSpan): number {
     return serviceRate(history, window)
   }
-  let people = 0
-  function crowdIn(mixes: Mix[], count: number, think: number, options: CrowdOptions = {}): void {
+  let nextRequesterId = 0
+  /** Starts `count` more requesters. */
+  function crowdIn(mixes: Mix[], count: number, think: number, options: RequesterOptions = {}): void {
     const isMeasured = options.isUnmeasured !== true
     const nodes: Address[] = []
-    for (const f of fronts) nodes.push(f.listen)
-    function note(e: Event): void {
-      events.push(e)
-      if (isMeasured && e.outcome === 'done' && !e.kind.endsWith(LOOK_SUFFIX)) history.doneAt.push(e.end)
+    for (const front of fronts) nodes.push(front.listen)
+    function recordEvent(event: Event): void {
+      events.push(event)
+      if (isMeasured && event.outcome === 'done' && !event.kind.endsWith(LOOK_SUFFIX)) history.doneAt.push(event.end)
     }
-    function rested(span: TimeSpan): void {
+    function recordRest(span: TimeSpan): void {
       if (isMeasured) history.rests.push(span)
     }
     for (let k = 0; k < count; k++) {
-      const id = people++
+      const id = nextRequesterId++
       function start(world: World): Promise<void> {
         return runRequester(
           world,
@@ -315,81 +329,96 @@
             think,
             keys: shape.keys,
             again: shape.again === true,
-            until: isOver,
-            note,
-            rested,
+            until: isTrafficStopped,
+            note: recordEvent,
+            rested: recordRest,
           },
-          stop,
+          trafficStopFlag,
         )
       }
-      sim.spawn(crowd, `requester${id}`, start)
+      sim.spawn(requesterMachine, `requester${id}`, start)
       if (isMeasured) history.requesterStarts.push(sim.now())
     }
   }
-  // Traffic ends; answers that are still out come in; followers catch up.
+  /** Ends the traffic, then leaves 25 s for outstanding answers to arrive and for followers to catch up. */
   async function quiet(): Promise<void> {
-    stop.fire()
+    trafficStopFlag.fire()
     await sim.run(sim.now() + 25000)
   }
+  /** The records of all instances, those of killed ones included. */
   function records(): InstanceRecord[] {
-    const out: InstanceRecord[] = []
-    for (const b of boxes) {
-      out.push(...b.records)
-      if (b.instance) out.push(b.instance.record())
+    const collected: InstanceRecord[] = []
+    for (const host of boxes) {
+      collected.push(...host.records)
+      if (host.instance) collected.push(host.instance.record())
     }
-    return out
+    return collected
   }
+  /** Judges the run so far: the requesters' events, the breaches seen while running, and the operators' decisions. */
   function judgeNow(): Judgement {
-    const got = judge(events, records(), laws, shape.apart === true)
-    got.breaches.push(...watched)
-    // One winner for each expected epoch; an epoch told twice is told by two winners.
+    const judgement = judge(events, records(), laws, shape.apart === true)
+    judgement.breaches.push(...watched)
+    // Exactly one change may win each expected epoch; an epoch that was answered for two changes has two winners.
     const winners = new Map<number, string>()
-    for (const d of decided) {
-      if (d.told.decision !== 'accepted') continue
-      const epoch = d.told.epoch ?? 0
-      const who = `${d.stream}#${d.number}`
-      if (epoch !== d.expect + 1)
-        got.breaches.push({ rule: 'configuration', what: `${who} expected ${d.expect} and was accepted as ${epoch}` })
-      const other = winners.get(epoch)
-      if (other !== undefined && other !== who)
-        got.breaches.push({ rule: 'configuration', what: `${who} and ${other} were both accepted as ${epoch}` })
-      winners.set(epoch, who)
+    for (const decision of decided) {
+      if (decision.told.decision !== 'accepted') continue
+      const epoch = decision.told.epoch ?? 0
+      const changeId = `${decision.stream}#${decision.number}`
+      if (epoch !== decision.expect + 1)
+        judgement.breaches.push({
+          rule: 'configuration',
+          what: `${changeId} expected ${decision.expect} and was accepted as ${epoch}`,
+        })
+      const otherChangeId = winners.get(epoch)
+      if (otherChangeId !== undefined && otherChangeId !== changeId)
+        judgement.breaches.push({
+          rule: 'configuration',
+          what: `${changeId} and ${otherChangeId} were both accepted as ${epoch}`,
+        })
+      winners.set(epoch, changeId)
     }
-    return got
+    return judgement
   }
-  // Day's end: what a majority holds is read back and must have every change that was told accepted, and no other.
+  /**
+   * Reads back the history that a majority holds, at the end of a run: it must have every change that was answered as
+   * accepted, and none that was answered as refused.
+   */
   async function readBack(): Promise<Breach[]> {
-    const out: Breach[] = []
-    let k = 0
-    while (k < fronts.length && (fronts[k].agentProc.state !== 'up' || !fronts[k].agent)) k++
-    if (k === fronts.length) return [{ rule: 'configuration', what: 'no agent is left to read by' }]
-    const got = ask(k, '/history')
-    await sim.until(got.done, 15000)
-    if (got.status() !== 200)
-      return [{ rule: 'configuration', what: `the history could not be read: status ${got.status()}` }]
-    const history = new Map<number, string>()
-    for (const h of got.body() as { epoch: number; stream: string; number: number }[])
-      history.set(h.epoch, `${h.stream}#${h.number}`)
-    for (const d of decided) {
-      const who = `${d.stream}#${d.number}`
-      if (d.told.decision === 'accepted' && history.get(d.told.epoch ?? 0) !== who)
-        out.push({
+    const breaches: Breach[] = []
+    let frontIndex = 0
+    while (frontIndex < fronts.length && (fronts[frontIndex].agentProc.state !== 'up' || !fronts[frontIndex].agent))
+      frontIndex++
+    if (frontIndex === fronts.length)
+      return [{ rule: 'configuration', what: 'no running agent is left to read the history from' }]
+    const answer = ask(frontIndex, '/history')
+    await sim.until(answer.done, 15000)
+    if (answer.status() !== 200)
+      return [{ rule: 'configuration', what: `the history could not be read: status ${answer.status()}` }]
+    const changesByEpoch = new Map<number, string>()
+    for (const entry of answer.body() as { epoch: number; stream: string; number: number }[])
+      changesByEpoch.set(entry.epoch, `${entry.stream}#${entry.number}`)
+    for (const decision of decided) {
+      const changeId = `${decision.stream}#${decision.number}`
+      if (decision.told.decision === 'accepted' && changesByEpoch.get(decision.told.epoch ?? 0) !== changeId)
+        breaches.push({
           rule: 'configuration',
-          what: `${who} was accepted as ${d.told.epoch}, and the history has ${history.get(d.told.epoch ?? 0) ?? 'nothing'} there`,
+          what: `${changeId} was accepted as ${decision.told.epoch}, and the history has ${changesByEpoch.get(decision.told.epoch ?? 0) ?? 'nothing'} there`,
         })
-      if (d.told.decision === 'refused')
-        for (const h of history.values())
-          if (h === who) out.push({ rule: 'configuration', what: `${who} was refused and took effect` })
+      if (decision.told.decision === 'refused')
+        for (const appliedChangeId of changesByEpoch.values())
+          if (appliedChangeId === changeId)
+            breaches.push({ rule: 'configuration', what: `${changeId} was refused and took effect` })
     }
-    return out
+    return breaches
   }
+  /** The group's running leader; with several, the one of the highest epoch. */
   function leaderOf(group: string): Box | undefined {
-    let best: Box | undefined
-    for (const b of boxes) {
-      if (b.group !== group || !b.instance || b.instance.role() !== 'leader') continue
-      if (!best || b.instance.epoch() > (best.instance?.epoch() ?? 0)) best = b
+    let leader: Box | undefined
+    for (const host of boxes) {
+      if (host.group !== group || !host.instance || host.instance.role() !== 'leader') continue
+      if (!leader || host.instance.epoch() > (leader.instance?.epoch() ?? 0)) leader = host
     }
-    return best
+    return leader
   }
   return {
     sim,
--- a/packages/fleet/src/simfleettypes.ts
+++ b/packages/fleet/src/simfleettypes.ts
@@ -9,8 +9,7 @@
 import type { TimeSpan } from './service-rate.js'
 import type { Shape } from './simshape.js'
 
-// What scenarios and tests may have of a simulated fleet.
-
+/** A machine with an agent and a proxy. */
 export type Front = {
   machine: Machine
   agentProc: Proc
@@ -22,8 +21,10 @@
   listen: Address
 }
 
+/** A core's machine and process; core: undefined until it has started. */
 export type CoreBox = { machine: Machine; proc: Proc; core: Core | undefined; id: string; http: Address }
 
+/** An instance's machine and process. */
 export type Box = {
   machine: Machine
   proc: Proc
@@ -31,16 +32,18 @@
   name: string
   group: string
   addr: Address
+  /** What its earlier, killed processes had recorded. */
   records: InstanceRecord[]
 }
 
-export type CrowdOptions = {
-  /** The nodes that they call; all of them unless given. */
+export type RequesterOptions = {
+  /** Addresses of the proxies that the requesters call; by default, all of them. */
   nodes?: Address[]
-  /** Left out of the service rate: they are there for what happens to them. */
+  /** Leaves these requesters out of the service rate, for crowds that only test how they are served themselves. */
   isUnmeasured?: boolean
 }
 
+/** The handles that scenarios and tests have on a simulated fleet. */
 export type SimFleet = {
   sim: Sim
   shape: Shape
@@ -49,40 +52,53 @@
   boxes: Box[]
   events: Event[]
   platform: Machine
-  // Every decision told to an operator, and when.
+  /** Every decision that an operator was given (`told`) and when; stream, number and expect are the change's. */
   decided: { stream: string; number: number; expect: number; told: Decided; at: number }[]
-  // What each lane was by accepted changes, in order.
+  /** The rules of each lane by the accepted changes, in order. */
   laws: Law[]
-  // What watching the proxies all along has found.
+  /** Breaches found by watching the fleet while the simulation runs. */
   watched: Breach[]
+  /** Promotion calls that the platform forwarded, and when. */
   promotions: { group: string; instance: string; epoch: number; at: number }[]
+  /** Starts the process of core k; the next three do the same for agents, proxies and instances. */
   startCoreAt: (k: number) => void
   startAgentAt: (k: number) => void
   startProxyAt: (k: number) => void
   startBoxAt: (k: number) => void
+  /** Kills an instance's process; its record so far is kept for the judge. */
   killBox: (k: number) => void
+  /** Adds a front machine and starts its agent and proxy; returns its index. */
   addFront: () => number
-  // Lines of NDJSON to the operator's edge of one agent; the decisions come back.
+  /** Sends NDJSON lines to the operator endpoint of one agent, one request each; out() has the decisions so far. */
   change: (front: number, stream: string, lines: unknown[]) => { done: () => boolean; out: () => Decided[] }
+  /** Sends one HTTP request to the agent of a front machine; status() is 0 without an answer. */
   ask: (
     front: number,
     path: string,
     method?: string,
     body?: unknown,
   ) => { done: () => boolean; body: () => unknown; status: () => number }
+  /** Waits for cores and agents, sends the configuration, and waits until every proxy is ready; false: timed out. */
   begin: () => Promise<boolean>
+  /** Starts the requesters that the shape names. */
   traffic: () => void
-  // More requesters, on mixes of their own.
-  crowdIn: (mixes: Mix[], count: number, think: number, options?: CrowdOptions) => void
-  /** Service that the requesters got, but for those of an unmeasured crowd. */
+  /** Starts more requesters, with their own mixes of operations. */
+  crowdIn: (mixes: Mix[], count: number, think: number, options?: RequesterOptions) => void
+  /** Service rate of the measured requesters in a time span. */
   serviceRate: (window: TimeSpan) => number
+  /** Ends the traffic, then leaves 25 s for outstanding answers to arrive and for followers to catch up. */
   quiet: () => Promise<void>
+  /** Judges the run so far. */
   judge: () => Judgement
+  /** Reads the change history from a running agent and compares it with the decisions that operators were given. */
   readBack: () => Promise<Breach[]>
+  /** The group's running leader; with several, the one of the highest epoch. */
   leaderOf: (group: string) => Box | undefined
+  /** The records of all instances, those of killed ones included. */
   records: () => InstanceRecord[]
 }
 
+/** The answer to an operator's configuration change. */
 export type Decided = {
   number?: number
   decision: string
