--- a/packages/fleet/src/sim.ts
+++ b/packages/fleet/src/sim.ts
@@ -6,10 +6,12 @@
 import type { Machine, Proc } from './simparts.js'
 import { makeWorlds } from './simworld.js'
 
-// The simulator: many processes in one, on virtual time. Each gets a World of its own; the same tasks run
-// in it as in a real process, node:http and its parser included, over streams that the simulator carries.
-// Invariants: nothing happens but by an event of the queue; events of one time run in the order made;
-// between two events every microtask has run, so a seed gives the same run each time.
+/**
+ * The simulator: runs many processes in one Node.js process, on virtual time. Each has its own World and runs the same
+ * code as a real process, node:http and its parser included, over simulated streams.
+ * Invariants: everything that happens is an event of the queue; events of the same time run in the order in which they
+ * were scheduled; all microtasks have run before the next event, so that a seed gives the same run each time.
+ */
 
 export { makeRandom } from './random.js'
 export type { Machine, Proc } from './simparts.js'
@@ -18,46 +20,53 @@
   now: () => number
   random: () => number
   machine: (name: string, ip: string) => Machine
-  // Starts a process: its tasks run in the World handed to start.
+  /** Starts a process: `start` gets its World. */
   spawn: (machine: Machine, name: string, start: (world: World) => Promise<unknown>) => Proc
+  /** Ends the process: its streams are reset, and each write that hasn't been synced may be kept, torn or lost. */
   kill: (proc: Proc) => void
+  /** Holds back the process's events until thaw. */
   freeze: (proc: Proc) => void
   thaw: (proc: Proc) => void
-  // No bytes from one machine to the other; one way only, unless told both.
+  /** Blocks the path from one machine to the other; both ways unless `both` is false. */
   cut: (from: Machine, to: Machine, both?: boolean) => void
+  /** Removes the cuts between two machines, both ways; without arguments, all cuts. */
   heal: (from?: Machine, to?: Machine) => void
-  // Share of datagrams lost and of stream chunks delayed by a resend.
+  /** Sets the share of datagrams that are lost and of stream chunks that are delayed by a retransmission. */
   loss: (share: number) => void
-  // Every open stream that touches the process is reset.
+  /** Resets every open stream of the process. */
   reset: (proc: Proc) => void
-  // Runs it so many ms from now.
+  /** Schedules a callback in `ms` ms. */
   at: (ms: number, run: () => void) => void
+  /** Runs events until the virtual time `until`. */
   run: (until: number) => Promise<void>
-  until: (what: () => boolean, limit: number) => Promise<boolean>
+  /** Runs events until the condition is true; false: it wasn't within limitMs. */
+  until: (condition: () => boolean, limitMs: number) => Promise<boolean>
+  /** Log lines of the processes: all with keepLines, otherwise only those of faults. */
   lines: string[]
+  /** Events taken from the queue so far. */
   events: () => number
-  // Bytes that each machine sent each other one so far, by the names of both.
+  /** Bytes sent so far, by the name of the sending machine, then by that of the receiving one. */
   carried: () => Map<string, Map<string, number>>
 }
 
-// ms. One way between two machines, at the mean, unless told otherwise.
-const LATENCY = 0.3
+/** Mean one-way latency between two machines, unless an option sets another. */
+const MEAN_LATENCY_MS = 0.3
 
 export function makeSim(seed: number, opt: { keepLines?: boolean; latency?: number } = {}): Sim {
   const random = makeRandom(seed)
   const clock = makeClock()
-  const network = makeNetwork(clock, random, opt.latency ?? LATENCY)
+  const network = makeNetwork(clock, random, opt.latency ?? MEAN_LATENCY_MS)
   const driver = makeDriver(clock)
   const machines = new Map<string, Machine>()
   const lines: string[] = []
-  const worlds = makeWorlds(clock, network, random, machines, sink)
+  const worlds = makeWorlds(clock, network, random, machines, recordLogLine)
 
-  function sink(proc: Proc, line: string): void {
+  function recordLogLine(proc: Proc, line: string): void {
     if (opt.keepLines || line.includes('-fault'))
       lines.push(`t=${(clock.now() / 1000).toFixed(3)} proc=${proc.name} ${line}`)
   }
   function machine(name: string, ip: string): Machine {
-    const m: Machine = {
+    const created: Machine = {
       name,
       ip,
       skew: Math.floor(random() * 1e6),
@@ -67,49 +76,52 @@
       slow: 1,
       stalled: false,
     }
-    machines.set(ip, m)
-    return m
+    machines.set(ip, created)
+    return created
   }
-  function spawn(on: Machine, name: string, start: (world: World) => Promise<unknown>): Proc {
+  function spawn(host: Machine, name: string, start: (world: World) => Promise<unknown>): Proc {
     const proc: Proc = {
       name,
-      machine: on,
+      machine: host,
       state: 'up',
       held: [],
       ends: new Set(),
       open: new Set(),
       inFlight: new Set(),
     }
-    function failed(e: unknown): void {
+    function recordStartFault(e: unknown): void {
       lines.push(
         `t=${(clock.now() / 1000).toFixed(3)} proc=${name} event=start-fault why=${String((e as Error).message)}`,
       )
     }
-    function go(): void {
-      start(worlds.make(proc)).catch(failed)
+    function runStart(): void {
+      start(worlds.make(proc)).catch(recordStartFault)
     }
-    clock.plan(0, proc, go)
+    clock.plan(0, proc, runStart)
     return proc
   }
   function kill(proc: Proc): void {
     if (proc.state === 'dead') return
     proc.state = 'dead'
     proc.held = []
-    worlds.forget(proc)
-    // Its kernel resets what it had open; one that is off the network can't tell anyone.
+    worlds.closeListeners(proc)
+    // The kernel resets the open streams; the peers learn of it only once the network carries the reset.
     for (const end of proc.ends) {
-      end.shut = true
-      if (end.peerEnd) network.breakLater(end, end.peerEnd)
+      end.isClosed = true
+      if (end.peerEnd) network.resetPeerLater(end, end.peerEnd)
     }
     proc.ends.clear()
-    // A write not yet synced may be there, may be torn, may be missing.
-    for (const w of proc.inFlight) {
-      const r = random()
-      if (w.whole) {
-        if (r < 0.5) w.machine.files.set(w.path, Buffer.from(w.bytes))
+    // A write that hasn't been synced may be complete, torn or missing.
+    for (const write of proc.inFlight) {
+      const draw = random()
+      if (write.whole) {
+        if (draw < 0.5) write.machine.files.set(write.path, Buffer.from(write.bytes))
       } else {
-        const part = Buffer.from(w.bytes).subarray(0, Math.floor(r * 1.3 * w.bytes.length))
-        w.machine.files.set(w.path, Buffer.concat([w.machine.files.get(w.path) ?? Buffer.alloc(0), part]))
+        const writtenPart = Buffer.from(write.bytes).subarray(0, Math.floor(draw * 1.3 * write.bytes.length))
+        write.machine.files.set(
+          write.path,
+          Buffer.concat([write.machine.files.get(write.path) ?? Buffer.alloc(0), writtenPart]),
+        )
       }
     }
     proc.inFlight.clear()
@@ -122,7 +134,7 @@
     proc.state = 'up'
     const held = proc.held
     proc.held = []
-    for (const h of held) clock.plan(0, proc, h.run)
+    for (const event of held) clock.plan(0, proc, event.run)
   }
   function at(ms: number, run: () => void): void {
     clock.plan(ms, undefined, run)
@@ -143,7 +155,7 @@
     run: driver.run,
     until: driver.until,
     lines,
-    events: driver.events,
-    carried: network.carried,
+    events: driver.eventCount,
+    carried: network.bytesSent,
   }
 }
--- a/packages/fleet/src/simclock.ts
+++ b/packages/fleet/src/simclock.ts
@@ -1,74 +1,80 @@
-import type { Happening, Proc } from './simparts.js'
+import type { ScheduledEvent, Proc } from './simparts.js'
 
-// Virtual time: a queue of happenings by time, those of one time in the order made.
+/** Virtual time and its event queue: ordered by time, events of the same time in the order of scheduling. */
 export type Clock = {
   now: () => number
-  // Virtual time never goes back.
+  /** Moves virtual time forward; it never goes back. */
   advance: (to: number) => void
+  /** Schedules an event in `ms` ms; proc: the process that it belongs to, undefined for none. */
   plan: (ms: number, proc: Proc | undefined, run: () => void) => void
-  // The next happening, taken from the queue.
-  pop: () => Happening | undefined
-  // When the next one is due; undefined: there is none.
+  /** Removes the next event from the queue and returns it. */
+  pop: () => ScheduledEvent | undefined
+  /** Time of the next event; undefined: the queue is empty. */
   due: () => number | undefined
 }
 
-type Queue = { push: (h: Happening) => void; pop: () => Happening | undefined; first: () => Happening | undefined }
+type Queue = {
+  push: (event: ScheduledEvent) => void
+  pop: () => ScheduledEvent | undefined
+  first: () => ScheduledEvent | undefined
+}
 
-function before(a: Happening, b: Happening): boolean {
-  return a.at !== b.at ? a.at < b.at : a.num < b.num
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
+  return a.at !== b.at ? a.at < b.at : a.sequence < b.sequence
 }
-// A binary heap.
+/** An event queue as a binary heap. */
 function makeQueue(): Queue {
-  const heap: Happening[] = []
-  function push(h: Happening): void {
-    heap.push(h)
+  const heap: ScheduledEvent[] = []
+  function push(event: ScheduledEvent): void {
+    heap.push(event)
     let k = heap.length - 1
     while (k > 0) {
-      const up = (k - 1) >> 1
-      if (!before(heap[k], heap[up])) break
-      ;[heap[k], heap[up]] = [heap[up], heap[k]]
-      k = up
+      const parent = (k - 1) >> 1
+      if (!isBefore(heap[k], heap[parent])) break
+      ;[heap[k], heap[parent]] = [heap[parent], heap[k]]
+      k = parent
     }
   }
-  function pop(): Happening | undefined {
+  function pop(): ScheduledEvent | undefined {
     const top = heap[0]
     const last = heap.pop()
     if (heap.length === 0 || !last) return top
     heap[0] = last
     let k = 0
     for (;;) {
-      let least = k
-      for (const c of [2 * k + 1, 2 * k + 2]) if (c < heap.length && before(heap[c], heap[least])) least = c
-      if (least === k) return top
-      ;[heap[k], heap[least]] = [heap[least], heap[k]]
-      k = least
+      let earliest = k
+      for (const child of [2 * k + 1, 2 * k + 2])
+        if (child < heap.length && isBefore(heap[child], heap[earliest])) earliest = child
+      if (earliest === k) return top
+      ;[heap[k], heap[earliest]] = [heap[earliest], heap[k]]
+      k = earliest
     }
   }
-  function first(): Happening | undefined {
+  function first(): ScheduledEvent | undefined {
     return heap[0]
   }
   return { push, pop, first }
 }
 
-// ms. Virtual time at the start.
-const FIRST_MOMENT = 1000
+/** Virtual time at the start of a run. */
+const START_TIME_MS = 1000
 
 export function makeClock(): Clock {
   const queue = makeQueue()
-  let now = FIRST_MOMENT
-  let made = 0
+  let now = START_TIME_MS
+  let scheduledCount = 0
 
-  function nowTime(): number {
+  function currentTime(): number {
     return now
   }
   function advance(to: number): void {
     now = Math.max(now, to)
   }
-  function plan(ms: number, proc: Proc | undefined, run: () => void): void {
-    queue.push({ at: now + Math.max(0, ms), num: ++made, proc, run })
+  function scheduleEvent(ms: number, proc: Proc | undefined, run: () => void): void {
+    queue.push({ at: now + Math.max(0, ms), sequence: ++scheduledCount, proc, run })
   }
-  function due(): number | undefined {
+  function peekTime(): number | undefined {
     return queue.first()?.at
   }
-  return { now: nowTime, advance, plan, pop: queue.pop, due }
+  return { now: currentTime, advance, plan: scheduleEvent, pop: queue.pop, due: peekTime }
 }
--- a/packages/fleet/src/simdisk.ts
+++ b/packages/fleet/src/simdisk.ts
@@ -1,56 +1,57 @@
 import { noop, type Disk } from '@claynotch/base'
 import type { Clock } from './simclock.js'
-import type { Proc, Writing } from './simparts.js'
+import type { Proc, PendingWrite } from './simparts.js'
 
-/** ms. Interval at which a stalled disk is looked at. */
-const STALL_LOOK = 20
+/** Interval at which an operation on a stalled disk checks whether the stall is over. */
+const STALL_POLL_MS = 20
 
-// The disk of a simulated machine, as one of its processes sees it: writes take time, and fail where it is full.
+/** A simulated machine's disk, as one of its processes sees it: operations take time; writes fail on a full disk. */
 export function makeDisk(clock: Clock, random: () => number, proc: Proc): Disk {
   const { machine } = proc
-  function spend(run: () => void, writing?: Writing): Promise<void> {
-    if (writing) proc.inFlight.add(writing)
-    function start(ok: () => void): void {
-      function end(): void {
+  /** Runs an operation after the disk's delay and any stall; a process killed before that may lose or tear `write`. */
+  function afterDiskDelay(run: () => void, write?: PendingWrite): Promise<void> {
+    if (write) proc.inFlight.add(write)
+    function start(resolve: () => void): void {
+      function complete(): void {
         if (machine.stalled) {
-          clock.plan(STALL_LOOK, proc, end)
+          clock.plan(STALL_POLL_MS, proc, complete)
           return
         }
-        if (writing) proc.inFlight.delete(writing)
+        if (write) proc.inFlight.delete(write)
         run()
-        ok()
+        resolve()
       }
-      clock.plan((0.5 + random()) * machine.slow, proc, end)
+      clock.plan((0.5 + random()) * machine.slow, proc, complete)
     }
     return new Promise(start)
   }
   async function read(path: string): Promise<Uint8Array | undefined> {
-    await spend(noop)
-    const got = machine.files.get(path)
-    return got ? Buffer.from(got) : undefined
+    await afterDiskDelay(noop)
+    const content = machine.files.get(path)
+    return content ? Buffer.from(content) : undefined
   }
-  function mustHaveRoom(): void {
+  function assertNotFull(): void {
     if (machine.full) throw Object.assign(new Error('ENOSPC: no space left on device'), { code: 'ENOSPC' })
   }
   async function append(path: string, bytes: Uint8Array): Promise<void> {
-    mustHaveRoom()
-    function put(): void {
+    assertNotFull()
+    function applyAppend(): void {
       machine.files.set(path, Buffer.concat([machine.files.get(path) ?? Buffer.alloc(0), bytes]))
     }
-    await spend(put, { machine, path, bytes, whole: false })
+    await afterDiskDelay(applyAppend, { machine, path, bytes, whole: false })
   }
   async function replace(path: string, bytes: Uint8Array): Promise<void> {
-    mustHaveRoom()
-    function put(): void {
+    assertNotFull()
+    function applyReplace(): void {
       machine.files.set(path, Buffer.from(bytes))
     }
-    await spend(put, { machine, path, bytes, whole: true })
+    await afterDiskDelay(applyReplace, { machine, path, bytes, whole: true })
   }
-  function cutFile(path: string, size: number): Promise<void> {
-    function put(): void {
+  function truncate(path: string, size: number): Promise<void> {
+    function applyTruncate(): void {
       machine.files.set(path, (machine.files.get(path) ?? Buffer.alloc(0)).subarray(0, size))
     }
-    return spend(put)
+    return afterDiskDelay(applyTruncate)
   }
-  return { read, append, replace, cut: cutFile }
+  return { read, append, replace, cut: truncate }
 }
--- a/packages/fleet/src/simdriver.ts
+++ b/packages/fleet/src/simdriver.ts
@@ -1,81 +1,89 @@
 import type { Clock } from './simclock.js'
 
-// Drives the simulation: one happening after another, each with all the microtasks that it sets off.
+/** Runs the simulation: one event after the other, each with all the microtasks that it causes. */
 export type Driver = {
+  /** Runs events until the virtual time `until`. */
   run: (until: number) => Promise<void>
-  until: (what: () => boolean, limit: number) => Promise<boolean>
-  events: () => number
+  /** Runs events until the condition is true; false: it wasn't within limitMs. */
+  until: (condition: () => boolean, limitMs: number) => Promise<boolean>
+  /** Events taken from the queue so far. */
+  eventCount: () => number
 }
 
-function settle(): Promise<void> {
-  function start(ok: () => void): void {
-    setImmediate(ok)
+/** Resolves after all pending microtasks have run. */
+function drainMicrotasks(): Promise<void> {
+  function start(resolve: () => void): void {
+    setImmediate(resolve)
   }
   return new Promise(start)
 }
 export function makeDriver(clock: Clock): Driver {
-  let done = 0
+  let eventCount = 0
 
+  /** Runs the next event: an event of a dead process is dropped, one of a frozen process is held back. */
   async function step(): Promise<boolean> {
-    const h = clock.pop()
-    if (!h) return false
-    clock.advance(h.at)
-    done++
-    if (h.proc?.state === 'dead') return true
-    if (h.proc?.state === 'frozen') {
-      h.proc.held.push(h)
+    const event = clock.pop()
+    if (!event) return false
+    clock.advance(event.at)
+    eventCount++
+    if (event.proc?.state === 'dead') return true
+    if (event.proc?.state === 'frozen') {
+      event.proc.held.push(event)
       return true
     }
-    h.run()
-    await settle()
+    event.run()
+    await drainMicrotasks()
     return true
   }
-  // Several tasks of a scenario may wait at once; one driver takes the steps for all of them.
-  // Invariant: driving is true while the driver's loop runs, and only it takes steps.
-  const waits = new Set<{ over: () => boolean | undefined; end: (v: boolean) => void }>()
-  let driving = false
+  /**
+   * Tasks of a scenario that wait at the same time; one loop takes the steps for all of them. result: undefined while
+   * the task has to wait.
+   */
+  const waiters = new Set<{ result: () => boolean | undefined; resolve: (v: boolean) => void }>()
+  /** Invariant: true while the loop of drive() runs; only that loop takes steps. */
+  let isDriving = false
   async function drive(): Promise<void> {
-    driving = true
-    while (waits.size > 0) {
-      let ended = false
-      for (const w of [...waits]) {
-        const got = w.over()
-        if (got === undefined) continue
-        waits.delete(w)
-        w.end(got)
-        ended = true
+    isDriving = true
+    while (waiters.size > 0) {
+      let hasResolved = false
+      for (const waiter of [...waiters]) {
+        const result = waiter.result()
+        if (result === undefined) continue
+        waiters.delete(waiter)
+        waiter.resolve(result)
+        hasResolved = true
       }
-      // What waited goes on, and may wait anew, before anything else happens.
-      if (ended) await settle()
+      // Resolved tasks continue, and may wait again, before the next event runs.
+      if (hasResolved) await drainMicrotasks()
       else await step()
     }
-    driving = false
+    isDriving = false
   }
-  function waitFor(over: () => boolean | undefined): Promise<boolean> {
-    function start(end: (v: boolean) => void): void {
-      waits.add({ over, end })
-      if (!driving) void drive()
+  function waitFor(result: () => boolean | undefined): Promise<boolean> {
+    function start(resolve: (v: boolean) => void): void {
+      waiters.add({ result, resolve })
+      if (!isDriving) void drive()
     }
     return new Promise(start)
   }
   async function run(until: number): Promise<void> {
-    function over(): boolean | undefined {
+    function result(): boolean | undefined {
       if ((clock.due() ?? Infinity) <= until) return undefined
       clock.advance(until)
       return true
     }
-    await waitFor(over)
+    await waitFor(result)
   }
-  function untilTrue(what: () => boolean, limit: number): Promise<boolean> {
-    const end = clock.now() + limit
-    function over(): boolean | undefined {
-      if (what()) return true
-      return (clock.due() ?? Infinity) > end ? false : undefined
+  function runUntilTrue(condition: () => boolean, limitMs: number): Promise<boolean> {
+    const deadline = clock.now() + limitMs
+    function result(): boolean | undefined {
+      if (condition()) return true
+      return (clock.due() ?? Infinity) > deadline ? false : undefined
     }
-    return waitFor(over)
+    return waitFor(result)
   }
-  function events(): number {
-    return done
+  function currentEventCount(): number {
+    return eventCount
   }
-  return { run, until: untilTrue, events }
+  return { run, until: runUntilTrue, eventCount: currentEventCount }
 }
--- a/packages/fleet/src/simnetwork.ts
+++ b/packages/fleet/src/simnetwork.ts
@@ -1,40 +1,45 @@
 import { Duplex } from 'node:stream'
 import { noop } from '@claynotch/base'
 import type { Clock } from './simclock.js'
-import type { End, Machine, Proc } from './simparts.js'
+import type { StreamEnd, Machine, Proc } from './simparts.js'
 
-// The simulated network: delays, cuts, loss, and the streams between processes.
+/** The simulated network: delays, cuts, loss, and the streams between processes. */
 export type Network = {
-  // ms that something takes on its way.
+  /** Draws a one-way delay, in ms. */
   delay: () => number
   isCut: (from: Machine, to: Machine) => boolean
-  // Share of datagrams lost and of stream chunks delayed by a resend.
+  /** Share of datagrams that are lost and of stream chunks that are delayed by a retransmission. */
   lossShare: () => number
+  /** Sets that share. */
   loss: (share: number) => void
+  /** Blocks the path from one machine to the other; both ways unless `both` is false. */
   cut: (from: Machine, to: Machine, both?: boolean) => void
+  /** Removes the cuts between two machines, both ways; without arguments, all cuts. */
   heal: (from?: Machine, to?: Machine) => void
-  makeEnd: (proc: Proc) => End
-  // The other end is reset once the news has come there.
-  breakLater: (from: End, to: End) => void
-  // Every open stream that touches the process is reset, as by a RST: what is under way is lost, both sides see it at once.
+  /** Makes a process's end of a stream. */
+  makeEnd: (proc: Proc) => StreamEnd
+  /** Resets the other end after the network delay. */
+  resetPeerLater: (from: StreamEnd, to: StreamEnd) => void
+  /** Resets every open stream of the process, as by a RST: data in flight is lost, and both sides see it at once. */
   reset: (proc: Proc) => void
-  // Bytes that go from one machine to another, or would, by the names of both.
-  count: (from: Machine, to: Machine, bytes: number) => void
-  carried: () => Map<string, Map<string, number>>
+  /** Counts bytes sent from one machine to another: stream bytes when sent, datagrams unless cut off or lost. */
+  countBytes: (from: Machine, to: Machine, bytes: number) => void
+  /** Bytes sent, by the name of the sending machine, then by that of the receiving one. */
+  bytesSent: () => Map<string, Map<string, number>>
 }
 
 export function makeNetwork(clock: Clock, random: () => number, latency: number): Network {
   const cuts = new Set<string>()
   let lossShare = 0
-  const carried = new Map<string, Map<string, number>>()
+  const bytesBySource = new Map<string, Map<string, number>>()
 
-  function count(from: Machine, to: Machine, bytes: number): void {
-    const out = carried.get(from.name) ?? new Map<string, number>()
-    out.set(to.name, (out.get(to.name) ?? 0) + bytes)
-    carried.set(from.name, out)
+  function countBytes(from: Machine, to: Machine, bytes: number): void {
+    const bytesByTarget = bytesBySource.get(from.name) ?? new Map<string, number>()
+    bytesByTarget.set(to.name, (bytesByTarget.get(to.name) ?? 0) + bytes)
+    bytesBySource.set(from.name, bytesByTarget)
   }
-  function carriedNow(): Map<string, Map<string, number>> {
-    return carried
+  function currentBytesSent(): Map<string, Map<string, number>> {
+    return bytesBySource
   }
   function delay(): number {
     return latency * (0.7 + 0.6 * random())
@@ -43,69 +48,78 @@
     if (from === to) return false
     return from.dark || to.dark || cuts.has(`${from.name}>${to.name}`)
   }
-  function makeEnd(proc: Proc): End {
-    function write(chunk: Buffer, _enc: string, ok: () => void): void {
-      const me = end
-      const other = me.peerEnd
-      if (other && !me.shut) carry(me, other, Buffer.from(chunk))
-      ok()
+  function makeEnd(proc: Proc): StreamEnd {
+    function write(chunk: Buffer, _enc: string, done: () => void): void {
+      const self = end
+      const peer = self.peerEnd
+      if (peer && !self.isClosed) transmit(self, peer, Buffer.from(chunk))
+      done()
     }
-    function final(ok: () => void): void {
-      const other = end.peerEnd
-      if (other && !end.shut) carry(end, other, null)
-      ok()
+    function final(done: () => void): void {
+      const peer = end.peerEnd
+      if (peer && !end.isClosed) transmit(end, peer, null)
+      done()
     }
-    function destroy(_e: Error | null, ok: (e: Error | null) => void): void {
-      if (!end.shut) {
-        end.shut = true
+    function destroy(_e: Error | null, done: (e: Error | null) => void): void {
+      if (!end.isClosed) {
+        end.isClosed = true
         proc.ends.delete(end)
-        if (end.peerEnd) breakLater(end, end.peerEnd)
+        if (end.peerEnd) resetPeerLater(end, end.peerEnd)
       }
-      ok(null)
+      done(null)
     }
-    const end = new Duplex({ read: noop, write, final, destroy, autoDestroy: true, allowHalfOpen: false }) as End
+    const end = new Duplex({ read: noop, write, final, destroy, autoDestroy: true, allowHalfOpen: false }) as StreamEnd
     end.proc = proc
-    end.shut = false
-    end.lastAt = 0
-    // What node:http expects of a socket beyond a stream.
-    Object.assign(end, { setTimeout: same, setKeepAlive: same, setNoDelay: same, ref: same, unref: same })
-    function same(): End {
+    end.isClosed = false
+    end.lastArrivalAt = 0
+    // Socket methods that node:http calls and a plain stream lacks.
+    Object.assign(end, {
+      setTimeout: returnEnd,
+      setKeepAlive: returnEnd,
+      setNoDelay: returnEnd,
+      ref: returnEnd,
+      unref: returnEnd,
+    })
+    function returnEnd(): StreamEnd {
       return end
     }
     proc.ends.add(end)
     return end
   }
-  // One chunk (null: the end) on its way; a stream keeps its order, and waits where the path is cut.
-  function carry(from: End, to: End, chunk: Buffer | null): void {
-    if (chunk) count(from.proc.machine, to.proc.machine, chunk.length)
-    let at = clock.now() + delay()
-    if (lossShare > 0 && from.proc.machine !== to.proc.machine && random() < lossShare) at += 200
-    at = Math.max(at, from.lastAt)
-    from.lastAt = at
-    function arrive(): void {
-      if (to.shut) return
+  /**
+   * Sends one chunk (null: end of stream). Chunks arrive in order; while the path is cut, delivery is tried again
+   * every 200 ms. A lost chunk arrives 200 ms later.
+   */
+  function transmit(from: StreamEnd, to: StreamEnd, chunk: Buffer | null): void {
+    if (chunk) countBytes(from.proc.machine, to.proc.machine, chunk.length)
+    let arrivesAt = clock.now() + delay()
+    if (lossShare > 0 && from.proc.machine !== to.proc.machine && random() < lossShare) arrivesAt += 200
+    arrivesAt = Math.max(arrivesAt, from.lastArrivalAt)
+    from.lastArrivalAt = arrivesAt
+    function deliver(): void {
+      if (to.isClosed) return
       if (isCut(from.proc.machine, to.proc.machine)) {
-        from.lastAt = Math.max(from.lastAt, clock.now() + 200)
-        clock.plan(200, to.proc, arrive)
+        from.lastArrivalAt = Math.max(from.lastArrivalAt, clock.now() + 200)
+        clock.plan(200, to.proc, deliver)
         return
       }
       to.push(chunk)
     }
-    clock.plan(at - clock.now(), to.proc, arrive)
+    clock.plan(arrivesAt - clock.now(), to.proc, deliver)
   }
-  function breakLater(from: End, to: End): void {
-    const at = Math.max(clock.now() + delay(), from.lastAt)
-    function arrive(): void {
-      if (to.shut) return
+  function resetPeerLater(from: StreamEnd, to: StreamEnd): void {
+    const arrivesAt = Math.max(clock.now() + delay(), from.lastArrivalAt)
+    function resetPeer(): void {
+      if (to.isClosed) return
       if (isCut(from.proc.machine, to.proc.machine)) {
-        clock.plan(200, to.proc, arrive)
+        clock.plan(200, to.proc, resetPeer)
         return
       }
-      to.shut = true
+      to.isClosed = true
       to.proc.ends.delete(to)
       to.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
     }
-    clock.plan(at - clock.now(), to.proc, arrive)
+    clock.plan(arrivesAt - clock.now(), to.proc, resetPeer)
   }
   function cut(from: Machine, to: Machine, both = true): void {
     cuts.add(`${from.name}>${to.name}`)
@@ -121,24 +135,36 @@
   }
   function reset(proc: Proc): void {
     for (const end of [...proc.ends]) {
-      const other = end.peerEnd
-      if (!other) continue
-      for (const one of [end, other]) {
-        if (one.shut) continue
-        one.shut = true
-        one.proc.ends.delete(one)
-        function breakNow(): void {
-          one.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
+      const peer = end.peerEnd
+      if (!peer) continue
+      for (const side of [end, peer]) {
+        if (side.isClosed) continue
+        side.isClosed = true
+        side.proc.ends.delete(side)
+        function resetSide(): void {
+          side.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
         }
-        clock.plan(0, one.proc, breakNow)
+        clock.plan(0, side.proc, resetSide)
       }
     }
   }
-  function loss(share: number): void {
+  function setLossShare(share: number): void {
     lossShare = share
   }
-  function lossNow(): number {
+  function currentLossShare(): number {
     return lossShare
   }
-  return { delay, isCut, lossShare: lossNow, loss, cut, heal, makeEnd, breakLater, reset, count, carried: carriedNow }
+  return {
+    delay,
+    isCut,
+    lossShare: currentLossShare,
+    loss: setLossShare,
+    cut,
+    heal,
+    makeEnd,
+    resetPeerLater,
+    reset,
+    countBytes,
+    bytesSent: currentBytesSent,
+  }
 }
--- a/packages/fleet/src/simparts.ts
+++ b/packages/fleet/src/simparts.ts
@@ -1,31 +1,39 @@
 import type { Duplex } from 'node:stream'
 
-// What the simulator is made of: happenings on virtual time, processes, machines, ends of streams.
+/** An event on virtual time; sequence orders events of the same time, proc is the process that it belongs to. */
+export type ScheduledEvent = { at: number; sequence: number; proc: Proc | undefined; run: () => void }
 
-export type Happening = { at: number; num: number; proc: Proc | undefined; run: () => void }
-
-// state: dead ones get nothing any more; frozen ones get all they missed, in order, when they thaw.
+/** A simulated process. */
 export type Proc = {
   name: string
   machine: Machine
+  /** A dead process gets no more events; a frozen one gets the events that it missed, in order, when it thaws. */
   state: 'up' | 'dead' | 'frozen'
-  held: Happening[]
-  ends: Set<End>
+  /** Events held back while the process is frozen. */
+  held: ScheduledEvent[]
+  ends: Set<StreamEnd>
+  /** Keys of the endpoints that it listens on. */
   open: Set<string>
-  inFlight: Set<Writing>
+  /** Writes that haven't been synced. */
+  inFlight: Set<PendingWrite>
 }
-// dark: off the network (and, when its processes are killed with it, without power).
-// full: no write to its disk succeeds. slow: how many times longer its disk takes. stalled: nothing that its disk was asked for
-// ends until that is over.
+/** A simulated machine: its clock, disk and network state. */
 export type Machine = {
   name: string
   ip: string
+  /** Added to virtual time to give the machine's clock, in ms. */
   skew: number
   files: Map<string, Buffer>
+  /** Cut off from the network; a power failure if its processes are killed too. */
   dark: boolean
+  /** The disk is full: no append or replacement of a file succeeds. */
   full: boolean
+  /** Factor by which disk operations take longer. */
   slow: number
+  /** No disk operation completes while this is true. */
   stalled: boolean
 }
-export type Writing = { machine: Machine; path: string; bytes: Uint8Array; whole: boolean }
-export type End = Duplex & { peerEnd?: End; proc: Proc; shut: boolean; lastAt: number }
+/** A write that hasn't been synced; whole: it replaces the file, otherwise it appends. */
+export type PendingWrite = { machine: Machine; path: string; bytes: Uint8Array; whole: boolean }
+/** A process's end of a stream; lastArrivalAt: when the last chunk sent from it arrives, to keep chunks in order. */
+export type StreamEnd = Duplex & { peerEnd?: StreamEnd; proc: Proc; isClosed: boolean; lastArrivalAt: number }
--- a/packages/fleet/src/simworld.ts
+++ b/packages/fleet/src/simworld.ts
@@ -13,15 +13,16 @@
 import type { Network } from './simnetwork.js'
 import type { Machine, Proc } from './simparts.js'
 
-// The World of a simulated process: the same reach to the outside as a real one's, on virtual time.
-
-type Accept = { proc: Proc; take: (s: Duplex) => void }
-type Receive = { proc: Proc; take: (b: Uint8Array) => void }
+/** A listening stream socket and the process that owns it. */
+type StreamListener = { proc: Proc; onConnection: (s: Duplex) => void }
+/** A bound datagram socket and the process that owns it. */
+type BoundSocket = { proc: Proc; onDatagram: (b: Uint8Array) => void }
 
+/** Makes the World of each simulated process: the same access to the outside as a real process has, on virtual time. */
 export type Worlds = {
   make: (proc: Proc) => World
-  // A dead process listens no more.
-  forget: (proc: Proc) => void
+  /** Closes the listeners of a process that has died. */
+  closeListeners: (proc: Proc) => void
 }
 
 export function makeWorlds(
@@ -29,108 +30,116 @@
   network: Network,
   random: () => number,
   machines: Map<string, Machine>,
-  sink: (proc: Proc, line: string) => void,
+  writeLogLine: (proc: Proc, line: string) => void,
 ): Worlds {
-  const listeners = new Map<string, Accept>()
-  const wires = new Map<string, Receive>()
+  const listeners = new Map<string, StreamListener>()
+  const datagramSockets = new Map<string, BoundSocket>()
 
-  function spot(machine: Machine, addr: Address): string {
+  /** Key of an address in the socket tables; a loopback address belongs to the machine that uses it. */
+  function endpointKey(machine: Machine, addr: Address): string {
     const { host, port } = parseAddr(addr)
     return host.startsWith('127.') ? `${machine.name}|${port}` : `${host}|${port}`
   }
-  function machineOf(from: Machine, addr: Address): Machine | undefined {
+  function machineAt(from: Machine, addr: Address): Machine | undefined {
     const { host } = parseAddr(addr)
     return host.startsWith('127.') ? from : machines.get(host)
   }
 
-  // A connection is knocked at, taken by the process that listens there, and up once that news is back.
-  function dialFrom(proc: Proc, addr: Address, ms: number): Promise<Duplex> {
+  /**
+   * Opens a stream: the request takes one delay, the listener accepts, and the answer takes another delay. On a cut
+   * path nothing answers, and the dial times out.
+   */
+  function dialFrom(proc: Proc, addr: Address, timeoutMs: number): Promise<Duplex> {
     const { machine } = proc
-    function start(ok: (s: Duplex) => void, fail: (e: Error) => void): void {
-      let over = false
-      function late(): void {
-        if (over) return
-        over = true
-        fail(new Error('dial timeout'))
+    function start(resolve: (s: Duplex) => void, reject: (e: Error) => void): void {
+      let isSettled = false
+      function timeOut(): void {
+        if (isSettled) return
+        isSettled = true
+        reject(new Error('dial timeout'))
       }
-      clock.plan(ms, proc, late)
-      const to = machineOf(machine, addr)
-      if (!to || network.isCut(machine, to) || network.isCut(to, machine)) return
-      function knock(): void {
-        const l = listeners.get(spot(machine, addr))
-        if (!l || l.proc.state === 'dead') {
+      clock.plan(timeoutMs, proc, timeOut)
+      const target = machineAt(machine, addr)
+      if (!target || network.isCut(machine, target) || network.isCut(target, machine)) return
+      function requestConnection(): void {
+        const listener = listeners.get(endpointKey(machine, addr))
+        if (!listener || listener.proc.state === 'dead') {
           clock.plan(network.delay(), proc, refuse)
           return
         }
-        const mine = network.makeEnd(proc)
-        const theirs = network.makeEnd(l.proc)
-        mine.peerEnd = theirs
-        theirs.peerEnd = mine
+        const localEnd = network.makeEnd(proc)
+        const remoteEnd = network.makeEnd(listener.proc)
+        localEnd.peerEnd = remoteEnd
+        remoteEnd.peerEnd = localEnd
         function accept(): void {
-          l!.take(theirs)
+          listener!.onConnection(remoteEnd)
         }
-        function up(): void {
-          if (over) {
-            mine.destroy()
+        function completeDial(): void {
+          if (isSettled) {
+            localEnd.destroy()
             return
           }
-          over = true
-          ok(mine)
+          isSettled = true
+          resolve(localEnd)
         }
-        clock.plan(0, l.proc, accept)
-        clock.plan(network.delay(), proc, up)
+        clock.plan(0, listener.proc, accept)
+        clock.plan(network.delay(), proc, completeDial)
       }
       function refuse(): void {
-        if (over) return
-        over = true
-        fail(new Error('connect ECONNREFUSED'))
+        if (isSettled) return
+        isSettled = true
+        reject(new Error('connect ECONNREFUSED'))
       }
-      // The knock is the machine's, not the process's: a frozen one's kernel still takes connections.
-      clock.plan(network.delay(), undefined, knock)
+      // The connection request belongs to no process: the kernel of a frozen process still accepts connections.
+      clock.plan(network.delay(), undefined, requestConnection)
     }
     return new Promise(start)
   }
-  async function listenOn(proc: Proc, addr: Address, take: (s: Duplex) => void): Promise<Listener> {
+  async function listenOn(proc: Proc, addr: Address, onConnection: (s: Duplex) => void): Promise<Listener> {
     const { machine } = proc
-    const at = spot(machine, addr)
-    const old = listeners.get(at)
-    if (old && old.proc.state !== 'dead') throw new Error(`listen EADDRINUSE ${addr}`)
-    listeners.set(at, { proc, take })
-    proc.open.add(at)
+    const key = endpointKey(machine, addr)
+    const existing = listeners.get(key)
+    if (existing && existing.proc.state !== 'dead') throw new Error(`listen EADDRINUSE ${addr}`)
+    listeners.set(key, { proc, onConnection })
+    proc.open.add(key)
     async function close(): Promise<void> {
-      if (listeners.get(at)?.proc === proc) listeners.delete(at)
+      if (listeners.get(key)?.proc === proc) listeners.delete(key)
     }
     return { close }
   }
-  async function wireOn(proc: Proc, addr: Address, take: (b: Uint8Array) => void): Promise<DatagramSocket> {
+  async function bindDatagramsOn(
+    proc: Proc,
+    addr: Address,
+    onDatagram: (b: Uint8Array) => void,
+  ): Promise<DatagramSocket> {
     const { machine } = proc
-    const at = spot(machine, addr)
-    wires.set(at, { proc, take })
-    function cast(to: Address, bytes: Uint8Array): void {
-      const there = machineOf(machine, to)
-      if (!there || network.isCut(machine, there) || random() < network.lossShare()) return
-      const w = wires.get(spot(machine, to))
-      if (!w) return
+    const key = endpointKey(machine, addr)
+    datagramSockets.set(key, { proc, onDatagram })
+    function sendDatagram(to: Address, bytes: Uint8Array): void {
+      const target = machineAt(machine, to)
+      if (!target || network.isCut(machine, target) || random() < network.lossShare()) return
+      const socket = datagramSockets.get(endpointKey(machine, to))
+      if (!socket) return
       const copy = Buffer.from(bytes)
-      network.count(machine, there, copy.length)
-      function arrive(): void {
-        w!.take(copy)
+      network.countBytes(machine, target, copy.length)
+      function deliver(): void {
+        socket!.onDatagram(copy)
       }
-      clock.plan(network.delay(), w.proc, arrive)
+      clock.plan(network.delay(), socket.proc, deliver)
     }
     function close(): void {
-      if (wires.get(at)?.proc === proc) wires.delete(at)
+      if (datagramSockets.get(key)?.proc === proc) datagramSockets.delete(key)
     }
-    return { send: cast, close }
+    return { send: sendDatagram, close }
   }
-  function laterFor(proc: Proc, ms: number, run: () => void): Cancel {
-    let off = false
+  function scheduleFor(proc: Proc, ms: number, run: () => void): Cancel {
+    let isCancelled = false
     function fire(): void {
-      if (!off) run()
+      if (!isCancelled) run()
     }
     clock.plan(ms, proc, fire)
     function cancel(): void {
-      off = true
+      isCancelled = true
     }
     return cancel
   }
@@ -139,19 +148,19 @@
       return clock.now() + proc.machine.skew
     }
     function later(ms: number, run: () => void): Cancel {
-      return laterFor(proc, ms, run)
+      return scheduleFor(proc, ms, run)
     }
-    function listen(addr: Address, take: (s: Duplex) => void): Promise<Listener> {
-      return listenOn(proc, addr, take)
+    function listen(addr: Address, onConnection: (s: Duplex) => void): Promise<Listener> {
+      return listenOn(proc, addr, onConnection)
     }
-    function dial(addr: Address, ms: number): Promise<Duplex> {
-      return dialFrom(proc, addr, ms)
+    function dial(addr: Address, timeoutMs: number): Promise<Duplex> {
+      return dialFrom(proc, addr, timeoutMs)
     }
-    function wire(addr: Address, take: (b: Uint8Array) => void): Promise<DatagramSocket> {
-      return wireOn(proc, addr, take)
+    function bindSocket(addr: Address, onDatagram: (b: Uint8Array) => void): Promise<DatagramSocket> {
+      return bindDatagramsOn(proc, addr, onDatagram)
     }
     function write(_level: string, line: string): void {
-      sink(proc, line)
+      writeLogLine(proc, line)
     }
     return {
       now,
@@ -160,12 +169,12 @@
       log: logTo(write),
       listen,
       dial,
-      bindDatagrams: wire,
+      bindDatagrams: bindSocket,
       disk: makeDisk(clock, random, proc),
     }
   }
-  function forget(proc: Proc): void {
-    for (const at of proc.open) if (listeners.get(at)?.proc === proc) listeners.delete(at)
+  function closeListeners(proc: Proc): void {
+    for (const key of proc.open) if (listeners.get(key)?.proc === proc) listeners.delete(key)
   }
-  return { make, forget }
+  return { make, closeListeners }
 }
