--- a/packages/fleet/src/simshape.ts
+++ b/packages/fleet/src/simshape.ts
@@ -2,66 +2,74 @@
 import type { Law } from './judge.js'
 import type { Mix } from './requester.js'
 
-// The shape of a simulated fleet and its traffic, and the small one that most scenarios start from.
-
-// copies: [source, target] groups; the target's leader copies all that the source has.
+/** Size, configuration and traffic of a simulated fleet. Times are in ms. */
 export type Shape = {
+  /** Number of front machines, with an agent and a proxy each. */
   fronts: number
   areas: string[]
   cores: number
   groups: string[]
+  /** Instances of each group. */
   instances: number
+  /** Connection limit of each instance. */
   connections: number
   lag: number
   config: Config
   mixes: Mix[]
   requesters: number
+  /** Scale of the random pauses that requesters make between operations. */
   think: number
+  /** Number of keys of each group that requesters use. */
   keys: number
+  /** Requesters retry an operation at once, on another node, up to twice; not if it was rolled back or is unknown. */
   again?: boolean
   latency?: number
   operators?: Credential[]
+  /** Suspicion timeout of the agents; undefined: their default. */
   suspect?: number
+  /** The groups of a lane hold separate data, so that one doesn't owe what the other acknowledged. */
   apart?: boolean
+  /** [source, target] groups; the target's leader copies all data of the source. */
   copies?: [string, string][]
-  // An agent runs on each core machine too, which tells its area.
+  /** Runs an agent on each core machine too, which reports the machine's area. */
   coreAgents?: boolean
 }
 
-// A lane as the judge holds it; reads from the leader may miss nothing.
+/** The rule by which the judge checks a lane from a time on; reads from the leader may miss no commit. */
 export function lawOf(lane: Config['lanes'][number], from: number): Law {
-  const near =
+  const readBound =
     lane.reads === 'leader' ? { within: 0, own: false } : { within: lane.reads.within, own: lane.reads.own === true }
-  return { lane: lane.name, from, group: lane.group, ...near }
+  return { lane: lane.name, from, group: lane.group, ...readBound }
 }
 
+/** The small fleet that most scenarios start from. */
 export function smallShape(groups = 1): Shape {
-  const names: string[] = []
-  for (let k = 0; k < groups; k++) names.push(`g${k + 1}`)
+  const groupNames: string[] = []
+  for (let k = 0; k < groups; k++) groupNames.push(`g${k + 1}`)
   const lanes: Config['lanes'] = []
   const mixes: Mix[] = []
-  for (const g of names) {
+  for (const group of groupNames) {
     lanes.push(
-      { name: `book-${g}`, database: 'kiln', group: g, reads: 'leader' },
-      { name: 'dep-' + g, database: 'kiln', group: g, reads: { within: 2500, own: true } },
-      { name: `cal-${g}`, database: 'kiln', group: g, reads: { within: 1500 } },
+      { name: `book-${group}`, database: 'kiln', group, reads: 'leader' },
+      { name: 'dep-' + group, database: 'kiln', group, reads: { within: 2500, own: true } },
+      { name: `cal-${group}`, database: 'kiln', group, reads: { within: 1500 } },
     )
     mixes.push(
-      { kind: 'booking', lane: `book-${g}`, group: g, op: 'book', weight: 3, within: 0, own: false },
-      { kind: 'post', lane: `book-${g}`, group: g, op: 'post', weight: 2, within: 0, own: false },
-      { kind: 'ledger', lane: `book-${g}`, group: g, op: 'lookup', weight: 2, within: 0, own: false },
-      { kind: 'deposit', lane: `dep-${g}`, group: g, op: 'deposit', weight: 3, within: 2500, own: true },
-      { kind: 'calendar', lane: `cal-${g}`, group: g, op: 'lookup', weight: 3, within: 1500, own: false },
-      { kind: 'browse', lane: `cal-${g}`, group: g, op: 'browse', weight: 0.5, within: 1500, own: false },
+      { kind: 'booking', lane: `book-${group}`, group, op: 'book', weight: 3, within: 0, own: false },
+      { kind: 'post', lane: `book-${group}`, group, op: 'post', weight: 2, within: 0, own: false },
+      { kind: 'ledger', lane: `book-${group}`, group, op: 'lookup', weight: 2, within: 0, own: false },
+      { kind: 'deposit', lane: `dep-${group}`, group, op: 'deposit', weight: 3, within: 2500, own: true },
+      { kind: 'calendar', lane: `cal-${group}`, group, op: 'lookup', weight: 3, within: 1500, own: false },
+      { kind: 'browse', lane: `cal-${group}`, group, op: 'browse', weight: 0.5, within: 1500, own: false },
     )
   }
   const groupList: Config['groups'] = []
-  for (const g of names) groupList.push({ name: g, connections: 24 })
+  for (const group of groupNames) groupList.push({ name: group, connections: 24 })
   return {
     fronts: 3,
     areas: ['a', 'b'],
     cores: 5,
-    groups: names,
+    groups: groupNames,
     instances: 3,
     connections: 24,
     lag: 120,
--- a/packages/fleet/src/simwatch.ts
+++ b/packages/fleet/src/simwatch.ts
@@ -4,59 +4,72 @@
 import type { Front, SimFleet } from './simfleettypes.js'
 import type { Shape } from './simshape.js'
 
-// ms between two looks at the fleet.
-const LOOK = 100
+/** Interval between two checks of the fleet. */
+const WATCH_INTERVAL_MS = 100
 
-// Watches a fleet all along: no proxy goes back to an older configuration, none that takes work is more than 3 s
-// behind one that was acknowledged, and no group's record changes holders many times in a second.
+/**
+ * Checks a fleet while the simulation runs: no proxy goes back to an older configuration, no proxy that accepts work is
+ * more than 3 s behind an acknowledged configuration, and no group's record changes holders more than 4 times a second.
+ */
 export function watchFleet(
   sim: Sim,
   shape: Shape,
   fronts: Front[],
-  decided: SimFleet['decided'],
-  watched: Breach[],
+  decisions: SimFleet['decided'],
+  breaches: Breach[],
 ): void {
   const lastEpoch = new Map<Proxy, number>()
-  // holders: by group, the fence some time ago; it rises with each new holder, and not many times a second.
-  const holders = new Map<string, { at: number; fence: number }>()
+  /** By group, a fencing token of up to about a second ago; it rises with each new holder of the group's record. */
+  const fenceSamples = new Map<string, { at: number; fence: number }>()
   function watchHolders(): void {
-    for (const g of shape.groups) {
+    for (const group of shape.groups) {
       let fence = 0
-      for (const x of fronts)
-        fence = Math.max(fence, (x.agent?.register(`group/${g}`)?.body as { fence?: number } | undefined)?.fence ?? 0)
-      const old = holders.get(g)
-      if (old && fence > old.fence + 4)
-        watched.push({
+      for (const front of fronts)
+        fence = Math.max(
+          fence,
+          (front.agent?.register(`group/${group}`)?.body as { fence?: number } | undefined)?.fence ?? 0,
+        )
+      const sample = fenceSamples.get(group)
+      if (sample && fence > sample.fence + 4)
+        breaches.push({
           rule: 'duty',
-          what: `the record of ${g} changed holders ${fence - old.fence} times in a second`,
+          what: `the record of ${group} changed holders ${fence - sample.fence} times in a second`,
         })
-      if (!old || sim.now() - old.at > 1000 || fence < old.fence) holders.set(g, { at: sim.now(), fence })
+      if (!sample || sim.now() - sample.at > 1000 || fence < sample.fence)
+        fenceSamples.set(group, { at: sim.now(), fence })
     }
   }
   function watchConfigurations(): void {
-    for (const f of fronts) {
-      if (!f.proxy || f.proxyProc.state !== 'up') continue
-      const epoch = f.proxy.state.rules()?.epoch ?? 0
-      const old = lastEpoch.get(f.proxy) ?? 0
-      if (epoch < old)
-        watched.push({ rule: 'slipped back', what: `${f.node} went from configuration ${old} to ${epoch}` })
-      lastEpoch.set(f.proxy, epoch)
-      if (!f.proxy.state.hasValidLease()) continue
-      for (const d of decided) {
-        if (d.told.decision === 'accepted' && (d.told.epoch ?? 0) > epoch && sim.now() - d.at > 3000) {
-          watched.push({
+    for (const front of fronts) {
+      if (!front.proxy || front.proxyProc.state !== 'up') continue
+      const epoch = front.proxy.state.rules()?.epoch ?? 0
+      const previousEpoch = lastEpoch.get(front.proxy) ?? 0
+      if (epoch < previousEpoch)
+        breaches.push({
+          rule: 'slipped back',
+          what: `${front.node} went from configuration ${previousEpoch} to ${epoch}`,
+        })
+      lastEpoch.set(front.proxy, epoch)
+      if (!front.proxy.state.hasValidLease()) continue
+      for (const decision of decisions) {
+        if (
+          decision.told.decision === 'accepted' &&
+          (decision.told.epoch ?? 0) > epoch &&
+          sim.now() - decision.at > 3000
+        ) {
+          breaches.push({
             rule: 'unheeded',
-            what: `${f.node} works by configuration ${epoch} though ${d.told.epoch} was accepted ${Math.round(sim.now() - d.at)} ms ago`,
+            what: `${front.node} works by configuration ${epoch} though ${decision.told.epoch} was accepted ${Math.round(sim.now() - decision.at)} ms ago`,
           })
           break
         }
       }
     }
   }
-  function look(): void {
+  function watchOnce(): void {
     watchHolders()
     watchConfigurations()
-    sim.at(LOOK, look)
+    sim.at(WATCH_INTERVAL_MS, watchOnce)
   }
-  sim.at(LOOK, look)
+  sim.at(WATCH_INTERVAL_MS, watchOnce)
 }
--- a/packages/fleet/src/steps.ts
+++ b/packages/fleet/src/steps.ts
@@ -2,131 +2,153 @@
 import { recordOf, wait } from './harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from './simfleet.js'
 
-// How long each step of an unplanned replacement takes under traffic, from the leader's end to the first write that is
-// served again; and how often a leader that only restarts, or whose connections are only reset, is replaced. Virtual time.
-export type Steps = { stop: number; promote: number; called: number; steady: number; served: number }
+/**
+ * Time from the fault to the end of each step of an unplanned leader replacement, in ms of virtual time: the recorded
+ * phase leaves 'steady' (stop), reaches 'promote', the promotion is called, the new leader is steady, and the first
+ * write is served.
+ */
+export type ReplacementSteps = { stop: number; promote: number; called: number; steady: number; served: number }
 
 function byNumber(a: number, b: number): number {
   return a - b
 }
-function median(list: number[]): number {
-  return [...list].sort(byNumber)[Math.floor(list.length / 2)]
+function median(values: number[]): number {
+  return [...values].sort(byNumber)[Math.floor(values.length / 2)]
 }
 
-async function begun(seed: number, suspect?: number): Promise<SimFleet> {
-  // sync 0: commits that are lost with a leader are not waited for, so the steps show by themselves.
-  const s = smallShape()
+/** Starts a fleet and lets its traffic run for 4 to 5 s. */
+async function startUnderTraffic(seed: number, suspicionTimeoutMs?: number): Promise<SimFleet> {
+  // sync 0: the replacement doesn't wait for commits that were lost with the leader, so that only its own steps are
+  // measured.
+  const shape = smallShape()
   const groups: Shape['config']['groups'] = []
-  for (const g of s.config.groups) groups.push({ ...g, sync: 0 })
-  const f = makeSimFleet(seed, {
-    ...s,
+  for (const group of shape.config.groups) groups.push({ ...group, sync: 0 })
+  const fleet = makeSimFleet(seed, {
+    ...shape,
     fronts: 5,
     requesters: 15,
     think: 60,
-    config: { ...s.config, groups },
-    ...(suspect === undefined ? {} : { suspect }),
+    config: { ...shape.config, groups },
+    ...(suspicionTimeoutMs === undefined ? {} : { suspect: suspicionTimeoutMs }),
   })
-  await f.begin()
-  f.traffic()
-  await wait(f, 4000 + 1000 * f.sim.random())
-  return f
+  await fleet.begin()
+  fleet.traffic()
+  await wait(fleet, 4000 + 1000 * fleet.sim.random())
+  return fleet
 }
 
-export async function stepsOf(f: SimFleet, harm: () => void): Promise<Steps> {
-  const from = f.sim.now()
-  const calls = f.promotions.length
-  const before = recordOf(f)?.epoch ?? 0
-  harm()
-  async function at(what: () => boolean): Promise<number> {
-    await f.sim.until(what, 30000)
-    return Math.round(f.sim.now() - from)
+/** Injects a fault into the leader and measures the steps of its replacement. */
+export async function stepsOf(fleet: SimFleet, injectFault: () => void): Promise<ReplacementSteps> {
+  const faultAt = fleet.sim.now()
+  const promotionsBefore = fleet.promotions.length
+  const epochBefore = recordOf(fleet)?.epoch ?? 0
+  injectFault()
+  async function elapsedUntil(condition: () => boolean): Promise<number> {
+    await fleet.sim.until(condition, 30000)
+    return Math.round(fleet.sim.now() - faultAt)
   }
-  function stops(): boolean {
-    return recordOf(f)?.phase !== 'steady'
+  function isStopped(): boolean {
+    return recordOf(fleet)?.phase !== 'steady'
   }
-  function promotes(): boolean {
-    return recordOf(f)?.phase === 'promote' || isSteady()
+  function isPromoting(): boolean {
+    return recordOf(fleet)?.phase === 'promote' || isSteady()
   }
-  function isCalled(): boolean {
-    return f.promotions.length > calls
+  function isPromotionCalled(): boolean {
+    return fleet.promotions.length > promotionsBefore
   }
   function isSteady(): boolean {
-    const rec = recordOf(f)
-    return rec?.phase === 'steady' && rec.epoch > before
+    const record = recordOf(fleet)
+    return record?.phase === 'steady' && record.epoch > epochBefore
   }
-  const stop = await at(stops)
-  const promote = await at(promotes)
-  const called = await at(isCalled)
-  const steady = await at(isSteady)
-  // A write that was begun after the harm, so that none counts that was answered before it.
+  const stop = await elapsedUntil(isStopped)
+  const promote = await elapsedUntil(isPromoting)
+  const called = await elapsedUntil(isPromotionCalled)
+  const steady = await elapsedUntil(isSteady)
+  // Counts only writes that ended after the stop, so that none counts that was answered before it.
   function isServed(): boolean {
-    for (let k = f.events.length - 1; k >= 0 && f.events[k].end > from; k--)
-      if (f.events[k].tag !== undefined && f.events[k].outcome === 'done' && f.events[k].end > from + stop) return true
+    for (let k = fleet.events.length - 1; k >= 0 && fleet.events[k].end > faultAt; k--)
+      if (
+        fleet.events[k].tag !== undefined &&
+        fleet.events[k].outcome === 'done' &&
+        fleet.events[k].end > faultAt + stop
+      )
+        return true
     return false
   }
-  const served = await at(isServed)
+  const served = await elapsedUntil(isServed)
   return { stop, promote, called, steady, served }
 }
 
-const HARMS: [string, (f: SimFleet) => void][] = [
+const FAULTS: [string, (f: SimFleet) => void][] = [
   ['crash', crash],
-  ['dark', dark],
+  ['dark', isolate],
 ]
-function crash(f: SimFleet): void {
-  f.killBox(f.boxes.indexOf(f.leaderOf('g1')!))
+function crash(fleet: SimFleet): void {
+  fleet.killBox(fleet.boxes.indexOf(fleet.leaderOf('g1')!))
 }
-function dark(f: SimFleet): void {
-  f.leaderOf('g1')!.machine.dark = true
+function isolate(fleet: SimFleet): void {
+  fleet.leaderOf('g1')!.machine.dark = true
 }
 
-// A leader that is back within 50 to 400 ms: its process starts anew, or its connections are reset.
-async function alarms(seed: number, kind: 'restart' | 'reset', suspect: number | undefined): Promise<number> {
-  const f = await begun(seed, suspect)
+/**
+ * Counts the promotions that 10 short faults cause: the leader's process restarts within 50 to 400 ms, or its
+ * connections are reset.
+ */
+async function countPromotions(
+  seed: number,
+  kind: 'restart' | 'reset',
+  suspicionTimeoutMs: number | undefined,
+): Promise<number> {
+  const fleet = await startUnderTraffic(seed, suspicionTimeoutMs)
   for (let k = 0; k < 10; k++) {
-    const box = f.leaderOf('g1')
-    if (box) {
-      const at = f.boxes.indexOf(box)
-      if (kind === 'reset') f.sim.reset(box.proc)
+    const host = fleet.leaderOf('g1')
+    if (host) {
+      const index = fleet.boxes.indexOf(host)
+      if (kind === 'reset') fleet.sim.reset(host.proc)
       else {
-        f.killBox(at)
-        await wait(f, 50 + 350 * f.sim.random())
-        f.startBoxAt(at)
+        fleet.killBox(index)
+        await wait(fleet, 50 + 350 * fleet.sim.random())
+        fleet.startBoxAt(index)
       }
     }
-    await wait(f, 4000)
+    await wait(fleet, 4000)
   }
-  return f.promotions.length
+  return fleet.promotions.length
 }
 
-export async function measureSteps(seeds: number, out: (line: string) => void): Promise<void> {
-  out('| leader | stop recorded, ms | all stopped | called | steady | write served | most until served |')
-  out('|---|---|---|---|---|---|---|')
-  for (const [name, harm] of HARMS) {
-    const all: Steps[] = []
+/**
+ * Prints how long each step of an unplanned replacement takes under traffic, and how often a leader is replaced that
+ * only restarts or whose connections are only reset.
+ */
+export async function measureSteps(seeds: number, print: (line: string) => void): Promise<void> {
+  print('| leader | stop recorded, ms | all stopped | called | steady | write served | most until served |')
+  print('|---|---|---|---|---|---|---|')
+  for (const [name, injectFault] of FAULTS) {
+    const runs: ReplacementSteps[] = []
     for (let seed = 1; seed <= seeds; seed++) {
-      const f = await begun(seed)
-      function act(): void {
-        harm(f)
+      const fleet = await startUnderTraffic(seed)
+      function inject(): void {
+        injectFault(fleet)
       }
-      all.push(await stepsOf(f, act))
+      runs.push(await stepsOf(fleet, inject))
     }
     const cells: number[] = []
     for (const key of ['stop', 'promote', 'called', 'steady', 'served'] as const) {
-      const list: number[] = []
-      for (const one of all) list.push(one[key])
-      cells.push(median(list))
+      const values: number[] = []
+      for (const steps of runs) values.push(steps[key])
+      cells.push(median(values))
     }
-    out(`| ${name} | ${cells.join(' | ')} | ${Math.max(...all.map(servedOf))} |`)
+    print(`| ${name} | ${cells.join(' | ')} | ${Math.max(...runs.map(servedOf))} |`)
   }
-  function servedOf(s: Steps): number {
-    return s.served
+  function servedOf(steps: ReplacementSteps): number {
+    return steps.served
   }
-  // Suspicion at its value, and at half of what several failing nodes need.
-  for (const suspect of [undefined, CONFIRMED_SUSPICION_TIMEOUT_MS / 2]) {
+  // The suspicion timeout at its default, and at half of the timeout for a failure that several nodes report.
+  for (const suspicionTimeoutMs of [undefined, CONFIRMED_SUSPICION_TIMEOUT_MS / 2]) {
     for (const kind of ['restart', 'reset'] as const) {
-      let moves = 0
-      for (let seed = 1; seed <= seeds; seed++) moves += await alarms(seed, kind, suspect)
-      out(`${kind}, suspicion ${suspect ?? 'as it is'}: ${moves} promotions in ${10 * seeds}`)
+      let promotions = 0
+      for (let seed = 1; seed <= seeds; seed++) promotions += await countPromotions(seed, kind, suspicionTimeoutMs)
+      print(`${kind}, suspicion ${suspicionTimeoutMs ?? 'as it is'}: ${promotions} promotions in ${10 * seeds}`)
     }
   }
 }
