--- a/packages/fleet/src/test/drain.test.ts
+++ b/packages/fleet/src/test/drain.test.ts
@@ -12,7 +12,7 @@
 } from '@claynotch/base'
 import type { StatementResult, InstanceAdapter, InstanceConnection, RequestError } from '@claynotch/instance'
 import { CONFIG_KEY, emptyBody, type Config } from '@claynotch/operator'
-import { ownAdapters, startProxy, type Proxy } from '@claynotch/proxy'
+import { httpAdapters, startProxy, type Proxy } from '@claynotch/proxy'
 import { groupKey, ProxyReport, type AgentFeed, type GroupRecord } from '@claynotch/register'
 import type { Verdict } from '@claynotch/requester'
 import { makeSim } from '../sim.js'
@@ -107,7 +107,7 @@
     const proxy = await startProxy(
       world,
       { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: link },
-      { ...ownAdapters, instance: modelEdge(slow, seen) },
+      { ...httpAdapters, instance: modelEdge(slow, seen) },
     )
     const config: Config = {
       proxies: 'live',
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -3,7 +3,7 @@
 import { pause, type Address, type World } from '@claynotch/base'
 import { weighEvidence, type InstanceObservations } from '@claynotch/failover'
 import type { PromotionRequest, PromotionResult } from '@claynotch/host'
-import { ownAdapters as ownProxyEdges } from '@claynotch/proxy'
+import { httpAdapters as ownProxyEdges } from '@claynotch/proxy'
 import { httpInstanceAdapter, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
 import { recordOf, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -118,10 +118,10 @@
           team: '',
           share: 1,
         }
-        const got = await pool.borrow(who, 4, need, { free: 200, dial: 100 }, makeFlag())
+        const got = await pool.checkOut(who, 4, need, { free: 200, dial: 100 }, makeFlag())
         if (got.err) continue
         served++
-        const line = ports.get(got.val.port) as Line
+        const line = ports.get(got.val.instanceConnection) as Line
         if (line.lent || !line.open) wrong++
         line.lent = true
         let open = 0
@@ -131,7 +131,7 @@
         for (const [name, value] of settings) if (line.values.get(name) !== value) wrong++
         for (const text of shapes.values()) if (line.shapes.get(got.val.shapeId(text)) !== text) wrong++
         if (rnd() < 0.2) {
-          await got.val.setting('d', 'x')
+          await got.val.applySetting('d', 'x')
           if (line.values.get('d') !== 'x') wrong++
         }
         await pause(world, rnd() * 10)
@@ -171,10 +171,10 @@
           share: 1,
           ...(tenant !== undefined ? { tenant } : {}),
         }
-        const got = await pool.borrow(who, 4, need, { free: 200, dial: 100 }, makeFlag())
+        const got = await pool.checkOut(who, 4, need, { free: 200, dial: 100 }, makeFlag())
         if (got.err) continue
         served++
-        const line = ports.get(got.val.port) as Line
+        const line = ports.get(got.val.instanceConnection) as Line
         if (line.lent || !line.open || line.tenant !== tenant) wrong++
         line.lent = true
         let open = 0
@@ -206,9 +206,9 @@
     for (let k = 0; k < 4 * MAX_CONNECTION_PREPARED_STATEMENTS; k++) {
       const text = `READ q${k}`
       const need = { database: 'd', settings: [], shapes: new Map([['s', text]]), team: '', share: 1 }
-      const got = await pool.borrow(who, 1, need, { free: 200, dial: 100 }, makeFlag())
+      const got = await pool.checkOut(who, 1, need, { free: 200, dial: 100 }, makeFlag())
       if (got.err) throw new Error(got.val.why)
-      const line = ports.get(got.val.port) as Line
+      const line = ports.get(got.val.instanceConnection) as Line
       if (line.shapes.get(got.val.shapeId(text)) !== text) throw new Error(`${text} is not in force`)
       most = Math.max(most, line.shapes.size)
       got.val.end(true)
@@ -234,7 +234,7 @@
       closesAfterUse: true,
     }
     function borrow() {
-      return pool.borrow(who, 1, need, { free: 200, dial: 100 }, makeFlag())
+      return pool.checkOut(who, 1, need, { free: 200, dial: 100 }, makeFlag())
     }
     const first = await borrow()
     if (first.err) throw new Error(first.val.why)
@@ -259,12 +259,12 @@
     const lines: Line[] = []
     const pool = makePool(world, modelEdge(lines, 20), makeFlag(), makeMetrics())
     const need: ConnectionRequirements = { database: 'd', settings: [], shapes: new Map(), team: '', share: 1 }
-    const got = await pool.borrow(who, 4, need, { free: 1, dial: 100 }, makeFlag())
+    const got = await pool.checkOut(who, 4, need, { free: 1, dial: 100 }, makeFlag())
     c.ok(got.ok, 'a call that has waited long for its leader still has time to open a connection')
     if (got.ok) got.val.end(true)
     const full = await Promise.all([
-      pool.borrow(who, 1, need, { free: 5, dial: 100 }, makeFlag()),
-      pool.borrow(who, 1, need, { free: 5, dial: 100 }, makeFlag()),
+      pool.checkOut(who, 1, need, { free: 5, dial: 100 }, makeFlag()),
+      pool.checkOut(who, 1, need, { free: 5, dial: 100 }, makeFlag()),
     ])
     const refused = full.find(isErr)
     function isErr(r: { err: boolean }): boolean {
@@ -309,29 +309,29 @@
     const watch = startWatch(world, state, modelEdge([], 1), stop, makeMetrics())
     await pause(world, 10)
     const one = watch.get('i1') as Instance
-    watch.saw('i1', world.now(), { epoch: 1, position: 1 }, 1)
+    watch.recordAnswer('i1', world.now(), { epoch: 1, position: 1 }, 1)
     watch.failed('i1', world.now(), false, false)
-    c.ok(watch.usable(one, false), 'one lost answer keeps nobody away')
+    c.ok(watch.isUsable(one, false), 'one lost answer keeps nobody away')
     await pause(world, 5)
-    watch.saw('i1', world.now(), { epoch: 1, position: 2 }, 1)
+    watch.recordAnswer('i1', world.now(), { epoch: 1, position: 2 }, 1)
     watch.failed('i1', world.now() - 3, false, false)
     watch.failed('i1', world.now() - 2, false, false)
-    c.ok(watch.usable(one, false), 'answers that came after speak for it')
+    c.ok(watch.isUsable(one, false), 'answers that came after speak for it')
     await pause(world, 5)
     watch.failed('i1', world.now(), true, false)
     watch.failed('i1', world.now(), true, false)
     watch.failed('i1', world.now(), true, false)
-    c.ok(watch.usable(one, false), 'one that answers that it is busy is there')
+    c.ok(watch.isUsable(one, false), 'one that answers that it is busy is there')
     watch.failed('i1', world.now(), false, false)
     watch.failed('i1', world.now(), false, false)
-    c.notOk(watch.usable(one, false), 'two in a row do')
+    c.notOk(watch.isUsable(one, false), 'two in a row do')
     await pause(world, 150)
-    c.ok(watch.usable(one, true), 'after a pause one call may try')
-    c.notOk(watch.usable(one, true), 'and only one')
-    watch.saw('i1', world.now(), { epoch: 1, position: 3 }, 1)
-    c.ok(watch.usable(one, false), 'its answer ends the doubt')
+    c.ok(watch.isUsable(one, true), 'after a pause one call may try')
+    c.notOk(watch.isUsable(one, true), 'and only one')
+    watch.recordAnswer('i1', world.now(), { epoch: 1, position: 3 }, 1)
+    c.ok(watch.isUsable(one, false), 'its answer ends the doubt')
     watch.failed('i1', world.now(), false, true)
-    c.notOk(watch.usable(one, false), 'one that says it does not lead is doubted at once')
+    c.notOk(watch.isUsable(one, false), 'one that says it does not lead is doubted at once')
     stop.fire()
   }
   await inWorld(run)
--- a/packages/fleet/src/test/noroute.test.ts
+++ b/packages/fleet/src/test/noroute.test.ts
@@ -3,7 +3,7 @@
 import { CONFIG_KEY, emptyBody, type Config } from '@claynotch/operator'
 import { startProxy, type Proxy } from '@claynotch/proxy'
 import type { AgentFeed } from '@claynotch/register'
-import type { Verdict, Word } from '@claynotch/requester'
+import type { Verdict, ClientRequest } from '@claynotch/requester'
 import { makeSim } from '../sim.js'
 import { task } from './beside.js'
 
@@ -19,7 +19,7 @@
   feed: (turn: number, lanes: string[]) => void
   /** Keeps the configuration of that turn in force for LEASE_MS more. */
   renew: (turn: number) => void
-  run: (word: Word) => Promise<Verdict>
+  run: (word: ClientRequest) => Promise<Verdict>
 }
 
 function configOf(lanes: string[]): Config {
@@ -60,7 +60,7 @@
     function feed(turn: number, lanes: string[]): void {
       tell(turn, { ...emptyBody(), epoch: turn, config: configOf(lanes) })
     }
-    function run(word: Word): Promise<Verdict> {
+    function run(word: ClientRequest): Promise<Verdict> {
       return proxy.sessions.run(word, 5000, makeFlag())
     }
     await pause(world, 100)
@@ -70,10 +70,10 @@
   await task(sim, sim.machine('m', '10.0.0.1'), inWorld)
 }
 
-function opens(lane: string): Word {
+function opens(lane: string): ClientRequest {
   return { w: 'open', body: { lane } }
 }
-function calls(lane: string): Word {
+function calls(lane: string): ClientRequest {
   return { w: 'call', body: { lane, kind: 'read', text: 'list', args: [] } }
 }
 
@@ -106,7 +106,7 @@
     feed(1, ['old', 'other'])
     await pause(world, 100)
     const { session } = await run(opens('old'))
-    const statement: Word = { w: 'statement', session: session!, body: { kind: 'read', text: 'list', args: [] } }
+    const statement: ClientRequest = { w: 'statement', session: session!, body: { kind: 'read', text: 'list', args: [] } }
     feed(2, ['other'])
     await pause(world, 100)
     c.equal((await run(statement)).class, 'NOT_FOUND', 'the lane was dropped')
--- a/packages/fleet/src/test/quota-proxy.test.ts
+++ b/packages/fleet/src/test/quota-proxy.test.ts
@@ -15,7 +15,7 @@
 } from '@claynotch/base'
 import type { InstanceAdapter, InstanceConnection, RequestError, StatementResult } from '@claynotch/instance'
 import { CONFIG_KEY, emptyBody, hashKey, type Config, type Tenant } from '@claynotch/operator'
-import { ownAdapters, startProxy, type Proxy } from '@claynotch/proxy'
+import { httpAdapters, startProxy, type Proxy } from '@claynotch/proxy'
 import { QuotaQuestion, type QuotaAnswer, type QuotaGrant } from '@claynotch/quota'
 import { groupKey, type GroupRecord } from '@claynotch/register'
 import type { Verdict } from '@claynotch/requester'
@@ -143,7 +143,7 @@
   }
   await world.listen(LINK, acceptLinks(world, makeHello('agent', 'n1'), serve))
   const set = { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: LINK }
-  const proxy = await startProxy(world, set, { ...ownAdapters, instance: modelLeader(leader) })
+  const proxy = await startProxy(world, set, { ...httpAdapters, instance: modelLeader(leader) })
   let turn = 0
   function feed(tenants: Tenant[], forMs = 60000): void {
     turn++
--- a/packages/fleet/src/test/takeover.test.ts
+++ b/packages/fleet/src/test/takeover.test.ts
@@ -1,5 +1,5 @@
 import t, { type Test } from 'tap'
-import { ownAdapters } from '@claynotch/proxy'
+import { httpAdapters } from '@claynotch/proxy'
 import { httpInstanceAdapter } from '@claynotch/instance'
 import { recordOf, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
@@ -29,7 +29,7 @@
   // Proxies take no samples, as on the users' platform.
   const { sampler: _, ...plain } = httpInstanceAdapter
   for (const seed of [1, 2, 3, 4]) {
-    const fleet = makeSimFleet(seed, shape(), { proxyEdges: { ...ownAdapters, instance: plain } })
+    const fleet = makeSimFleet(seed, shape(), { proxyEdges: { ...httpAdapters, instance: plain } })
     c.ok(await fleet.begin())
     await wait(fleet, 6000)
     const holder = fleet.fronts[holderOf(fleet)]
--- a/packages/proxy/src/adapter.ts
+++ b/packages/proxy/src/adapter.ts
@@ -37,7 +37,7 @@
   }
   return serveHttp(world, options.addr, handle, { lines: options.connections })
 }
-export const ownAdapters: ProxyAdapters = {
+export const httpAdapters: ProxyAdapters = {
   instance: httpInstanceAdapter,
   requester: httpRequester,
   probes: answerProbe,
--- a/packages/proxy/src/client-memory.ts
+++ b/packages/proxy/src/client-memory.ts
@@ -16,7 +16,7 @@
   /** Whether more is to be read from the connection. A single question may be as long as the wire allows, and is read to its end. */
   mayRead: () => boolean
   /** Whether its next question may be taken up. */
-  mayAnswer: () => boolean
+  mayTakeRequest: () => boolean
   close: () => void
 }
 
@@ -56,7 +56,7 @@
     function close(): void {
       set(0, 0, 0)
     }
-    return { set, mayRead, mayAnswer, close }
+    return { set, mayRead, mayTakeRequest: mayAnswer, close }
   }
   function totalBytes(): number {
     return total
--- a/packages/proxy/src/interpret.ts
+++ b/packages/proxy/src/interpret.ts
@@ -247,7 +247,7 @@
     const stopWatching = call.callerGone.watch(wake.fire)
     const remainingMs = Math.max(1, Math.min(call.deadline - world.now(), waitLimitOf(call) - world.now(), 250))
     void state.changed.wait(world, remainingMs, wake).then(wake.fire)
-    void watch.bell.wait(world, remainingMs, wake).then(wake.fire)
+    void watch.doubtCleared.wait(world, remainingMs, wake).then(wake.fire)
     await wake.wait()
     stopWatching()
   }
@@ -324,16 +324,16 @@
     const { group } = call.lane
     const maxConnections = config ? usableConnectionsPerProxy(config, group, state.liveProxies()) : 0
     const closesAfterUse = config !== undefined && isShareBelowOne(config, group, state.liveProxies())
-    instance.usage++
+    instance.callsInFlight++
     const startedAt = world.now()
-    const checkOutResult = await pool.borrow(
+    const checkOutResult = await pool.checkOut(
       instance,
       maxConnections,
       { ...call.requirements, closesAfterUse },
       connectionTimeouts(call),
       call.callerGone,
     )
-    instance.usage--
+    instance.callsInFlight--
     if (checkOutResult.ok) {
       call.connection = checkOutResult.val
       return undefined
@@ -380,7 +380,7 @@
         ? Math.min(remainingMs, call.lane.targetLatencyMs * ATTEMPT_TIMEOUT_SHARE)
         : remainingMs
     call.sentAt = world.now()
-    instance.usage++
+    instance.callsInFlight++
     const { group, name } = call.lane
     if (mayWrite) addWritesInFlight(group, name, 1)
     if (beginsTransaction) openingCalls.add(call)
@@ -389,10 +389,10 @@
       ...(floor !== undefined && !adapter.sampler ? { after: floor } : {}),
     }
     if (call.kind === 'begin read' || call.kind === 'begin write')
-      call.result = await connection.port.begin(call.kind === 'begin read' ? 'read' : 'write', timeoutMs, sendOptions)
+      call.result = await connection.instanceConnection.begin(call.kind === 'begin read' ? 'read' : 'write', timeoutMs, sendOptions)
     else {
       const text = call.body.text
-      call.result = await connection.port.statement(
+      call.result = await connection.instanceConnection.statement(
         {
           ...(text !== undefined
             ? { text }
@@ -405,7 +405,7 @@
       )
     }
     if (mayWrite) addWritesInFlight(group, name, -1)
-    instance.usage--
+    instance.callsInFlight--
     return undefined
   }
   /** Decides from the attempt's result whether the call ends or is retried. */
@@ -418,7 +418,7 @@
     const isFromLeader = floor === undefined
     if (result.ok) {
       const { mark, rows, stamp } = result.val
-      watch.saw(instance.name, call.sentAt, mark, isFromLeader ? epoch : undefined)
+      watch.recordAnswer(instance.name, call.sentAt, mark, isFromLeader ? epoch : undefined)
       const canAcknowledge = !isWrite(call) || state.canAcknowledgeWrite(call.lane.name, group, call.sentAt)
       const isValid = isFromLeader
         ? isEpochCurrent(group, epoch) && (!adapter.exact || mark.epoch === epoch) && canAcknowledge
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -42,12 +42,12 @@
 }
 
 export type CheckedOutConnection = {
-  port: InstanceConnection
+  instanceConnection: InstanceConnection
   instance: string
   shapeId: (text: string) => string
   // Puts a shape, or one more setting, in force on the connection as it is, also within a transaction.
   shape: (text: string) => Promise<RequestError | undefined>
-  setting: (name: string, value: string) => Promise<RequestError | undefined>
+  applySetting: (name: string, value: string) => Promise<RequestError | undefined>
   // Gives the connection back; clean is false where its state isn't known for sure.
   end: (clean: boolean) => void
 }
@@ -64,7 +64,7 @@
 }
 
 export type Pool = {
-  borrow: (
+  checkOut: (
     who: InstanceAddress,
     limit: number,
     need: ConnectionRequirements,
@@ -322,5 +322,5 @@
   function close(): void {
     for (const p of places.values()) for (const c of p.idle) c.port.close()
   }
-  return { borrow, open, shrink, close }
+  return { checkOut: borrow, open, shrink, close }
 }
--- a/packages/proxy/src/proxy.ts
+++ b/packages/proxy/src/proxy.ts
@@ -32,7 +32,7 @@
 import { makePool, type Pool } from './pool.js'
 import { makeQuotaStep } from './quota-step.js'
 import { makeSessions, type Sessions } from './sessions.js'
-import { ownAdapters, type ProxyAdapters } from './adapter.js'
+import { httpAdapters, type ProxyAdapters } from './adapter.js'
 import { makeState, type State } from './state.js'
 import { startWatch, type Watch } from './watch.js'
 
@@ -51,7 +51,7 @@
   pool: Pool
 }
 
-export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = ownAdapters): Promise<Proxy> {
+export async function startProxy(world: World, set: ProxySettings, edges: ProxyAdapters = httpAdapters): Promise<Proxy> {
   const stop = makeFlag()
   const metrics = makeMetrics()
   const life = Math.floor(world.random() * 2 ** 40).toString(36)
@@ -134,7 +134,7 @@
   function badNow(now: number): [string, number][] {
     const out: [string, number][] = []
     for (const [name, one] of watch.all()) {
-      if (one.usage === 0) waits.delete(name)
+      if (one.callsInFlight === 0) waits.delete(name)
       else waits.set(name, Math.max(waits.get(name) ?? now, one.lastOk))
       const from = Math.min(
         one.failing ?? now,
--- a/packages/proxy/src/sessions.ts
+++ b/packages/proxy/src/sessions.ts
@@ -12,7 +12,7 @@
 } from '@claynotch/base'
 import type { InstanceAdapter } from '@claynotch/instance'
 import { AUTO, hashKey } from '@claynotch/operator'
-import { refusal, type Kind, type Verdict, type Word } from '@claynotch/requester'
+import { refusal, type Kind, type Verdict, type ClientRequest } from '@claynotch/requester'
 import { makeCall, type Call, type CallResult } from './call.js'
 import { isForOtherGroup, parseToken, formatToken, type Token } from './freshness.js'
 import { identify } from './identity.js'
@@ -25,7 +25,7 @@
 
 export type Sessions = {
   /** One request of a client. ms: how long it will wait; gone: it went away. */
-  run: (request: Word, ms: number | undefined, gone: Flag) => Promise<Verdict>
+  run: (request: ClientRequest, ms: number | undefined, gone: Flag) => Promise<Verdict>
   open: () => number
   /** Open transactions of a group, or of all. Reading ones count too: they get their time like any other. */
   transactions: (group?: string, lane?: string, kind?: 'read' | 'write') => number
@@ -33,9 +33,9 @@
   cut: (why: string) => void
 }
 
-type OpenRequest = Extract<Word, { w: 'open' }>
-type BeginRequest = Extract<Word, { w: 'begin' }>
-type SingleCallRequest = Extract<Word, { w: 'call' }>
+type OpenRequest = Extract<ClientRequest, { w: 'open' }>
+type BeginRequest = Extract<ClientRequest, { w: 'begin' }>
+type SingleCallRequest = Extract<ClientRequest, { w: 'call' }>
 
 function pairsOf(list: { name: string; value: string }[] | undefined): [string, string][] {
   const out: [string, string][] = []
@@ -286,7 +286,7 @@
     await transactions.rollBack(session)
     return { outcome: 'done', transaction: 'over' }
   }
-  async function onSession(session: Session, request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function onSession(session: Session, request: ClientRequest, ms: number | undefined, gone: Flag): Promise<Verdict> {
     const tx = session.transaction
     const lane = state.rules()?.lanes.get(tx?.lane ?? '')
     const left = Math.min(ms ?? ATTEMPT_TIMEOUT_MS, lane?.statementTimeoutMs ?? ATTEMPT_TIMEOUT_MS)
@@ -350,7 +350,7 @@
     const isTokenNew = body.kind === 'write' || isForOtherGroup(token, call.lane.group)
     return { ...verdict, token: formatToken(isTokenNew && mark ? { group: call.lane.group, position: mark } : token) }
   }
-  async function runOn(session: Session, request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function runOn(session: Session, request: ClientRequest, ms: number | undefined, gone: Flag): Promise<Verdict> {
     session.isBusy = true
     session.lastUsedAt = world.now()
     try {
@@ -365,7 +365,7 @@
         transactions.endUnasked(session, 'ABORTED', 'the requester went away')
     }
   }
-  async function run(request: Word, ms: number | undefined, gone: Flag): Promise<Verdict> {
+  async function run(request: ClientRequest, ms: number | undefined, gone: Flag): Promise<Verdict> {
     if (request.w === 'open') return open(request)
     if (request.w === 'call') return await callOnce(request, ms, gone)
     const session = all.get(request.session)
--- a/packages/proxy/src/target-selection.ts
+++ b/packages/proxy/src/target-selection.ts
@@ -48,13 +48,13 @@
     const acceptsCalls = record.phase === 'steady' || (record.phase === 'drain' && call.kind === 'read')
     if (!acceptsCalls || record.leader === undefined) return undefined
     const instance = watch.get(record.leader)
-    if (!instance || !watch.usable(instance, false)) return undefined
+    if (!instance || !watch.isUsable(instance, false)) return undefined
     if (isStoppedByMove(call)) return undefined
     const mayWrite = call.kind === 'write' || call.kind === 'begin write'
     if (mayWrite && !isWithinPromotionGuard(call.lane.group, record.leader, record.epoch)) return undefined
     // A leader that is leaving stays in use until its successor takes over, but for a bounded time only.
     if (state.leavingForMs(record.leader) > LEAVING_GRACE_MS) return undefined
-    watch.usable(instance, true)
+    watch.isUsable(instance, true)
     return { instance, epoch: record.epoch }
   }
   /**
@@ -74,7 +74,7 @@
     if (guard === undefined) return true
     const samples = watch.get(leader)?.samples ?? []
     for (const follower of watch.all().values()) {
-      if (follower.group !== group || follower.name === leader || !follower.mark || follower.doubt) continue
+      if (follower.group !== group || follower.name === leader || !follower.mark || follower.isInDoubt) continue
       const stalenessMs = provedStalenessMs(samples, epoch, follower.mark, world.now())
       if (stalenessMs !== undefined && stalenessMs <= guard) return true
     }
@@ -98,7 +98,7 @@
       if (
         candidate.group !== call.lane.group ||
         candidate.name === record.leader ||
-        !watch.usable(candidate, false) ||
+        !watch.isUsable(candidate, false) ||
         state.isLeaving(candidate.name) ||
         call.laggingFollowers.has(candidate.name)
       )
@@ -112,7 +112,7 @@
       )
         continue
       // Prefers instances in this node's own area, then the lowest usage.
-      const cost = candidate.usage + (candidate.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST)
+      const cost = candidate.callsInFlight + (candidate.area === state.area() ? 0 : OTHER_ZONE_LOAD_COST)
       if (cost < lowestCost) {
         lowestCost = cost
         best = candidate
@@ -126,11 +126,11 @@
       leader &&
       record.phase === 'steady' &&
       leader.area === state.area() &&
-      leader.usage < lowestCost &&
-      watch.usable(leader, false)
+      leader.callsInFlight < lowestCost &&
+      watch.isUsable(leader, false)
     )
       return undefined
-    watch.usable(best, true)
+    watch.isUsable(best, true)
     return { instance: best, epoch: record.epoch, floor: requiredFloor }
   }
   function requiredPosition(
--- a/packages/proxy/src/transactions.ts
+++ b/packages/proxy/src/transactions.ts
@@ -12,7 +12,7 @@
   type World,
 } from '@claynotch/base'
 import type { InstanceAdapter, RequestError, StatementResult } from '@claynotch/instance'
-import { refusal, type Verdict, type Word } from '@claynotch/requester'
+import { refusal, type Verdict, type ClientRequest } from '@claynotch/requester'
 import { isFresh } from './freshness.js'
 import { tenantOfKey, identify } from './identity.js'
 import type { Runner } from './interpret.js'
@@ -21,7 +21,7 @@
 import { freshnessOf, type Session, type Transaction } from './session.js'
 import type { State } from './state.js'
 
-export type StatementRequest = Extract<Word, { w: 'statement' }>
+export type StatementRequest = Extract<ClientRequest, { w: 'statement' }>
 
 /** The open transactions of sessions: their statements, and how they end. */
 export type Transactions = {
@@ -96,7 +96,7 @@
     const tx = session.transaction
     if (!tx) return
     session.transaction = undefined
-    const got = await tx.connection.port.rollback(ATTEMPT_TIMEOUT_MS)
+    const got = await tx.connection.instanceConnection.rollback(ATTEMPT_TIMEOUT_MS)
     tx.connection.end(got.ok)
     runner.inFlightEnded.notify()
   }
@@ -171,7 +171,7 @@
     if (!state.canAcknowledgeWrite(tx.lane, tx.group, tx.begunAt)) return `the lane ${tx.lane} was moved`
     const why = whyDenied(tx) ?? whyOverByConfiguration(tx) ?? whyOverByGroup(tx)
     if (why !== undefined) return why
-    return tx.connection.port.alive() ? undefined : 'the connection to the instance broke'
+    return tx.connection.instanceConnection.alive() ? undefined : 'the connection to the instance broke'
   }
   function endIfOver(session: Session): void {
     const tx = session.transaction
@@ -207,7 +207,7 @@
     if (why !== undefined) return Err(notSent(why))
     const what = shape ? { shape: connection.shapeId(shape.text) } : { text: body.text ?? '' }
     const sent = { ...what, args: body.args ?? [], mode, ...(id !== undefined ? { id } : {}) }
-    return await connection.port.statement(sent, Math.min(ms, ATTEMPT_TIMEOUT_MS))
+    return await connection.instanceConnection.statement(sent, Math.min(ms, ATTEMPT_TIMEOUT_MS))
   }
   async function statement(
     session: Session,
@@ -274,7 +274,7 @@
     if (why !== undefined) return over(session, tx, 'UNAVAILABLE', why)
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, 1)
     const sent = id !== undefined ? { id } : undefined
-    const got = await tx.connection.port.commit(Math.min(ms, ATTEMPT_TIMEOUT_MS), sent)
+    const got = await tx.connection.instanceConnection.commit(Math.min(ms, ATTEMPT_TIMEOUT_MS), sent)
     if (tx.kind === 'write') runner.addWritesInFlight(tx.group, tx.lane, -1)
     if (session.transaction === tx) session.transaction = undefined
     tx.connection.end(got.ok || got.val.reach === 'answered')
@@ -296,7 +296,7 @@
     if (why !== undefined) return over(session, tx, 'UNAVAILABLE', why)
     const before = session.state.value(name)
     if (!session.state.set(name, value)) return tooMuchState()
-    const error = await tx.connection.setting(name, value)
+    const error = await tx.connection.applySetting(name, value)
     if (!error) return { outcome: 'done' }
     session.state.restore(name, before)
     return overByError(session, tx, error)
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -32,11 +32,11 @@
   status: Status | undefined
   mark: LogPosition | undefined
   samples: Sample[]
-  doubt: boolean
+  isInDoubt: boolean
   row: number
   again: number
   pause: number
-  usage: number
+  callsInFlight: number
   // failing: when the first send was made that failed with no sign of life after it.
   failing: number | undefined
 }
@@ -46,15 +46,15 @@
   all: () => Map<string, Instance>
   // A good answer, asked at that time, with the place the instance was at.
   // reign: the record's epoch that it was asked under as leader; undefined: it was asked as a follower.
-  saw: (name: string, asked: number, mark: LogPosition, reign: number | undefined) => void
+  recordAnswer: (name: string, asked: number, mark: LogPosition, reign: number | undefined) => void
   // asked: when what failed was sent; an answer that came after it speaks for the instance. alive: it was answered, by one
   // that serves. sure: it says itself that it doesn't lead, so nobody need try again to know.
   failed: (name: string, asked: number, alive: boolean, sure: boolean) => void
   // Whether a call may go there; claim: it does, and while there is doubt no other may for a while.
-  usable: (one: Instance, claim: boolean) => boolean
+  isUsable: (one: Instance, claim: boolean) => boolean
   // Rings when an instance begins to fail.
   trouble: ReturnType<typeof makeSignal>
-  bell: ReturnType<typeof makeSignal>
+  doubtCleared: ReturnType<typeof makeSignal>
 }
 
 export function startWatch(world: World, state: State, edge: InstanceAdapter, stop: Flag, metrics: Metrics): Watch {
@@ -95,11 +95,11 @@
         status: undefined,
         mark: undefined,
         samples: [],
-        doubt: false,
+        isInDoubt: false,
         row: 0,
         again: 0,
         pause: 0,
-        usage: 0,
+        callsInFlight: 0,
         failing: undefined,
       }
       const end = makeFlag()
@@ -161,11 +161,11 @@
     }
     const rec = state.group(one.group)?.record
     const fits = rec?.leader === name ? lead && reign === rec.epoch : true
-    if (one.doubt && fits) {
-      one.doubt = false
+    if (one.isInDoubt && fits) {
+      one.isInDoubt = false
       one.pause = 0
       signal.notify()
-    } else if (!fits) one.doubt = true
+    } else if (!fits) one.isInDoubt = true
   }
   // One lost answer among many is no reason to keep everyone away: where nothing samples the instance, the second in a row is.
   function failed(name: string, asked: number, alive: boolean, sure: boolean): void {
@@ -184,12 +184,12 @@
     if (!edge.sampler && !sure && ++one.row < FAILURES_BEFORE_SUSPICION) return
     one.pause = Math.min(MAX_TRIAL_DELAY_MS, one.pause === 0 ? MIN_TRIAL_DELAY_MS : one.pause * 2)
     one.again = world.now() + one.pause
-    if (one.doubt) return
-    one.doubt = true
+    if (one.isInDoubt) return
+    one.isInDoubt = true
     metrics.add('claynotch_doubts_total', [['instance', name]])
   }
   function usable(one: Instance, claim: boolean): boolean {
-    if (!one.doubt) return true
+    if (!one.isInDoubt) return true
     if (edge.sampler || world.now() < one.again) return false
     if (claim) one.again = world.now() + one.pause
     return true
@@ -200,5 +200,5 @@
   function allNow(): Map<string, Instance> {
     return all
   }
-  return { get, all: allNow, saw, failed, usable, trouble, bell: signal }
+  return { get, all: allNow, recordAnswer: saw, failed, isUsable: usable, trouble, doubtCleared: signal }
 }
--- a/packages/requester/src/index.ts
+++ b/packages/requester/src/index.ts
@@ -33,7 +33,7 @@
 // key: the client's own, which tells whose it is. lane undefined: the lane is matched by the database, anew for each call. id: the requester's own mark of a statement,
 // handed on to the instance. kind of a shape: what its statements do; a statement by shape may then leave its kind out.
 export type Kind = 'read' | 'write'
-export type Word =
+export type ClientRequest =
   | { w: 'open'; body: Omit<t.TypeOf<typeof OpenBody>, 'lane'> & { lane?: string } }
   | { w: 'close'; session: string }
   | { w: 'shape'; session: string; body: t.TypeOf<typeof ShapeBody> & { kind?: Kind } }
@@ -111,7 +111,7 @@
   return readStrict(codec, value)
 }
 
-export function readWord(ask: HttpRequest): Result<Word, { status: number; why: string; findings: Finding[] }> {
+export function readWord(ask: HttpRequest): Result<ClientRequest, { status: number; why: string; findings: Finding[] }> {
   const parts = ask.path.split('/').filter(Boolean)
   const verb = ask.method
   function bad(findings: Finding[]): Result<never, { status: number; why: string; findings: Finding[] }> {
