--- a/packages/fleet/src/control/faults.ts
+++ b/packages/fleet/src/control/faults.ts
@@ -92,9 +92,9 @@
     later(long, end)
   }
   function stall(box: Box, long: number): void {
-    box.machine.stalled = true
+    box.machine.isDiskStalled = true
     function end(): void {
-      box.machine.stalled = false
+      box.machine.isDiskStalled = false
     }
     later(long, end)
   }
@@ -133,12 +133,12 @@
   function stepClock(box: Box, step: number): void {
     if (sim.now() - box.stepped < CLOCK_STEP_PAUSE) return
     box.stepped = sim.now()
-    box.machine.skew += Math.min(step, CLOCK_STEP_MOST)
+    box.machine.clockSkewMs += Math.min(step, CLOCK_STEP_MOST)
   }
   function frontFault(kind: 'kill' | 'freeze' | 'clock', long: number): void {
     if (!front.up) return
     const { proc } = front
-    if (kind === 'clock') front.machine.skew += long
+    if (kind === 'clock') front.machine.clockSkewMs += long
     else if (kind === 'freeze') {
       sim.freeze(proc)
       function thaw(): void {
@@ -199,7 +199,7 @@
     for (const b of fleet.present()) {
       b.machine.slow = 1
       b.machine.full = false
-      b.machine.stalled = false
+      b.machine.isDiskStalled = false
       if (b.proc?.state === 'frozen') sim.thaw(b.proc)
       if (b.ending) fleet.kill(b)
       fleet.start(b)
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -205,7 +205,7 @@
       skipped: faults.skipped(),
       progress: took,
       whole,
-      events: sim.events(),
+      events: sim.eventCount(),
       virtual: sim.now(),
     }
   }
--- a/packages/fleet/src/sim.ts
+++ b/packages/fleet/src/sim.ts
@@ -44,9 +44,9 @@
   /** Log lines of the processes: all with keepLines, otherwise only those of faults. */
   lines: string[]
   /** Events taken from the queue so far. */
-  events: () => number
+  eventCount: () => number
   /** Bytes sent so far, by the name of the sending machine, then by that of the receiving one. */
-  carried: () => Map<string, Map<string, number>>
+  bytesSent: () => Map<string, Map<string, number>>
 }
 
 /** Mean one-way latency between two machines, unless an option sets another. */
@@ -69,12 +69,12 @@
     const created: Machine = {
       name,
       ip,
-      skew: Math.floor(random() * 1e6),
+      clockSkewMs: Math.floor(random() * 1e6),
       files: new Map(),
       dark: false,
       full: false,
       slow: 1,
-      stalled: false,
+      isDiskStalled: false,
     }
     machines.set(ip, created)
     return created
@@ -85,9 +85,9 @@
       machine: host,
       state: 'up',
       held: [],
-      ends: new Set(),
+      streamEnds: new Set(),
       open: new Set(),
-      inFlight: new Set(),
+      pendingWrites: new Set(),
     }
     function recordStartFault(e: unknown): void {
       lines.push(
@@ -97,7 +97,7 @@
     function runStart(): void {
       start(worlds.make(proc)).catch(recordStartFault)
     }
-    clock.plan(0, proc, runStart)
+    clock.schedule(0, proc, runStart)
     return proc
   }
   function kill(proc: Proc): void {
@@ -106,13 +106,13 @@
     proc.held = []
     worlds.closeListeners(proc)
     // The kernel resets the open streams; the peers learn of it only once the network carries the reset.
-    for (const end of proc.ends) {
+    for (const end of proc.streamEnds) {
       end.isClosed = true
       if (end.peerEnd) network.resetPeerLater(end, end.peerEnd)
     }
-    proc.ends.clear()
+    proc.streamEnds.clear()
     // A write that hasn't been synced may be complete, torn or missing.
-    for (const write of proc.inFlight) {
+    for (const write of proc.pendingWrites) {
       const draw = random()
       if (write.whole) {
         if (draw < 0.5) write.machine.files.set(write.path, Buffer.from(write.bytes))
@@ -124,7 +124,7 @@
         )
       }
     }
-    proc.inFlight.clear()
+    proc.pendingWrites.clear()
   }
   function freeze(proc: Proc): void {
     if (proc.state === 'up') proc.state = 'frozen'
@@ -134,10 +134,10 @@
     proc.state = 'up'
     const held = proc.held
     proc.held = []
-    for (const event of held) clock.plan(0, proc, event.run)
+    for (const event of held) clock.schedule(0, proc, event.run)
   }
   function at(ms: number, run: () => void): void {
-    clock.plan(ms, undefined, run)
+    clock.schedule(ms, undefined, run)
   }
   return {
     now: clock.now,
@@ -155,7 +155,7 @@
     run: driver.run,
     until: driver.until,
     lines,
-    events: driver.eventCount,
-    carried: network.bytesSent,
+    eventCount: driver.eventCount,
+    bytesSent: network.bytesSent,
   }
 }
--- a/packages/fleet/src/simclock.ts
+++ b/packages/fleet/src/simclock.ts
@@ -6,11 +6,11 @@
   /** Moves virtual time forward; it never goes back. */
   advance: (to: number) => void
   /** Schedules an event in `ms` ms; proc: the process that it belongs to, undefined for none. */
-  plan: (ms: number, proc: Proc | undefined, run: () => void) => void
+  schedule: (ms: number, proc: Proc | undefined, run: () => void) => void
   /** Removes the next event from the queue and returns it. */
   pop: () => ScheduledEvent | undefined
   /** Time of the next event; undefined: the queue is empty. */
-  due: () => number | undefined
+  nextEventAt: () => number | undefined
 }
 
 type Queue = {
@@ -76,5 +76,5 @@
   function peekTime(): number | undefined {
     return queue.first()?.at
   }
-  return { now: currentTime, advance, plan: scheduleEvent, pop: queue.pop, due: peekTime }
+  return { now: currentTime, advance, schedule: scheduleEvent, pop: queue.pop, nextEventAt: peekTime }
 }
--- a/packages/fleet/src/simdisk.ts
+++ b/packages/fleet/src/simdisk.ts
@@ -10,18 +10,18 @@
   const { machine } = proc
   /** Runs an operation after the disk's delay and any stall; a process killed before that may lose or tear `write`. */
   function afterDiskDelay(run: () => void, write?: PendingWrite): Promise<void> {
-    if (write) proc.inFlight.add(write)
+    if (write) proc.pendingWrites.add(write)
     function start(resolve: () => void): void {
       function complete(): void {
-        if (machine.stalled) {
-          clock.plan(STALL_POLL_MS, proc, complete)
+        if (machine.isDiskStalled) {
+          clock.schedule(STALL_POLL_MS, proc, complete)
           return
         }
-        if (write) proc.inFlight.delete(write)
+        if (write) proc.pendingWrites.delete(write)
         run()
         resolve()
       }
-      clock.plan((0.5 + random()) * machine.slow, proc, complete)
+      clock.schedule((0.5 + random()) * machine.slow, proc, complete)
     }
     return new Promise(start)
   }
--- a/packages/fleet/src/simdriver.ts
+++ b/packages/fleet/src/simdriver.ts
@@ -68,7 +68,7 @@
   }
   async function run(until: number): Promise<void> {
     function result(): boolean | undefined {
-      if ((clock.due() ?? Infinity) <= until) return undefined
+      if ((clock.nextEventAt() ?? Infinity) <= until) return undefined
       clock.advance(until)
       return true
     }
@@ -78,7 +78,7 @@
     const deadline = clock.now() + limitMs
     function result(): boolean | undefined {
       if (condition()) return true
-      return (clock.due() ?? Infinity) > deadline ? false : undefined
+      return (clock.nextEventAt() ?? Infinity) > deadline ? false : undefined
     }
     return waitFor(result)
   }
--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -15,11 +15,17 @@
 import { type Event, LOOK_SUFFIX, type Mix, runRequester } from './requester.js'
 import { makeSim } from './sim.js'
 import { serviceRate, type ServiceHistory, type TimeSpan } from './service-rate.js'
-import type { Box, CoreBox, RequesterOptions, Decided, Front, SimFleet } from './simfleettypes.js'
+import type { InstanceHost, CoreHost, RequesterOptions, Decision, FrontHost, SimFleet } from './simfleettypes.js'
 import { watchFleet } from './simwatch.js'
 import { lawOf, type Shape } from './simshape.js'
 
-export type { Box, CoreBox, Decided, Front, SimFleet } from './simfleettypes.js'
+export type {
+  InstanceHost as Box,
+  CoreHost as CoreBox,
+  Decision as Decided,
+  FrontHost as Front,
+  SimFleet,
+} from './simfleettypes.js'
 export { lawOf, smallShape, type Shape } from './simshape.js'
 
 /**
@@ -29,15 +35,15 @@
 export function makeSimFleet(
   seed: number,
   shape: Shape,
-  opt: { keepLines?: boolean; agentEdges?: AgentAdapters; proxyEdges?: ProxyAdapters } = {},
+  opt: { keepLines?: boolean; agentAdapters?: AgentAdapters; proxyAdapters?: ProxyAdapters } = {},
 ): SimFleet {
   const sim = makeSim(seed, { ...opt, ...(shape.latency !== undefined ? { latency: shape.latency } : {}) })
   const events: Event[] = []
-  const fronts: Front[] = []
-  const cores: CoreBox[] = []
-  const boxes: Box[] = []
+  const fronts: FrontHost[] = []
+  const cores: CoreHost[] = []
+  const boxes: InstanceHost[] = []
   const promotions: SimFleet['promotions'] = []
-  const decided: SimFleet['decided'] = []
+  const decided: SimFleet['operatorDecisions'] = []
   /** Breaches found by watching the proxies and group records while the simulation runs. */
   const watched: Breach[] = []
   /** The rules of each lane by the accepted changes, in order. */
@@ -91,10 +97,10 @@
           seeds,
           platform: `${platform.ip}:80`,
           ...(shape.operators ? { operators: shape.operators } : {}),
-          ...(shape.suspect !== undefined ? { suspicionTimeoutMs: shape.suspect } : {}),
+          ...(shape.suspicionTimeoutMs !== undefined ? { suspicionTimeoutMs: shape.suspicionTimeoutMs } : {}),
           build: 'sim',
         },
-        opt.agentEdges,
+        opt.agentAdapters,
       )
     }
     front.agent = undefined
@@ -107,7 +113,7 @@
       front.proxy = await startProxy(
         world,
         { listen: front.listen, admin: `${front.machine.ip}:7301`, agent: '127.0.0.1:7100' },
-        opt.proxyEdges,
+        opt.proxyAdapters,
       )
     }
     front.proxy = undefined
@@ -137,7 +143,7 @@
     const peers: Address[] = []
     for (const other of boxes) if (other.group === host.group && other !== host) peers.push(other.addr)
     const startsAsLeader = boxes.find(isSameGroup) === host
-    function isSameGroup(other: Box): boolean {
+    function isSameGroup(other: InstanceHost): boolean {
       return other.group === host.group
     }
     const agents: Address[] = []
@@ -178,7 +184,7 @@
     async function handle(request: HttpRequest): Promise<HttpResponse> {
       const body = request.body as { group: string; instance: string; epoch: number }
       const host = boxes.find(isNamedInstance)
-      function isNamedInstance(candidate: Box): boolean {
+      function isNamedInstance(candidate: InstanceHost): boolean {
         return candidate.name === body.instance
       }
       if (!host) return { status: 404, body: {} }
@@ -206,7 +212,7 @@
       const ip = `10.0.${10 + g}.${k + 1}`
       const machine = sim.machine(`${group}${k + 1}`, ip)
       // All instances share one clock, so that the judge can compare their times with the requesters' times.
-      machine.skew = 0
+      machine.clockSkewMs = 0
       boxes.push({
         machine,
         proc: undefined as never,
@@ -218,19 +224,20 @@
       })
     }
   }
-  requesterMachine.skew = 0
+  requesterMachine.clockSkewMs = 0
   for (let k = 0; k < boxes.length; k++) startBoxAt(k)
 
   /** Sends configuration changes, one after the other, to the operator endpoint of one agent. */
-  function change(front: number, stream: string, lines: unknown[]): { done: () => boolean; out: () => Decided[] } {
+  function change(front: number, stream: string, lines: unknown[]): { done: () => boolean; out: () => Decision[] } {
     let isEnded = false
-    let decisions: Decided[] = []
+    let decisions: Decision[] = []
     async function start(world: World): Promise<void> {
       for (const line of lines) {
         const answer = await requestOnce(world, fronts[front].http, 'POST', `/streams/${stream}`, line, 12000)
         if (answer.err) decisions = [...decisions, { decision: 'no answer', why: answer.val.why }]
-        else if (typeof answer.val.body === 'string') decisions = [...decisions, JSON.parse(answer.val.body) as Decided]
-        else decisions = [...decisions, answer.val.body as Decided]
+        else if (typeof answer.val.body === 'string')
+          decisions = [...decisions, JSON.parse(answer.val.body) as Decision]
+        else decisions = [...decisions, answer.val.body as Decision]
         const { number, expect } = line as { number: number; expect: number }
         decided.push({ stream, number, expect, told: decisions[decisions.length - 1], at: sim.now() })
       }
@@ -240,7 +247,7 @@
     function done(): boolean {
       return isEnded
     }
-    function currentDecisions(): Decided[] {
+    function currentDecisions(): Decision[] {
       return decisions
     }
     return { done, out: currentDecisions }
@@ -298,7 +305,7 @@
     return trafficStopFlag.fired()
   }
   function traffic(): void {
-    crowdIn(shape.mixes, shape.requesters, shape.think)
+    crowdIn(shape.mixes, shape.requesters, shape.thinkTimeMs)
   }
   const history: ServiceHistory = { doneAt: [], requesterStarts: [], rests: [] }
   function serviceRateNow(window: TimeSpan): number {
@@ -356,7 +363,7 @@
   }
   /** Judges the run so far: the requesters' events, the breaches seen while running, and the operators' decisions. */
   function judgeNow(): Judgement {
-    const judgement = judge(events, records(), laws, shape.apart === true)
+    const judgement = judge(events, records(), laws, shape.separateGroupData === true)
     judgement.breaches.push(...watched)
     // Exactly one change may win each expected epoch; an epoch that was answered for two changes has two winners.
     const winners = new Map<number, string>()
@@ -412,8 +419,8 @@
     return breaches
   }
   /** The group's running leader; with several, the one of the highest epoch. */
-  function leaderOf(group: string): Box | undefined {
-    let leader: Box | undefined
+  function leaderOf(group: string): InstanceHost | undefined {
+    let leader: InstanceHost | undefined
     for (const host of boxes) {
       if (host.group !== group || !host.instance || host.instance.role() !== 'leader') continue
       if (!leader || host.instance.epoch() > (leader.instance?.epoch() ?? 0)) leader = host
@@ -423,26 +430,26 @@
   return {
     sim,
     shape,
-    decided,
+    operatorDecisions: decided,
     laws,
-    watched,
+    watchBreaches: watched,
     fronts,
     cores,
-    boxes,
+    instanceHosts: boxes,
     events,
     platform,
     promotions,
     startCoreAt,
     startAgentAt,
     startProxyAt,
-    startBoxAt,
-    killBox,
+    startInstanceAt: startBoxAt,
+    killInstance: killBox,
     addFront,
     change,
     ask,
     begin,
-    traffic,
-    crowdIn,
+    startTraffic: traffic,
+    addRequesters: crowdIn,
     serviceRate: serviceRateNow,
     quiet,
     judge: judgeNow,
--- a/packages/fleet/src/simfleettypes.ts
+++ b/packages/fleet/src/simfleettypes.ts
@@ -10,7 +10,7 @@
 import type { Shape } from './simshape.js'
 
 /** A machine with an agent and a proxy. */
-export type Front = {
+export type FrontHost = {
   machine: Machine
   agentProc: Proc
   proxyProc: Proc
@@ -22,10 +22,10 @@
 }
 
 /** A core's machine and process; core: undefined until it has started. */
-export type CoreBox = { machine: Machine; proc: Proc; core: Core | undefined; id: string; http: Address }
+export type CoreHost = { machine: Machine; proc: Proc; core: Core | undefined; id: string; http: Address }
 
 /** An instance's machine and process. */
-export type Box = {
+export type InstanceHost = {
   machine: Machine
   proc: Proc
   instance: Instance | undefined
@@ -47,30 +47,30 @@
 export type SimFleet = {
   sim: Sim
   shape: Shape
-  fronts: Front[]
-  cores: CoreBox[]
-  boxes: Box[]
+  fronts: FrontHost[]
+  cores: CoreHost[]
+  instanceHosts: InstanceHost[]
   events: Event[]
   platform: Machine
   /** Every decision that an operator was given (`told`) and when; stream, number and expect are the change's. */
-  decided: { stream: string; number: number; expect: number; told: Decided; at: number }[]
+  operatorDecisions: { stream: string; number: number; expect: number; told: Decision; at: number }[]
   /** The rules of each lane by the accepted changes, in order. */
   laws: Law[]
   /** Breaches found by watching the fleet while the simulation runs. */
-  watched: Breach[]
+  watchBreaches: Breach[]
   /** Promotion calls that the platform forwarded, and when. */
   promotions: { group: string; instance: string; epoch: number; at: number }[]
   /** Starts the process of core k; the next three do the same for agents, proxies and instances. */
   startCoreAt: (k: number) => void
   startAgentAt: (k: number) => void
   startProxyAt: (k: number) => void
-  startBoxAt: (k: number) => void
+  startInstanceAt: (k: number) => void
   /** Kills an instance's process; its record so far is kept for the judge. */
-  killBox: (k: number) => void
+  killInstance: (k: number) => void
   /** Adds a front machine and starts its agent and proxy; returns its index. */
   addFront: () => number
   /** Sends NDJSON lines to the operator endpoint of one agent, one request each; out() has the decisions so far. */
-  change: (front: number, stream: string, lines: unknown[]) => { done: () => boolean; out: () => Decided[] }
+  change: (front: number, stream: string, lines: unknown[]) => { done: () => boolean; out: () => Decision[] }
   /** Sends one HTTP request to the agent of a front machine; status() is 0 without an answer. */
   ask: (
     front: number,
@@ -81,9 +81,9 @@
   /** Waits for cores and agents, sends the configuration, and waits until every proxy is ready; false: timed out. */
   begin: () => Promise<boolean>
   /** Starts the requesters that the shape names. */
-  traffic: () => void
+  startTraffic: () => void
   /** Starts more requesters, with their own mixes of operations. */
-  crowdIn: (mixes: Mix[], count: number, think: number, options?: RequesterOptions) => void
+  addRequesters: (mixes: Mix[], count: number, think: number, options?: RequesterOptions) => void
   /** Service rate of the measured requesters in a time span. */
   serviceRate: (window: TimeSpan) => number
   /** Ends the traffic, then leaves 25 s for outstanding answers to arrive and for followers to catch up. */
@@ -93,13 +93,13 @@
   /** Reads the change history from a running agent and compares it with the decisions that operators were given. */
   readBack: () => Promise<Breach[]>
   /** The group's running leader; with several, the one of the highest epoch. */
-  leaderOf: (group: string) => Box | undefined
+  leaderOf: (group: string) => InstanceHost | undefined
   /** The records of all instances, those of killed ones included. */
   records: () => InstanceRecord[]
 }
 
 /** The answer to an operator's configuration change. */
-export type Decided = {
+export type Decision = {
   number?: number
   decision: string
   epoch?: number
--- a/packages/fleet/src/simnetwork.ts
+++ b/packages/fleet/src/simnetwork.ts
@@ -63,7 +63,7 @@
     function destroy(_e: Error | null, done: (e: Error | null) => void): void {
       if (!end.isClosed) {
         end.isClosed = true
-        proc.ends.delete(end)
+        proc.streamEnds.delete(end)
         if (end.peerEnd) resetPeerLater(end, end.peerEnd)
       }
       done(null)
@@ -83,7 +83,7 @@
     function returnEnd(): StreamEnd {
       return end
     }
-    proc.ends.add(end)
+    proc.streamEnds.add(end)
     return end
   }
   /**
@@ -100,26 +100,26 @@
       if (to.isClosed) return
       if (isCut(from.proc.machine, to.proc.machine)) {
         from.lastArrivalAt = Math.max(from.lastArrivalAt, clock.now() + 200)
-        clock.plan(200, to.proc, deliver)
+        clock.schedule(200, to.proc, deliver)
         return
       }
       to.push(chunk)
     }
-    clock.plan(arrivesAt - clock.now(), to.proc, deliver)
+    clock.schedule(arrivesAt - clock.now(), to.proc, deliver)
   }
   function resetPeerLater(from: StreamEnd, to: StreamEnd): void {
     const arrivesAt = Math.max(clock.now() + delay(), from.lastArrivalAt)
     function resetPeer(): void {
       if (to.isClosed) return
       if (isCut(from.proc.machine, to.proc.machine)) {
-        clock.plan(200, to.proc, resetPeer)
+        clock.schedule(200, to.proc, resetPeer)
         return
       }
       to.isClosed = true
-      to.proc.ends.delete(to)
+      to.proc.streamEnds.delete(to)
       to.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
     }
-    clock.plan(arrivesAt - clock.now(), to.proc, resetPeer)
+    clock.schedule(arrivesAt - clock.now(), to.proc, resetPeer)
   }
   function cut(from: Machine, to: Machine, both = true): void {
     cuts.add(`${from.name}>${to.name}`)
@@ -134,17 +134,17 @@
     cuts.delete(`${to.name}>${from.name}`)
   }
   function reset(proc: Proc): void {
-    for (const end of [...proc.ends]) {
+    for (const end of [...proc.streamEnds]) {
       const peer = end.peerEnd
       if (!peer) continue
       for (const side of [end, peer]) {
         if (side.isClosed) continue
         side.isClosed = true
-        side.proc.ends.delete(side)
+        side.proc.streamEnds.delete(side)
         function resetSide(): void {
           side.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
         }
-        clock.plan(0, side.proc, resetSide)
+        clock.schedule(0, side.proc, resetSide)
       }
     }
   }
--- a/packages/fleet/src/simparts.ts
+++ b/packages/fleet/src/simparts.ts
@@ -11,18 +11,18 @@
   state: 'up' | 'dead' | 'frozen'
   /** Events held back while the process is frozen. */
   held: ScheduledEvent[]
-  ends: Set<StreamEnd>
+  streamEnds: Set<StreamEnd>
   /** Keys of the endpoints that it listens on. */
   open: Set<string>
   /** Writes that haven't been synced. */
-  inFlight: Set<PendingWrite>
+  pendingWrites: Set<PendingWrite>
 }
 /** A simulated machine: its clock, disk and network state. */
 export type Machine = {
   name: string
   ip: string
   /** Added to virtual time to give the machine's clock, in ms. */
-  skew: number
+  clockSkewMs: number
   files: Map<string, Buffer>
   /** Cut off from the network; a power failure if its processes are killed too. */
   dark: boolean
@@ -31,7 +31,7 @@
   /** Factor by which disk operations take longer. */
   slow: number
   /** No disk operation completes while this is true. */
-  stalled: boolean
+  isDiskStalled: boolean
 }
 /** A write that hasn't been synced; whole: it replaces the file, otherwise it appends. */
 export type PendingWrite = { machine: Machine; path: string; bytes: Uint8Array; whole: boolean }
--- a/packages/fleet/src/simshape.ts
+++ b/packages/fleet/src/simshape.ts
@@ -18,7 +18,7 @@
   mixes: Mix[]
   requesters: number
   /** Scale of the random pauses that requesters make between operations. */
-  think: number
+  thinkTimeMs: number
   /** Number of keys of each group that requesters use. */
   keys: number
   /** Requesters retry an operation at once, on another node, up to twice; not if it was rolled back or is unknown. */
@@ -26,9 +26,9 @@
   latency?: number
   operators?: Credential[]
   /** Suspicion timeout of the agents; undefined: their default. */
-  suspect?: number
+  suspicionTimeoutMs?: number
   /** The groups of a lane hold separate data, so that one doesn't owe what the other acknowledged. */
-  apart?: boolean
+  separateGroupData?: boolean
   /** [source, target] groups; the target's leader copies all data of the source. */
   copies?: [string, string][]
   /** Runs an agent on each core machine too, which reports the machine's area. */
@@ -74,7 +74,7 @@
     connections: 24,
     lag: 120,
     requesters: 9,
-    think: 150,
+    thinkTimeMs: 150,
     keys: 12,
     mixes,
     config: { proxies: 4, groups: groupList, lanes },
--- a/packages/fleet/src/simwatch.ts
+++ b/packages/fleet/src/simwatch.ts
@@ -1,7 +1,7 @@
 import type { Proxy } from '@claynotch/proxy'
 import type { Breach } from './judge.js'
 import type { Sim } from './sim.js'
-import type { Front, SimFleet } from './simfleettypes.js'
+import type { FrontHost, SimFleet } from './simfleettypes.js'
 import type { Shape } from './simshape.js'
 
 /** Interval between two checks of the fleet. */
@@ -14,7 +14,7 @@
 export function watchFleet(
   sim: Sim,
   shape: Shape,
-  fronts: Front[],
+  fronts: FrontHost[],
   decisions: SimFleet['decided'],
   breaches: Breach[],
 ): void {
--- a/packages/fleet/src/simworld.ts
+++ b/packages/fleet/src/simworld.ts
@@ -58,13 +58,13 @@
         isSettled = true
         reject(new Error('dial timeout'))
       }
-      clock.plan(timeoutMs, proc, timeOut)
+      clock.schedule(timeoutMs, proc, timeOut)
       const target = machineAt(machine, addr)
       if (!target || network.isCut(machine, target) || network.isCut(target, machine)) return
       function requestConnection(): void {
         const listener = listeners.get(endpointKey(machine, addr))
         if (!listener || listener.proc.state === 'dead') {
-          clock.plan(network.delay(), proc, refuse)
+          clock.schedule(network.delay(), proc, refuse)
           return
         }
         const localEnd = network.makeEnd(proc)
@@ -82,8 +82,8 @@
           isSettled = true
           resolve(localEnd)
         }
-        clock.plan(0, listener.proc, accept)
-        clock.plan(network.delay(), proc, completeDial)
+        clock.schedule(0, listener.proc, accept)
+        clock.schedule(network.delay(), proc, completeDial)
       }
       function refuse(): void {
         if (isSettled) return
@@ -91,7 +91,7 @@
         reject(new Error('connect ECONNREFUSED'))
       }
       // The connection request belongs to no process: the kernel of a frozen process still accepts connections.
-      clock.plan(network.delay(), undefined, requestConnection)
+      clock.schedule(network.delay(), undefined, requestConnection)
     }
     return new Promise(start)
   }
@@ -125,7 +125,7 @@
       function deliver(): void {
         socket!.onDatagram(copy)
       }
-      clock.plan(network.delay(), socket.proc, deliver)
+      clock.schedule(network.delay(), socket.proc, deliver)
     }
     function close(): void {
       if (datagramSockets.get(key)?.proc === proc) datagramSockets.delete(key)
@@ -137,7 +137,7 @@
     function fire(): void {
       if (!isCancelled) run()
     }
-    clock.plan(ms, proc, fire)
+    clock.schedule(ms, proc, fire)
     function cancel(): void {
       isCancelled = true
     }
@@ -145,7 +145,7 @@
   }
   function make(proc: Proc): World {
     function now(): number {
-      return clock.now() + proc.machine.skew
+      return clock.now() + proc.machine.clockSkewMs
     }
     function later(ms: number, run: () => void): Cancel {
       return scheduleFor(proc, ms, run)
--- a/packages/fleet/src/steps.ts
+++ b/packages/fleet/src/steps.ts
@@ -27,18 +27,18 @@
     ...shape,
     fronts: 5,
     requesters: 15,
-    think: 60,
+    thinkTimeMs: 60,
     config: { ...shape.config, groups },
-    ...(suspicionTimeoutMs === undefined ? {} : { suspect: suspicionTimeoutMs }),
+    ...(suspicionTimeoutMs === undefined ? {} : { suspicionTimeoutMs: suspicionTimeoutMs }),
   })
   await fleet.begin()
-  fleet.traffic()
+  fleet.startTraffic()
   await wait(fleet, 4000 + 1000 * fleet.sim.random())
   return fleet
 }
 
 /** Injects a fault into the leader and measures the steps of its replacement. */
-export async function stepsOf(fleet: SimFleet, injectFault: () => void): Promise<ReplacementSteps> {
+export async function measureReplacement(fleet: SimFleet, injectFault: () => void): Promise<ReplacementSteps> {
   const faultAt = fleet.sim.now()
   const promotionsBefore = fleet.promotions.length
   const epochBefore = recordOf(fleet)?.epoch ?? 0
@@ -84,7 +84,7 @@
   ['dark', isolate],
 ]
 function crash(fleet: SimFleet): void {
-  fleet.killBox(fleet.boxes.indexOf(fleet.leaderOf('g1')!))
+  fleet.killInstance(fleet.instanceHosts.indexOf(fleet.leaderOf('g1')!))
 }
 function isolate(fleet: SimFleet): void {
   fleet.leaderOf('g1')!.machine.dark = true
@@ -103,12 +103,12 @@
   for (let k = 0; k < 10; k++) {
     const host = fleet.leaderOf('g1')
     if (host) {
-      const index = fleet.boxes.indexOf(host)
+      const index = fleet.instanceHosts.indexOf(host)
       if (kind === 'reset') fleet.sim.reset(host.proc)
       else {
-        fleet.killBox(index)
+        fleet.killInstance(index)
         await wait(fleet, 50 + 350 * fleet.sim.random())
-        fleet.startBoxAt(index)
+        fleet.startInstanceAt(index)
       }
     }
     await wait(fleet, 4000)
@@ -130,7 +130,7 @@
       function inject(): void {
         injectFault(fleet)
       }
-      runs.push(await stepsOf(fleet, inject))
+      runs.push(await measureReplacement(fleet, inject))
     }
     const cells: number[] = []
     for (const key of ['stop', 'promote', 'called', 'steady', 'served'] as const) {
--- a/packages/fleet/src/test/quota-fleet.ts
+++ b/packages/fleet/src/test/quota-fleet.ts
@@ -189,7 +189,11 @@
   /** The node's agent tells that no proxy works there. */
   function tellAbsence(node: ModelNode): void {
     if (node.proxy || isLost(node)) return
-    answer(node, { t: 'quota', life: 'none', askedAt: sim.now() + node.machine.skew, lines: [] }, holder?.term ?? 0)
+    answer(
+      node,
+      { t: 'quota', life: 'none', askedAt: sim.now() + node.machine.clockSkewMs, lines: [] },
+      holder?.term ?? 0,
+    )
   }
 
   // --- messages ---
--- a/packages/fleet/src/test/takeover.test.ts
+++ b/packages/fleet/src/test/takeover.test.ts
@@ -29,7 +29,7 @@
   // Proxies take no samples, as on the users' platform.
   const { sampler: _, ...plain } = httpInstanceAdapter
   for (const seed of [1, 2, 3, 4]) {
-    const fleet = makeSimFleet(seed, shape(), { proxyEdges: { ...httpAdapters, instance: plain } })
+    const fleet = makeSimFleet(seed, shape(), { proxyAdapters: { ...httpAdapters, instance: plain } })
     c.ok(await fleet.begin())
     await wait(fleet, 6000)
     const holder = fleet.fronts[holderOf(fleet)]
