--- a/packages/agent/src/quota-takeover.ts
+++ b/packages/agent/src/quota-takeover.ts
@@ -126,12 +126,12 @@
     return false
   }
   return {
-    isSoleHolder: isSoleHolder,
+    isSoleHolder,
     predecessorAbsent,
-    isComplete: isComplete,
+    isComplete,
     heard,
     proxyKnownSince,
-    answered: answered,
+    answered,
     nodesListed: expectNodes,
     read,
     needsRead,
--- a/packages/agent/src/register-cache.ts
+++ b/packages/agent/src/register-cache.ts
@@ -189,8 +189,8 @@
     held,
     ballots,
     learn,
-    applySummaries: applySummaries,
-    applyPush: applyPush,
+    applySummaries,
+    applyPush,
     isBehind,
     catchUp,
   }
--- a/packages/agent/src/voter-plan.ts
+++ b/packages/agent/src/voter-plan.ts
@@ -69,7 +69,7 @@
  * the change.
  */
 export function planVoters(view: VoterView): CoreMember[] | undefined {
-  const { set, joining: joining, serving: serving } = view
+  const { set, joining, serving } = view
   const voters = set.cores
   const isFull = voters.length >= view.mostVoters
   const lost = votersLostFor(view, isFull ? SPARE_REPLACEMENT_TIMEOUT_MS : VOTER_REPLACEMENT_TIMEOUT_MS)
@@ -90,7 +90,7 @@
 
 /** All combinations of replacements and joins, the largest change first. */
 function replacementsAndJoins(view: VoterView, lost: CoreMember[], isDoubtful: boolean): CoreMember[][] {
-  const { joining: joining } = view
+  const { joining } = view
   const voters = view.set.cores
   const freeSeats = isDoubtful ? 0 : Math.max(0, view.mostVoters - voters.length)
   const plans: CoreMember[][] = []
--- a/packages/fleet/src/simwatch.ts
+++ b/packages/fleet/src/simwatch.ts
@@ -15,7 +15,7 @@
   sim: Sim,
   shape: Shape,
   fronts: FrontHost[],
-  decisions: SimFleet['decided'],
+  decisions: SimFleet['operatorDecisions'],
   breaches: Breach[],
 ): void {
   const lastEpoch = new Map<Proxy, number>()
--- a/packages/fleet/src/steps.ts
+++ b/packages/fleet/src/steps.ts
@@ -29,7 +29,7 @@
     requesters: 15,
     thinkTimeMs: 60,
     config: { ...shape.config, groups },
-    ...(suspicionTimeoutMs === undefined ? {} : { suspicionTimeoutMs: suspicionTimeoutMs }),
+    ...(suspicionTimeoutMs === undefined ? {} : { suspicionTimeoutMs }),
   })
   await fleet.begin()
   fleet.startTraffic()
--- a/packages/proxy/src/key-refusals.ts
+++ b/packages/proxy/src/key-refusals.ts
@@ -74,7 +74,7 @@
     }
     if (lateKeys > 0) {
       metrics.add('claynotch_keys_known_late_total', [], lateKeys)
-      world.log.warn('keys-known-late', { epoch: next.epoch, keys: lateKeys, refused: refusals, longestMs: longestMs })
+      world.log.warn('keys-known-late', { epoch: next.epoch, keys: lateKeys, refused: refusals, longestMs })
     }
     return { added, moved }
   }
@@ -151,5 +151,5 @@
     compareRules()
     for (const [reason, unreportedRefusals] of unreported) report(reason, unreportedRefusals)
   }
-  return { refuse: refuse, refresh: refresh }
+  return { refuse, refresh }
 }
--- a/packages/proxy/src/pool.ts
+++ b/packages/proxy/src/pool.ts
@@ -393,5 +393,5 @@
     for (const pool of poolByInstance.values())
       for (const connection of pool.idle) connection.instanceConnection.close()
   }
-  return { checkOut: checkOut, open: openConnections, closeIdleOverLimit, close }
+  return { checkOut, open: openConnections, closeIdleOverLimit, close }
 }
--- a/packages/proxy/src/quota-step.ts
+++ b/packages/proxy/src/quota-step.ts
@@ -84,5 +84,5 @@
     delete call.reservation
     return reservation.markSent()
   }
-  return { reserve, consumeReservation: consumeReservation, release }
+  return { reserve, consumeReservation, release }
 }
--- a/packages/proxy/src/retry.ts
+++ b/packages/proxy/src/retry.ts
@@ -77,7 +77,7 @@
     currentBucket.retries++
     return true
   }
-  return { noteFirstAttempt: noteFirstAttempt, spendOnRetry: spendOnRetry, recentCounts: recentCounts }
+  return { noteFirstAttempt, spendOnRetry, recentCounts }
 }
 
 // --- circuit breaker ---
@@ -168,7 +168,7 @@
   function currentState(): 'closed' | 'open' | 'half' {
     return state
   }
-  return { allows: allows, record: record, isProbing, state: currentState }
+  return { allows, record, isProbing, state: currentState }
 }
 
 // --- exhaustion alert ---
@@ -203,5 +203,5 @@
   function isAlertRaised(): boolean {
     return isRaised
   }
-  return { record: record, isRaised: isAlertRaised }
+  return { record, isRaised: isAlertRaised }
 }
--- a/packages/proxy/src/watch.ts
+++ b/packages/proxy/src/watch.ts
@@ -248,10 +248,10 @@
   return {
     get,
     all: allInstances,
-    recordAnswer: recordAnswer,
+    recordAnswer,
     failed: recordFailure,
-    isUsable: isUsable,
+    isUsable,
     failureStarted,
-    doubtCleared: doubtCleared,
+    doubtCleared,
   }
 }
--- a/packages/quota/src/allowances.ts
+++ b/packages/quota/src/allowances.ts
@@ -176,7 +176,7 @@
       closeReservation()
       serveWaiters(account)
     }
-    return { tenant: account.tenant, markSent: markSent, cancel }
+    return { tenant: account.tenant, markSent, cancel }
   }
   /** Counts a refused operation; logs at most once in QUOTA_LOG_INTERVAL_MS. */
   function recordRefusal(account: Account): void {
--- a/packages/quota/src/ledger.ts
+++ b/packages/quota/src/ledger.ts
@@ -131,7 +131,7 @@
     }
   }
   /** Records the proxy that asks; returns false if the question is late. */
-  function recordProxy({ node, life, askedAt, knownSince: knownSince = now() }: AskingProxy): boolean {
+  function recordProxy({ node, life, askedAt, knownSince = now() }: AskingProxy): boolean {
     const proxy = proxies.get(node)
     if (proxy && (askedAt < proxy.askedAt || (askedAt === proxy.askedAt && life !== proxy.life))) return false
     if (!proxy && isTakingOver) growthAllowedAt = Math.max(growthAllowedAt, knownSince + windowMs)
@@ -225,5 +225,5 @@
     for (const [tenant, state] of tenantStates) if (totalOutstanding(state) > (limitOf(tenant) ?? Infinity)) return true
     return false
   }
-  return { report, needsMoreThan: needsMoreThan, exceeds, gone, nodes, outstanding: outstanding }
+  return { report, needsMoreThan, exceeds, gone, nodes, outstanding }
 }
--- a/packages/register/src/handover.ts
+++ b/packages/register/src/handover.ts
@@ -129,5 +129,5 @@
     if (takenCount > 0) metrics.add('claynotch_core_taken_over_total', [], takenCount)
     return takenCount
   }
-  return { added, removed, recordMissed, handOver, missingKeysOf: missingKeysOf, take }
+  return { added, removed, recordMissed, handOver, missingKeysOf, take }
 }
--- a/packages/register/src/pushes.ts
+++ b/packages/register/src/pushes.ts
@@ -61,7 +61,7 @@
     }
     return undefined
   }
-  return { recordAccepted: recordAccepted, deltasBetween: deltasBetween }
+  return { recordAccepted, deltasBetween }
 }
 
 /**
@@ -171,13 +171,13 @@
     for (const link of agents.keys()) link.close()
   }
   return {
-    addLink: addLink,
-    removeLink: removeLink,
+    addLink,
+    removeLink,
     subscribe,
     unsubscribe,
-    recordAck: recordAck,
+    recordAck,
     push,
-    linkedNodes: linkedNodes,
+    linkedNodes,
     closeAll,
   }
 }
--- a/packages/table-cache/src/admission-watch.ts
+++ b/packages/table-cache/src/admission-watch.ts
@@ -45,5 +45,5 @@
     }
     await store.change(edit)
   }
-  return { admitReturned: admitReturned }
+  return { admitReturned }
 }
--- a/packages/table-cache/src/orphan-watch.ts
+++ b/packages/table-cache/src/orphan-watch.ts
@@ -41,5 +41,5 @@
     if (isCleared) world.log.warn('orphan-lock-cleared', { table: committed.value.lock.tid, token: orphan.token })
     return isCleared
   }
-  return { observe: observe, clearIfDue }
+  return { observe, clearIfDue }
 }
--- a/packages/table-cache/src/reader.ts
+++ b/packages/table-cache/src/reader.ts
@@ -69,5 +69,5 @@
     if (!cached || !mayServe(cached.lock, name, leaseExpiresAt, world.now())) return undefined
     return use(cached.table, cached.version)
   }
-  return { applyCommitted: applyCommitted, renew, serve }
+  return { applyCommitted, renew, serve }
 }
--- a/packages/table-cache/src/writer.ts
+++ b/packages/table-cache/src/writer.ts
@@ -125,7 +125,7 @@
     const noOps: PendingChange<T>[] = []
     const lockFreeChanges: PendingChange<T>[] = []
     for (const change of changesBeforeRead) {
-      const { table, needsNoLock: needsNoLock } = change.evaluate(current.table)
+      const { table, needsNoLock } = change.evaluate(current.table)
       if (table === undefined) noOps.push(change)
       else if (needsNoLock) lockFreeChanges.push(change)
     }
