--- a/packages/fleet/src/control/census.ts
+++ b/packages/fleet/src/control/census.ts
@@ -33,16 +33,16 @@
 function holdersOf(fleet: ControlFleet): Holder[] {
   const now = fleet.sim.now()
   const out: Holder[] = []
-  for (const life of fleet.lives()) {
+  for (const life of fleet.liveAgents()) {
     const one = { node: life.node, termUntil: life.agent.leaseExpiresAt(), machine: life.machine, proc: life.proc }
-    if (!life.ending() && stands(one, now)) out.push(one)
+    if (!life.isStopping() && stands(one, now)) out.push(one)
   }
   return out
 }
 function lastSets(fleet: ControlFleet): CoreSet[] {
-  const epochs = [...fleet.sets.keys()].sort(byNumber).slice(-SETS_ASKED)
+  const epochs = [...fleet.coreSetsByEpoch.keys()].sort(byNumber).slice(-SETS_ASKED)
   const out: CoreSet[] = []
-  for (const e of epochs) out.push(fleet.sets.get(e)!)
+  for (const e of epochs) out.push(fleet.coreSetsByEpoch.get(e)!)
   return out
 }
 function byNumber(a: number, b: number): number {
@@ -68,7 +68,9 @@
       }
       counted++
       if (quorum.met(without))
-        fleet.broken(`epoch ${set.epoch}: ${[...without].join()} are sure of the members, and ${h.node} holds a lease`)
+        fleet.reportViolation(
+          `epoch ${set.epoch}: ${[...without].join()} are sure of the members, and ${h.node} holds a lease`,
+        )
     }
   }
   async function run(world: World): Promise<void> {
--- a/packages/fleet/src/control/faults.ts
+++ b/packages/fleet/src/control/faults.ts
@@ -1,165 +1,166 @@
 /**
- * Brings the faults of a schedule about, and ends each after its time.
+ * Injects the faults of a schedule, and ends each after its duration.
  *
- * What the core set could not bear is left out: disks are lost, and machines removed, only while those that keep their memory
- * are a quorum of every set that may decide. Faults that end by themselves come in any number at once.
+ * Actions that the core set could not tolerate are skipped: a disk is lost, or a host removed, only while the hosts that
+ * keep their voter state are a quorum of every core set that may decide. Any number of temporary faults may overlap.
  */
 import type { Action } from './actions.js'
 import type { Box, ControlFleet } from './fleet.js'
 
-/** Milliseconds of clock that a core machine may be ahead after one step; less than a lease's slack. */
-const CLOCK_STEP_MOST = 90
-/** Milliseconds between two steps of one core machine's clock, so that the slack of each lease bears them. */
-const CLOCK_STEP_PAUSE = 5000
-/** How many times longer than at its best a slow disk takes. */
-const SLOW = 40
+/** Upper bound of one clock step of a core host; less than the slack of a lease. */
+const MAX_CLOCK_STEP_MS = 90
+/** Least time between two clock steps of one core host, so that the slack of each lease covers them. */
+const CLOCK_STEP_PAUSE_MS = 5000
+/** How many times longer a slow disk takes than a normal one. */
+const SLOW_DISK_FACTOR = 40
 
-/** `skipped`: actions left out, as the set could not bear them. */
+/** Fault injection; `skipped`: how many actions were left out because the core set could not have tolerated them. */
 export type Faults = { apply: (action: Action) => void; skipped: () => number; endAll: () => void }
 
+/** Creates the fault injection of one fleet. */
 export function makeFaults(fleet: ControlFleet): Faults {
   const { sim, front } = fleet
   let skipped = 0
 
-  function later(long: number, run: () => void): void {
-    sim.at(long, run)
-  }
-  function boxOf(num: number): Box {
-    const list = fleet.present()
-    return list[num % list.length]
-  }
-  /** A restart after its time, where nothing else happened to the process meanwhile. */
-  function startLater(box: Box, long: number): void {
-    const was = box.proc
-    function again(): void {
-      if (box.proc === was) fleet.start(box)
+  function schedule(durationMs: number, run: () => void): void {
+    sim.at(durationMs, run)
+  }
+  function hostAt(index: number): Box {
+    const hosts = fleet.present()
+    return hosts[index % hosts.length]
+  }
+  /** Restarts the host after a delay, unless another process was started in the meantime. */
+  function restartLater(host: Box, durationMs: number): void {
+    const faultedProcess = host.proc
+    function restart(): void {
+      if (host.proc === faultedProcess) fleet.start(host)
     }
-    later(long, again)
+    schedule(durationMs, restart)
   }
-  function fault(action: Extract<Action, { machine: number; long: number }>): void {
-    const box = boxOf(action.machine)
+  function applyMachineFault(action: Extract<Action, { machine: number; long: number }>): void {
+    const host = hostAt(action.machine)
     const { long } = action
     switch (action.kind) {
       case 'kill':
       case 'power':
-        if (!box.up) return
-        fleet.kill(box, { dark: action.kind === 'power' })
-        startLater(box, long)
+        if (!host.isUp) return
+        fleet.kill(host, { dark: action.kind === 'power' })
+        restartLater(host, long)
         return
       case 'wipe':
-        if (!fleet.bears([box])) {
+        if (!fleet.canLoseDisksOf([host])) {
           skipped++
           return
         }
-        fleet.kill(box, { disk: 'lost' })
-        startLater(box, long)
+        fleet.kill(host, { disk: 'lost' })
+        restartLater(host, long)
         return
       case 'term':
-        if (!box.up || box.ending || !box.run) return
-        fleet.terminate(box)
-        startLater(box, long + 1000)
+        if (!host.isUp || host.isStopping || !host.coreMachine) return
+        fleet.terminate(host)
+        restartLater(host, long + 1000)
         return
       case 'freeze':
-        freeze(box, long)
+        freeze(host, long)
         return
       case 'slow':
-        slow(box, long)
+        slow(host, long)
         return
       case 'stall':
-        stall(box, long)
+        stall(host, long)
         return
       case 'full':
-        full(box, long)
+        full(host, long)
         return
       case 'cut':
-        cut(box, action.others, action.way, long)
+        cut(host, action.others, action.way, long)
     }
   }
-  function freeze(box: Box, long: number): void {
-    const { proc } = box
-    if (!proc || !box.up) return
+  function freeze(host: Box, durationMs: number): void {
+    const { proc } = host
+    if (!proc || !host.isUp) return
     sim.freeze(proc)
     function thaw(): void {
       sim.thaw(proc!)
     }
-    later(long, thaw)
+    schedule(durationMs, thaw)
   }
-  function slow(box: Box, long: number): void {
-    box.machine.slow = SLOW
+  function slow(host: Box, durationMs: number): void {
+    host.machine.slow = SLOW_DISK_FACTOR
     function end(): void {
-      box.machine.slow = 1
+      host.machine.slow = 1
     }
-    later(long, end)
+    schedule(durationMs, end)
   }
-  function stall(box: Box, long: number): void {
-    box.machine.stalled = true
+  function stall(host: Box, durationMs: number): void {
+    host.machine.stalled = true
     function end(): void {
-      box.machine.stalled = false
+      host.machine.stalled = false
     }
-    later(long, end)
+    schedule(durationMs, end)
   }
-  /** No write succeeds; the core is to find by itself that there is room again. */
-  function full(box: Box, long: number): void {
-    box.machine.full = true
+  /** Fills the disk: no write succeeds. The core must notice by itself when space is available again. */
+  function full(host: Box, durationMs: number): void {
+    host.machine.full = true
     function end(): void {
-      box.machine.full = false
+      host.machine.full = false
     }
-    later(long, end)
-  }
-  function cut(box: Box, others: number, way: 'in' | 'out' | 'both', long: number): void {
-    const list = [front.machine]
-    for (const b of fleet.present()) list.push(b.machine)
-    const cuts: [typeof box.machine, typeof box.machine][] = []
-    for (const [k, other] of list.entries()) {
-      if (other === box.machine || ((others >> k) & 1) === 0) continue
-      if (way !== 'out') cuts.push([other, box.machine])
-      if (way !== 'in') cuts.push([box.machine, other])
+    schedule(durationMs, end)
+  }
+  function cut(host: Box, others: number, way: 'in' | 'out' | 'both', durationMs: number): void {
+    const machines = [front.machine]
+    for (const other of fleet.present()) machines.push(other.machine)
+    const cuts: [typeof host.machine, typeof host.machine][] = []
+    for (const [k, other] of machines.entries()) {
+      if (other === host.machine || ((others >> k) & 1) === 0) continue
+      if (way !== 'out') cuts.push([other, host.machine])
+      if (way !== 'in') cuts.push([host.machine, other])
     }
     for (const [from, to] of cuts) sim.cut(from, to, false)
     function heal(): void {
       for (const [from, to] of cuts) sim.heal(from, to)
     }
-    later(long, heal)
-  }
-  function blackout(long: number): void {
-    const down: Box[] = []
-    for (const b of fleet.present()) {
-      if (!b.up) continue
-      fleet.kill(b, { dark: true })
-      down.push(b)
+    schedule(durationMs, heal)
+  }
+  function blackout(durationMs: number): void {
+    const stoppedHosts: Box[] = []
+    for (const host of fleet.present()) {
+      if (!host.isUp) continue
+      fleet.kill(host, { dark: true })
+      stoppedHosts.push(host)
     }
-    for (const b of down) startLater(b, long)
+    for (const host of stoppedHosts) restartLater(host, durationMs)
   }
-  function stepClock(box: Box, step: number): void {
-    if (sim.now() - box.stepped < CLOCK_STEP_PAUSE) return
-    box.stepped = sim.now()
-    box.machine.skew += Math.min(step, CLOCK_STEP_MOST)
+  function stepClock(host: Box, stepMs: number): void {
+    if (sim.now() - host.lastClockStepAt < CLOCK_STEP_PAUSE_MS) return
+    host.lastClockStepAt = sim.now()
+    host.machine.skew += Math.min(stepMs, MAX_CLOCK_STEP_MS)
   }
-  function frontFault(kind: 'kill' | 'freeze' | 'clock', long: number): void {
-    if (!front.up) return
+  function frontFault(kind: 'kill' | 'freeze' | 'clock', amountMs: number): void {
+    if (!front.isUp) return
     const { proc } = front
-    if (kind === 'clock') front.machine.skew += long
+    if (kind === 'clock') front.machine.skew += amountMs
     else if (kind === 'freeze') {
       sim.freeze(proc)
       function thaw(): void {
         sim.thaw(proc)
       }
-      later(long, thaw)
+      schedule(amountMs, thaw)
     } else {
       fleet.killFront()
-      function again(): void {
-        if (!front.up) fleet.startFront(false)
+      function restart(): void {
+        if (!front.isUp) fleet.startFront(false)
       }
-      later(long, again)
+      schedule(amountMs, restart)
     }
   }
-  function remove(box: Box): void {
-    if (fleet.present().length <= 3 || !fleet.bears([box])) {
+  function remove(host: Box): void {
+    if (fleet.present().length <= 3 || !fleet.canLoseDisksOf([host])) {
       skipped++
       return
     }
-    fleet.kill(box, { dark: true })
-    box.gone = true
+    fleet.kill(host, { dark: true })
+    host.gone = true
   }
   function apply(action: Action): void {
     switch (action.kind) {
@@ -171,10 +172,10 @@
         return
       case 'loss':
         sim.loss(action.share)
-        later(action.long, endLoss)
+        schedule(action.long, endLoss)
         return
       case 'clock':
-        stepClock(boxOf(action.machine), action.step)
+        stepClock(hostAt(action.machine), action.step)
         return
       case 'front':
         frontFault(action.fault, action.long)
@@ -183,32 +184,32 @@
         fleet.add(false)
         return
       case 'remove':
-        remove(boxOf(action.machine))
+        remove(hostAt(action.machine))
         return
       default:
-        fault(action)
+        applyMachineFault(action)
     }
   }
   function endLoss(): void {
     sim.loss(0)
   }
-  /** Every fault ends now, and every machine that is not removed runs. */
+  /** Ends every fault at once and starts every host that is not removed. */
   function endAll(): void {
     sim.heal()
     sim.loss(0)
-    for (const b of fleet.present()) {
-      b.machine.slow = 1
-      b.machine.full = false
-      b.machine.stalled = false
-      if (b.proc?.state === 'frozen') sim.thaw(b.proc)
-      if (b.ending) fleet.kill(b)
-      fleet.start(b)
+    for (const host of fleet.present()) {
+      host.machine.slow = 1
+      host.machine.full = false
+      host.machine.stalled = false
+      if (host.proc?.state === 'frozen') sim.thaw(host.proc)
+      if (host.isStopping) fleet.kill(host)
+      fleet.start(host)
     }
-    if (front.up) sim.thaw(front.proc)
+    if (front.isUp) sim.thaw(front.proc)
     else fleet.startFront(false)
   }
-  function skippedNow(): number {
+  function skippedCount(): number {
     return skipped
   }
-  return { apply, skipped: skippedNow, endAll }
+  return { apply, skipped: skippedCount, endAll }
 }
--- a/packages/fleet/src/control/fleet.ts
+++ b/packages/fleet/src/control/fleet.ts
@@ -1,8 +1,8 @@
 /**
- * Core machines and a front in the simulator, with the faults that a schedule may bring about.
+ * Simulated core hosts and one front, with the operations that fault injection needs: start, kill, terminate.
  *
- * A box is one core machine (a core and its agent, as `startCoreMachine` makes them); a front is one agent without a core.
- * Orders are taken through the same desk that the platform's operator edge uses.
+ * A core host runs a core and its agent, as `startCoreMachine` starts them; a front runs an agent without a core.
+ * Change requests go through the same `ControlService` that the platform's operator endpoint uses.
  */
 import { defaultAdapters, answerSeeds, type Agent, type AgentAdapters, type ControlService } from '@claynotch/agent'
 import {
@@ -20,313 +20,344 @@
 import { quorumOf, readCoreSet, votersOf, type CoreSet } from './sets.js'
 import { makeSim, type Machine, type Proc, type Sim } from '../sim.js'
 
-/** Milliseconds from SIGTERM to the end of the process. */
-const TERM_GRACE = 1000
+/** Time between SIGTERM and the end of the process. */
+const TERM_GRACE_MS = 1000
 
-/**
- * One core machine. `up`: its process runs, or is frozen; `ending`: it was told to stop; `gone`: removed for good;
- * `memory`: it holds what it promised and accepted, as of when it was last seen voting, and its disk has been kept since.
- */
+/** A simulated host that runs a core and its agent. */
 export type Box = {
   name: string
   ip: string
   machine: Machine
+  /** The current process, or the last one. */
   proc: Proc | undefined
-  run: CoreMachine | undefined
-  up: boolean
-  ending: boolean
+  /** The running core and agent, once their start has completed. */
+  coreMachine: CoreMachine | undefined
+  /** Whether the process is running or frozen. */
+  isUp: boolean
+  /** Whether the process has been told to stop. */
+  isStopping: boolean
+  /** Whether the host has been removed for good. */
   gone: boolean
-  memory: boolean
-  stepped: number
+  /** Whether its promises and accepted values remain: it voted when last inspected, and kept its disk since. */
+  hasVoterState: boolean
+  /** Simulated time of the last step of its clock. */
+  lastClockStepAt: number
 }
-/** One front: its agent in its present life. */
-export type Front = { machine: Machine; proc: Proc; agent: Agent | undefined; up: boolean }
+/** The front, with its current process and agent. */
+export type Front = { machine: Machine; proc: Proc; agent: Agent | undefined; isUp: boolean }
 
-/** One life of an agent, on a core machine or a front; ending: it was told to stop. */
-export type Life = { node: string; agent: Agent; machine: Machine; proc: Proc; ending: () => boolean }
+/** One process of an agent, on a core host or the front; `isStopping`: whether it has been told to stop. */
+export type AgentProcess = { node: string; agent: Agent; machine: Machine; proc: Proc; isStopping: () => boolean }
 
-/** The machines of one run. `sets`: every core set seen, by epoch; `broken`: what was seen that must never be. */
+/** All simulated hosts of one run. */
 export type ControlFleet = {
   sim: Sim
   boxes: Box[]
   front: Front
-  sets: Map<number, CoreSet>
-  broken: (what: string) => void
+  /** Every core set observed so far, by epoch. */
+  coreSetsByEpoch: Map<number, CoreSet>
+  /** Records the violation of an invariant. */
+  reportViolation: (what: string) => void
+  /** Adds and starts a core host; `first`: with the seeds of the initial start. */
   add: (first: boolean) => Box
-  start: (box: Box) => void
-  kill: (box: Box, how?: { dark?: boolean; disk?: 'lost' }) => void
-  terminate: (box: Box) => void
-  /** Every life whose process is not dead. */
-  lives: () => Life[]
+  /** Starts a core host that is down, unless it was removed. */
+  start: (host: Box) => void
+  /** Kills the process at once; `dark`: the machine loses power too; `disk`: its files are lost. */
+  kill: (host: Box, how?: { dark?: boolean; disk?: 'lost' }) => void
+  /** Asks the process to stop, and kills it after the grace period. */
+  terminate: (host: Box) => void
+  /** Every agent whose process is not dead. */
+  liveAgents: () => AgentProcess[]
   startFront: (first: boolean) => void
   killFront: () => void
-  /** Looks at every core set; returns the latest. */
+  /** Inspects every core, checks its core set, and returns the core set of the highest epoch. */
   latest: () => CoreSet
-  /** One single set, all of whose machines that are not removed vote. */
-  settled: () => boolean
-  /** Settled, and every machine that is there votes, or as many as may. */
+  /** Whether no membership change is in progress and every voter that is not removed serves in the latest epoch. */
+  isSettled: () => boolean
+  /** Whether the core set is settled and every present host votes, or `MAX_VOTERS` do and none of them is removed. */
   whole: () => boolean
-  /** Whether the set could still serve if these boxes never came back with their disks. */
-  bears: (lost: Box[]) => boolean
-  /** Boxes that are not removed, and the http addresses of those. */
+  /** Whether a quorum would remain if these hosts lost their disks for good. */
+  canLoseDisksOf: (lost: Box[]) => boolean
+  /** Core hosts that are not removed. */
   present: () => Box[]
 }
 
-/** What a box answers to operators. */
-async function answer(ask: HttpRequest, desk: ControlService): Promise<HttpResponse | undefined> {
-  const seeds = answerSeeds(ask, desk.coreSet())
+/** Answers an HTTP request of an operator. */
+async function answerOperator(request: HttpRequest, service: ControlService): Promise<HttpResponse | undefined> {
+  const seeds = answerSeeds(request, service.coreSet())
   if (seeds) return seeds
-  if (ask.path === '/read') {
-    const body = await desk.read()
+  if (request.path === '/read') {
+    const body = await service.read()
     return body ? { status: 200, body } : { status: 503, body: null }
   }
-  if (!ask.path.startsWith('/order/')) return { status: 404, body: null }
-  const change = readAs(Change, ask.body)
+  if (!request.path.startsWith('/order/')) return { status: 404, body: null }
+  const change = readAs(Change, request.body)
   if (change.err) return { status: 400, body: null }
-  const got = await desk.change(ask.path.slice('/order/'.length), change.val)
-  return got.decision === 'unclear' ? { status: 503, body: null } : { status: 200, body: got }
+  const result = await service.change(request.path.slice('/order/'.length), change.val)
+  return result.decision === 'unclear' ? { status: 503, body: null } : { status: 200, body: result }
 }
-function hasBox(set: CoreSet, box: Box): boolean {
-  for (const c of votersOf(set)) if (c.id === box.ip) return true
+/** Whether the host votes in this core set. */
+function isVoter(set: CoreSet, host: Box): boolean {
+  for (const voter of votersOf(set)) if (voter.id === host.ip) return true
   return false
 }
-function control(world: World, addr: Address, desk: ControlService): Promise<HttpListener> {
-  function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
-    return answer(ask, desk)
+/** Serves the operator endpoint of a core host. */
+function serveOperators(world: World, addr: Address, service: ControlService): Promise<HttpListener> {
+  function handle(request: HttpRequest): Promise<HttpResponse | undefined> {
+    return answerOperator(request, service)
   }
   return serveHttp(world, addr, handle, { limit: 4 * 1024 * 1024 })
 }
-const edges: AgentAdapters = { ...defaultAdapters, control }
+const agentAdapters: AgentAdapters = { ...defaultAdapters, control: serveOperators }
 
-/** The http address of a box. */
-export function httpOf(box: Box): Address {
-  return `${box.ip}:8000`
+/** The HTTP address of a core host. */
+export function httpOf(host: Box): Address {
+  return `${host.ip}:8000`
 }
 
-/** Makes the fleet; `founders` boxes are the seeds of the very first start. */
-export function makeControlFleet(seed: number, founders: number, broken: (what: string) => void): ControlFleet {
+/** Creates the fleet; the first `founders` core hosts are the seeds of the initial start. */
+export function makeControlFleet(
+  seed: number,
+  founders: number,
+  reportViolation: (what: string) => void,
+): ControlFleet {
   const sim = makeSim(seed, { keepLines: process.env['MODEL_TRACE'] !== undefined })
   const boxes: Box[] = []
-  const sets = new Map<number, CoreSet>()
-  const texts = new Map<number, string>()
-  const lastSeen = new Map<Box, CoreSet>()
-  let living: Life[] = []
+  const coreSetsByEpoch = new Map<number, CoreSet>()
+  const serializedSets = new Map<number, string>()
+  const lastSeenSets = new Map<Box, CoreSet>()
+  let agentProcesses: AgentProcess[] = []
 
   function firstSeeds(): Address[] {
-    const out: Address[] = []
-    for (let k = 0; k < founders; k++) out.push(`10.0.1.${k + 1}:8000`)
-    return out
+    const addresses: Address[] = []
+    for (let k = 0; k < founders; k++) addresses.push(`10.0.1.${k + 1}:8000`)
+    return addresses
   }
-  /** Three processes that are there, as whoever starts a machine would name them; not the machine itself. */
-  function someSeeds(but: Box | undefined): Address[] {
-    const list = boxes.filter(isOther)
-    function isOther(b: Box): boolean {
-      return b !== but && !b.gone
+  /** Up to three random core hosts that are not removed, as configured seeds; never the starting host itself. */
+  function drawSeeds(excluded: Box | undefined): Address[] {
+    const candidates = boxes.filter(isOther)
+    function isOther(host: Box): boolean {
+      return host !== excluded && !host.gone
     }
-    const out: Address[] = []
-    while (out.length < 3 && list.length > 0)
-      out.push(httpOf(list.splice(Math.floor(sim.random() * list.length), 1)[0]))
-    return out
+    const addresses: Address[] = []
+    while (addresses.length < 3 && candidates.length > 0)
+      addresses.push(httpOf(candidates.splice(Math.floor(sim.random() * candidates.length), 1)[0]))
+    return addresses
   }
-  function begin(box: Box, seeds: Address[], first: boolean): void {
+  function spawnCore(host: Box, seeds: Address[], first: boolean): void {
     async function run(world: World): Promise<void> {
-      const got = await startCoreMachine(
+      const started = await startCoreMachine(
         world,
         {
-          node: box.name,
+          node: host.name,
           area: 'a',
-          link: `${box.ip}:7000`,
-          peer: `${box.ip}:7002`,
-          http: httpOf(box),
+          link: `${host.ip}:7000`,
+          peer: `${host.ip}:7002`,
+          http: httpOf(host),
           seeds,
           first,
           data: '/d',
         },
-        edges,
+        agentAdapters,
       )
-      if (box.proc === mine) box.run = got
-      function ending(): boolean {
-        return box.proc !== mine || box.ending
+      if (host.proc === spawned) host.coreMachine = started
+      function isStopping(): boolean {
+        return host.proc !== spawned || host.isStopping
       }
-      living.push({ node: box.name, agent: got.agent, machine: box.machine, proc: mine, ending })
+      agentProcesses.push({
+        node: host.name,
+        agent: started.agent,
+        machine: host.machine,
+        proc: spawned,
+        isStopping: isStopping,
+      })
     }
-    box.run = undefined
-    box.up = true
-    box.ending = false
-    box.machine.dark = false
-    const mine = sim.spawn(box.machine, box.name, run)
-    box.proc = mine
+    host.coreMachine = undefined
+    host.isUp = true
+    host.isStopping = false
+    host.machine.dark = false
+    const spawned = sim.spawn(host.machine, host.name, run)
+    host.proc = spawned
   }
   function add(first: boolean): Box {
-    const num = boxes.length + 1
-    const ip = `10.0.1.${num}`
-    const box: Box = {
-      name: `core${num}`,
+    const hostNumber = boxes.length + 1
+    const ip = `10.0.1.${hostNumber}`
+    const host: Box = {
+      name: `core${hostNumber}`,
       ip,
-      machine: sim.machine(`core${num}`, ip),
+      machine: sim.machine(`core${hostNumber}`, ip),
       proc: undefined,
-      run: undefined,
-      up: false,
-      ending: false,
+      coreMachine: undefined,
+      isUp: false,
+      isStopping: false,
       gone: false,
-      memory: false,
-      stepped: -Infinity,
+      hasVoterState: false,
+      lastClockStepAt: -Infinity,
     }
-    boxes.push(box)
-    begin(box, first ? firstSeeds() : someSeeds(box), first)
-    return box
+    boxes.push(host)
+    spawnCore(host, first ? firstSeeds() : drawSeeds(host), first)
+    return host
   }
-  function start(box: Box): void {
-    if (!box.up && !box.gone) begin(box, someSeeds(box), false)
+  function start(host: Box): void {
+    if (!host.isUp && !host.gone) spawnCore(host, drawSeeds(host), false)
   }
-  function kill(box: Box, how: { dark?: boolean; disk?: 'lost' } = {}): void {
-    look(box)
-    if (how.dark) box.machine.dark = true
-    if (box.proc) sim.kill(box.proc)
-    box.run = undefined
-    box.up = false
+  function kill(host: Box, how: { dark?: boolean; disk?: 'lost' } = {}): void {
+    inspectCore(host)
+    if (how.dark) host.machine.dark = true
+    if (host.proc) sim.kill(host.proc)
+    host.coreMachine = undefined
+    host.isUp = false
     if (!how.disk) return
-    box.machine.files.clear()
-    box.memory = false
+    host.machine.files.clear()
+    host.hasVoterState = false
   }
-  function terminate(box: Box): void {
-    box.ending = true
-    void box.run?.stop()
-    const was = box.proc
+  function terminate(host: Box): void {
+    host.isStopping = true
+    void host.coreMachine?.stop()
+    const terminated = host.proc
     function end(): void {
-      if (box.proc === was && box.up) kill(box)
+      if (host.proc === terminated && host.isUp) kill(host)
     }
-    sim.at(TERM_GRACE, end)
+    sim.at(TERM_GRACE_MS, end)
   }
 
   const front: Front = {
     machine: sim.machine('front', '10.0.2.1'),
     proc: undefined as never,
     agent: undefined,
-    up: false,
+    isUp: false,
   }
   function startFront(first: boolean): void {
     async function run(world: World): Promise<void> {
-      const got = await startFrontAgent(world, {
+      const started = await startFrontAgent(world, {
         node: 'front',
         area: 'a',
         link: '127.0.0.1:7001',
         peer: '10.0.2.1:7002',
         corePort: 7000,
-        seeds: first ? firstSeeds() : someSeeds(undefined),
+        seeds: first ? firstSeeds() : drawSeeds(undefined),
         first,
       })
-      if (front.proc === mine) front.agent = got
-      living.push({ node: 'front', agent: got, machine: front.machine, proc: mine, ending: never })
+      if (front.proc === spawned) front.agent = started
+      agentProcesses.push({
+        node: 'front',
+        agent: started,
+        machine: front.machine,
+        proc: spawned,
+        isStopping: isNeverStopping,
+      })
     }
     front.agent = undefined
-    front.up = true
-    const mine = sim.spawn(front.machine, 'front', run)
-    front.proc = mine
+    front.isUp = true
+    const spawned = sim.spawn(front.machine, 'front', run)
+    front.proc = spawned
   }
   function killFront(): void {
     sim.kill(front.proc)
     front.agent = undefined
-    front.up = false
+    front.isUp = false
   }
 
-  function never(): boolean {
+  function isNeverStopping(): boolean {
     return false
   }
-  function lives(): Life[] {
-    living = living.filter(isAlive)
-    return living
+  function liveAgents(): AgentProcess[] {
+    agentProcesses = agentProcesses.filter(isAlive)
+    return agentProcesses
   }
-  function isAlive(life: Life): boolean {
+  function isAlive(life: AgentProcess): boolean {
     return life.proc.state !== 'dead'
   }
 
-  function sawSet(set: CoreSet, where: string): void {
+  function recordSet(set: CoreSet, where: string): void {
     if (set.cores.length === 0) return
-    const text = JSON.stringify([set.cores, set.next ?? null])
-    const old = texts.get(set.epoch)
-    if (old === undefined) {
-      texts.set(set.epoch, text)
-      sets.set(set.epoch, set)
-    } else if (old !== text) broken(`two core sets of epoch ${set.epoch}: ${old}, and ${text} at ${where}`)
+    const serialized = JSON.stringify([set.cores, set.next ?? null])
+    const previous = serializedSets.get(set.epoch)
+    if (previous === undefined) {
+      serializedSets.set(set.epoch, serialized)
+      coreSetsByEpoch.set(set.epoch, set)
+    } else if (previous !== serialized)
+      reportViolation(`two core sets of epoch ${set.epoch}: ${previous}, and ${serialized} at ${where}`)
   }
-  function look(box: Box): void {
-    const core = box.run?.core
+  function inspectCore(host: Box): void {
+    const core = host.coreMachine?.core
     if (!core) return
     const set = core.coreSet()
-    // The same object is the same set, and this is asked at each event.
-    if (lastSeen.get(box) !== set) sawSet(set, box.name)
-    lastSeen.set(box, set)
+    // An identical object is the same set and needs no second check; this runs at each event.
+    if (lastSeenSets.get(host) !== set) recordSet(set, host.name)
+    lastSeenSets.set(host, set)
     const state = core.state()
-    // A failed disk keeps what it synced.
-    if (state !== 'disk failed') box.memory = state === 'serving'
-    if (core.serving() && !votersOf(set).some(isIt)) broken(`${box.name} serves outside its set of epoch ${set.epoch}`)
-    function isIt(c: { id: string }): boolean {
-      return c.id === box.ip
+    // A core whose disk failed keeps what it had synced.
+    if (state !== 'disk failed') host.hasVoterState = state === 'serving'
+    if (core.serving() && !votersOf(set).some(isThisHost))
+      reportViolation(`${host.name} serves outside its set of epoch ${set.epoch}`)
+    function isThisHost(voter: { id: string }): boolean {
+      return voter.id === host.ip
     }
   }
   function latest(): CoreSet {
-    for (const b of boxes) look(b)
-    let out: CoreSet = { epoch: -1, cores: [] }
-    for (const set of sets.values()) if (set.epoch > out.epoch) out = set
-    return out
+    for (const host of boxes) inspectCore(host)
+    let latestSet: CoreSet = { epoch: -1, cores: [] }
+    for (const set of coreSetsByEpoch.values()) if (set.epoch > latestSet.epoch) latestSet = set
+    return latestSet
   }
-  function votes(box: Box, epoch: number): boolean {
-    return box.run?.core.serving() === true && box.run.core.coreSet().epoch === epoch
+  function isVotingIn(host: Box, epoch: number): boolean {
+    return host.coreMachine?.core.serving() === true && host.coreMachine.core.coreSet().epoch === epoch
   }
-  function settled(): boolean {
+  function isSettled(): boolean {
     const set = latest()
     if (set.epoch < 0 || set.next !== undefined) return false
-    for (const b of present()) if (hasBox(set, b) && !votes(b, set.epoch)) return false
+    for (const host of present()) if (isVoter(set, host) && !isVotingIn(host, set.epoch)) return false
     return true
   }
-  /** Settled, and every machine that is there votes, or as many as may. */
+  /** Whether the core set is settled and every present host votes, or `MAX_VOTERS` do and none of them is removed. */
   function whole(): boolean {
-    if (!settled()) return false
+    if (!isSettled()) return false
     const set = latest()
-    let outside = 0
-    let removed = 0
-    for (const b of present()) if (!hasBox(set, b)) outside++
-    for (const b of boxes) if (b.gone && hasBox(set, b)) removed++
-    return outside === 0 || (set.cores.length >= MAX_VOTERS && removed === 0)
+    let nonVoters = 0
+    let removedVoters = 0
+    for (const host of present()) if (!isVoter(set, host)) nonVoters++
+    for (const host of boxes) if (host.gone && isVoter(set, host)) removedVoters++
+    return nonVoters === 0 || (set.cores.length >= MAX_VOTERS && removedVoters === 0)
   }
-  /** The latest set that is known, and every later one that a core has accepted, chosen or not. */
-  function mayDecide(): CoreSet[] {
+  /** The latest known core set, and every later one that a core has accepted, committed or not. */
+  function possibleSets(): CoreSet[] {
     const last = latest()
-    const out = [last]
-    for (const b of boxes) {
-      const set = readCoreSet(b.run?.core.store.entries().get('coreset')?.value?.body)
-      if (set && set.epoch > last.epoch) out.push(set)
+    const candidates = [last]
+    for (const host of boxes) {
+      const set = readCoreSet(host.coreMachine?.core.store.entries().get('coreset')?.value?.body)
+      if (set && set.epoch > last.epoch) candidates.push(set)
     }
-    return out
+    return candidates
   }
-  /** A newcomer that a set names by the storage it has votes as soon as it hears of it. */
-  function isNewcomer(box: Box, set: CoreSet): boolean {
-    const token = box.run?.core.place().token
+  /** Whether the set lists the host with its current storage token: such a newcomer votes once it learns of it. */
+  function isListedWithToken(host: Box, set: CoreSet): boolean {
+    const token = host.coreMachine?.core.place().token
     if (token === undefined) return false
-    for (const c of votersOf(set)) if (c.id === box.ip && c.token === token) return true
+    for (const voter of votersOf(set)) if (voter.id === host.ip && voter.token === token) return true
     return false
   }
-  function bears(lost: Box[]): boolean {
-    for (const set of mayDecide()) {
+  function canLoseDisksOf(lost: Box[]): boolean {
+    for (const set of possibleSets()) {
       const ids = new Set<string>()
-      for (const b of present()) if (!lost.includes(b) && (b.memory || isNewcomer(b, set))) ids.add(b.ip)
+      for (const host of present())
+        if (!lost.includes(host) && (host.hasVoterState || isListedWithToken(host, set))) ids.add(host.ip)
       if (!quorumOf(set).met(ids)) return false
     }
     return true
   }
   function present(): Box[] {
-    return boxes.filter(isHere)
-    function isHere(b: Box): boolean {
-      return !b.gone
+    return boxes.filter(isPresent)
+    function isPresent(host: Box): boolean {
+      return !host.gone
     }
   }
   return {
     sim,
     boxes,
     front,
-    sets,
-    broken,
+    coreSetsByEpoch: coreSetsByEpoch,
+    reportViolation: reportViolation,
     add,
     start,
     kill,
@@ -334,10 +365,10 @@
     startFront,
     killFront,
     latest,
-    settled,
+    isSettled: isSettled,
     whole,
-    lives,
-    bears,
+    liveAgents: liveAgents,
+    canLoseDisksOf: canLoseDisksOf,
     present,
   }
 }
--- a/packages/fleet/src/control/operators.ts
+++ b/packages/fleet/src/control/operators.ts
@@ -17,7 +17,7 @@
 export type Operator = {
   /** Sends to the boxes from this one on until one answers clearly; undefined: none did. */
   send: (order: Order, from: number) => Promise<Decision | undefined>
-  /** Sends once to one box. */
+  /** Sends once to one host. */
   sendOnce: (order: Order, at: Box) => Promise<Decision | undefined>
   read: (at: Box) => Promise<ConfigurationBody | undefined>
 }
@@ -41,7 +41,7 @@
     const got = await requestOnce(world, httpOf(at), 'POST', `/order/${order.name}`, changeOf(order), ANSWER_WAIT)
     const decision = got.ok && got.val.status === 200 ? (got.val.body as Decision) : undefined
     if (got.ok && got.val.status !== 200 && got.val.status !== 503)
-      fleet.broken(`${order.name}: status ${got.val.status} from ${at.name}`)
+      fleet.reportViolation(`${order.name}: status ${got.val.status} from ${at.name}`)
     model.answered(order, decision, at.name)
     return decision
   }
@@ -62,7 +62,7 @@
     const body = got.val.body as ConfigurationBody
     model.saw(body, `a read at ${at.name}`)
     if (body.epoch < before)
-      fleet.broken(`a read at ${at.name} saw epoch ${body.epoch} after ${before} was told accepted`)
+      fleet.reportViolation(`a read at ${at.name} saw epoch ${body.epoch} after ${before} was told accepted`)
     return body
   }
   return { send, sendOnce, read }
--- a/packages/fleet/src/control/power-loss.ts
+++ b/packages/fleet/src/control/power-loss.ts
@@ -37,8 +37,8 @@
   const list = fleet.present()
   const lost: Box[] = []
   while (lost.length < most && list.length > 0) {
-    const [box] = list.splice(Math.floor(fleet.sim.random() * list.length), 1)
-    if (fleet.bears([...lost, box])) lost.push(box)
+    const [host] = list.splice(Math.floor(fleet.sim.random() * list.length), 1)
+    if (fleet.canLoseDisksOf([...lost, host])) lost.push(host)
   }
   return lost
 }
@@ -55,10 +55,10 @@
 function losePower(run: Run, lost: Box[]): void {
   const { fleet } = run
   const { sim } = fleet
-  for (const box of fleet.present()) {
-    fleet.kill(box, { dark: true, ...(lost.includes(box) ? { disk: 'lost' as const } : {}) })
+  for (const host of fleet.present()) {
+    fleet.kill(host, { dark: true, ...(lost.includes(host) ? { disk: 'lost' as const } : {}) })
     function again(): void {
-      fleet.start(box)
+      fleet.start(host)
     }
     sim.at(DOWN_MS + MOST_LATER_MS * sim.random(), again)
   }
@@ -77,10 +77,10 @@
   const { sim } = fleet
   let lostDisks = 0
   if (await run.found()) {
-    if (!(await sim.until(fleet.whole, GROWTH_LIMIT_MS))) fleet.broken(`the set did not grow: ${run.states()}`)
+    if (!(await sim.until(fleet.whole, GROWTH_LIMIT_MS))) fleet.reportViolation(`the set did not grow: ${run.states()}`)
     for (let k = 0; k < CHANGES_BEFORE; k++) {
       void run.order(0, k)
-      await run.idle()
+      await run.untilIdle()
     }
     begin(run, moment)
     if (moment === 'replacement' || moment === 'refill') await sim.run(sim.now() + MOST_LEAD_MS * sim.random())
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -1,4 +1,4 @@
-/** One run: a fleet with its model, its watchers and two operators, from its founding to the last judgement. */
+/** One model test run: a fleet, its model, its monitors and two operators, from the founding to the final checks. */
 import type { ConfigurationBody } from '@claynotch/operator'
 import { startCensus } from './census.js'
 import { makeFaults, type Faults } from './faults.js'
@@ -7,18 +7,18 @@
 import { makeOperator, type Operator } from './operators.js'
 import { startWatch } from './watch.js'
 
-/** Milliseconds within which a founding serves. */
-const FOUND_LIMIT = 15000
-/** Milliseconds within which a change is taken once all faults have ended. */
-export const PROGRESS_LIMIT = 8000
-/** Milliseconds within which the set is single again and all of it votes, once all faults have ended. */
-export const WHOLE_LIMIT = 90000
-/** Milliseconds for what operators have still under way. */
-const ORDERS_LIMIT = 30000
-/** Most contradictions kept of one run. */
-const BROKEN_KEPT = 20
+/** The founded core set must serve within this time. */
+const FOUND_LIMIT_MS = 15000
+/** A change must be accepted within this time after all faults have ended. */
+export const PROGRESS_LIMIT_MS = 8000
+/** The core set must be settled and all its hosts vote within this time after all faults have ended. */
+export const WHOLE_LIMIT_MS = 90000
+/** Time limit for the pending change requests of the operators. */
+const ORDERS_LIMIT_MS = 30000
+/** At most this many violations are kept for one run. */
+const MAX_VIOLATIONS = 20
 
-/** What one run came to. `progress`: milliseconds until a change was taken after the faults; `whole`: until all voted. */
+/** The result of one run. */
 export type Verdict = {
   broken: string[]
   orders: number
@@ -26,77 +26,83 @@
   refused: number
   unclear: number
   sets: number
-  counts: number
-  skipped: number
+  /** How often the lease census checked a lease holder against the answers of a core set. */
+  leaseChecks: number
+  /** Actions left out because the core set could not have tolerated them. */
+  skippedActions: number
+  /** Milliseconds from the end of the faults until a change was accepted. */
   progress: number
+  /** Further milliseconds, after that and after the pending requests, until every host voted. */
   whole: number
   events: number
+  /** Milliseconds of simulated time. */
   virtual: number
 }
 
-/** A run under way. */
+/** A run in progress. */
 export type Run = {
   fleet: ControlFleet
   model: Model
   faults: Faults
   operators: Operator[]
-  broken: string[]
+  violations: string[]
+  /** Starts all hosts and the monitors; returns whether the founded core set settled in time. */
   found: () => Promise<boolean>
-  /** Sends one order on the newest epoch that is known, or on one that was passed; again: repeats after its answer. */
+  /** Sends one order that expects the newest known epoch, or an outdated one; `again`: how often it is resent. */
   order: (operator: number, machine: number, how?: { stale?: boolean; gap?: number; again?: number }) => Promise<void>
-  /** Two orders of one expected epoch and one name, at once. */
+  /** Sends two orders at once that expect the same epoch and make the same epoch. */
   race: (machine: number, other: number, gap: number) => Promise<void>
-  /** Until no operator has an order under way. */
-  idle: () => Promise<boolean>
-  /** The latest set and what each machine is in it, for a message. */
+  /** Waits until no order is pending; returns whether that happened in time. */
+  untilIdle: () => Promise<boolean>
+  /** Describes the latest core set and the state of each host, for a message. */
   states: () => string
-  /** Ends the faults, and judges. */
+  /** Ends all faults and runs the final checks. */
   finish: () => Promise<Verdict>
 }
 
-/** A task that ended by an error; a full disk may end one, which is then tried again. */
-function isFault(line: string): boolean {
+/** Whether the log line reports a task that failed by an error; ENOSPC is allowed, as the task is retried. */
+function isTaskFailure(line: string): boolean {
   return line.includes('-fault') && !line.includes('ENOSPC')
 }
 
-/** founders: core machines that found the set; spares: further ones; pad: bytes of each document. */
+/** `founders`: core hosts that found the set; `spares`: further core hosts; `pad`: padding bytes of each document. */
 export function makeRun(seed: number, founders: number, spares: number, pad: number): Run {
-  const broken: string[] = []
-  function isBroken(what: string): void {
-    if (broken.length < BROKEN_KEPT && !broken.includes(what)) broken.push(what)
+  const violations: string[] = []
+  function reportViolation(what: string): void {
+    if (violations.length < MAX_VIOLATIONS && !violations.includes(what)) violations.push(what)
   }
-  const fleet = makeControlFleet(seed, founders, isBroken)
+  const fleet = makeControlFleet(seed, founders, reportViolation)
   const { sim } = fleet
-  const model = makeModel(isBroken)
+  const model = makeModel(reportViolation)
   const faults = makeFaults(fleet)
   const operators: Operator[] = []
   for (let k = 0; k < 2; k++) operators.push(makeOperator(fleet, model, `operator${k}`, `10.0.3.${k + 1}`, pad))
   let ended = false
-  function over(): boolean {
+  function hasEnded(): boolean {
     return ended
   }
-  // pending: orders whose operators have not done with them.
+  /** Orders that an operator is still sending. */
   let pending = 0
-  let counts = zero
-  function zero(): number {
+  let countLeaseChecks = noLeaseChecks
+  function noLeaseChecks(): number {
     return 0
   }
 
   async function found(): Promise<boolean> {
     for (let k = 0; k < founders + spares; k++) fleet.add(true)
     fleet.startFront(true)
-    const ok = await sim.until(fleet.settled, FOUND_LIMIT)
-    if (!ok) isBroken('not founded')
-    startWatch(fleet, model, over)
-    counts = startCensus(fleet, over)
+    const ok = await sim.until(fleet.isSettled, FOUND_LIMIT_MS)
+    if (!ok) reportViolation('not founded')
+    startWatch(fleet, model, hasEnded)
+    countLeaseChecks = startCensus(fleet, hasEnded)
     return ok
   }
   async function deliver(operator: number, order: Order, machine: number, again: number): Promise<void> {
     pending++
     await operators[operator].send(order, machine)
     for (let k = 0; k < again; k++) {
-      const list = fleet.present()
-      await operators[operator].sendOnce(order, list[(machine + k + 1) % list.length])
+      const hosts = fleet.present()
+      await operators[operator].sendOnce(order, hosts[(machine + k + 1) % hosts.length])
     }
     pending--
   }
@@ -107,8 +113,8 @@
   ): Promise<void> {
     const newest = model.newest()
     const expect = how.stale ? Math.max(0, newest - 1) : newest
-    const one = model.order(expect, newest + (how.gap ?? 1))
-    await deliver(operator, one, machine, how.again ?? 0)
+    const change = model.order(expect, newest + (how.gap ?? 1))
+    await deliver(operator, change, machine, how.again ?? 0)
   }
   async function race(machine: number, other: number, gap: number): Promise<void> {
     const expect = model.newest()
@@ -119,54 +125,54 @@
   function isIdle(): boolean {
     return pending === 0
   }
-  function idle(): Promise<boolean> {
-    return sim.until(isIdle, ORDERS_LIMIT)
+  function untilIdle(): Promise<boolean> {
+    return sim.until(isIdle, ORDERS_LIMIT_MS)
   }
-  /** A whole new change, by whichever machine takes it. */
-  async function progress(): Promise<number> {
-    const from = sim.now()
+  /** Milliseconds until some host accepts a new change. */
+  async function measureProgress(): Promise<number> {
+    const startedAt = sim.now()
     let done = false
     async function work(): Promise<void> {
-      for (let k = 0; !done && sim.now() - from < PROGRESS_LIMIT; k++) {
-        const list = fleet.present()
-        const body = await operators[0].read(list[k % list.length])
+      for (let k = 0; !done && sim.now() - startedAt < PROGRESS_LIMIT_MS; k++) {
+        const hosts = fleet.present()
+        const body = await operators[0].read(hosts[k % hosts.length])
         if (!body) continue
-        const one = model.order(body.epoch, body.epoch + 1)
-        const got = await operators[0].send(one, k)
-        if (got?.decision === 'accepted') done = true
+        const change = model.order(body.epoch, body.epoch + 1)
+        const decision = await operators[0].send(change, k)
+        if (decision?.decision === 'accepted') done = true
       }
     }
     void work()
     function isDone(): boolean {
       return done
     }
-    if (!(await sim.until(isDone, PROGRESS_LIMIT)))
-      isBroken(`no change was taken within ${PROGRESS_LIMIT} ms of the end of the faults: ${states()}`)
-    return sim.now() - from
+    if (!(await sim.until(isDone, PROGRESS_LIMIT_MS)))
+      reportViolation(`no change was taken within ${PROGRESS_LIMIT_MS} ms of the end of the faults: ${states()}`)
+    return sim.now() - startedAt
   }
-  async function becomeWhole(): Promise<number> {
-    const from = sim.now()
-    if (!(await sim.until(fleet.whole, WHOLE_LIMIT)))
-      isBroken(`not whole ${WHOLE_LIMIT} ms after the end of the faults: ${states()}`)
-    return sim.now() - from
+  async function untilWhole(): Promise<number> {
+    const startedAt = sim.now()
+    if (!(await sim.until(fleet.whole, WHOLE_LIMIT_MS)))
+      reportViolation(`not whole ${WHOLE_LIMIT_MS} ms after the end of the faults: ${states()}`)
+    return sim.now() - startedAt
   }
   function states(): string {
-    const out: string[] = [`${Math.round(sim.now())} ms`, JSON.stringify(fleet.latest())]
-    for (const b of fleet.boxes)
-      out.push(
-        `${b.name} ${b.gone ? 'gone' : (b.run?.core.state() ?? 'down')} ${b.run?.core.coreSet().epoch ?? ''} ${b.proc?.state} ${b.machine.dark}`,
+    const parts: string[] = [`${Math.round(sim.now())} ms`, JSON.stringify(fleet.latest())]
+    for (const host of fleet.boxes)
+      parts.push(
+        `${host.name} ${host.gone ? 'gone' : (host.coreMachine?.core.state() ?? 'down')} ${host.coreMachine?.core.coreSet().epoch ?? ''} ${host.proc?.state} ${host.machine.dark}`,
       )
-    return out.join('; ')
+    return parts.join('; ')
   }
-  /** Every order once more, at some machine: what was decided stands. Then the last read. */
-  async function lastLook(): Promise<void> {
+  /** Sends the last 32 orders again, as decisions must not change, then checks the last successful read. */
+  async function verifyFinalState(): Promise<void> {
     let last: ConfigurationBody | undefined
     async function work(): Promise<void> {
-      for (const [k, one] of model.orders().slice(-32).entries()) {
-        const list = fleet.present()
-        await operators[1].sendOnce(one, list[k % list.length])
+      for (const [k, sentOrder] of model.orders().slice(-32).entries()) {
+        const hosts = fleet.present()
+        await operators[1].sendOnce(sentOrder, hosts[k % hosts.length])
       }
-      for (const b of fleet.present()) last = (await operators[1].read(b)) ?? last
+      for (const host of fleet.present()) last = (await operators[1].read(host)) ?? last
       done = true
     }
     let done = false
@@ -174,40 +180,40 @@
       return done
     }
     void work()
-    await sim.until(isDone, ORDERS_LIMIT * 3)
+    await sim.until(isDone, ORDERS_LIMIT_MS * 3)
     if (last) model.judge(last)
-    else isBroken(`nobody could read at the end: ${states()}`)
+    else reportViolation(`nobody could read at the end: ${states()}`)
   }
   async function finish(): Promise<Verdict> {
     faults.endAll()
-    const took = await progress()
-    if (!(await idle())) isBroken('orders are under way for ever')
-    const whole = await becomeWhole()
-    await lastLook()
+    const progressMs = await measureProgress()
+    if (!(await untilIdle())) reportViolation('orders are under way for ever')
+    const whole = await untilWhole()
+    await verifyFinalState()
     ended = true
-    for (const line of sim.lines) if (isFault(line)) isBroken(line)
+    for (const line of sim.lines) if (isTaskFailure(line)) reportViolation(line)
     let accepted = 0
     let refused = 0
     let unclear = 0
-    for (const one of model.orders()) {
-      if (one.acceptedAt !== undefined) accepted++
-      if (one.refused !== undefined) refused++
-      unclear += one.unclear
+    for (const sentOrder of model.orders()) {
+      if (sentOrder.acceptedAt !== undefined) accepted++
+      if (sentOrder.refused !== undefined) refused++
+      unclear += sentOrder.unclear
     }
     return {
-      broken,
+      broken: violations,
       orders: model.orders().length,
       accepted,
       refused,
       unclear,
       sets: fleet.latest().epoch + 1,
-      counts: counts(),
-      skipped: faults.skipped(),
-      progress: took,
+      leaseChecks: countLeaseChecks(),
+      skippedActions: faults.skipped(),
+      progress: progressMs,
       whole,
       events: sim.events(),
       virtual: sim.now(),
     }
   }
-  return { fleet, model, faults, operators, broken, found, order, race, idle, states, finish }
+  return { fleet, model, faults, operators, violations, found, order, race, untilIdle: untilIdle, states, finish }
 }
--- a/packages/fleet/src/control/sums.ts
+++ b/packages/fleet/src/control/sums.ts
@@ -25,8 +25,8 @@
     refused += one.refused
     unclear += one.unclear
     sets += one.sets
-    counts += one.counts
-    skipped += one.skipped
+    counts += one.leaseChecks
+    skipped += one.skippedActions
     progress = Math.max(progress, one.progress)
     whole = Math.max(whole, one.whole)
   }
--- a/packages/fleet/src/control/watch.ts
+++ b/packages/fleet/src/control/watch.ts
@@ -24,12 +24,12 @@
       const value = agent.register(key)
       const old = known.get(key)
       if (!value) {
-        if (old) fleet.broken(`${where} forgot ${key}`)
+        if (old) fleet.reportViolation(`${where} forgot ${key}`)
         continue
       }
       if (value === old) continue
       if (old && value.turn < old.turn)
-        fleet.broken(`${where} went back from change ${old.turn} to ${value.turn} of ${key}`)
+        fleet.reportViolation(`${where} went back from change ${old.turn} to ${value.turn} of ${key}`)
       known.set(key, value)
       model.learned(key, value, where)
       if (key === CONFIG_KEY)
@@ -37,21 +37,22 @@
     }
   }
   function lookAtBody(body: ConfigurationBody, old: ConfigurationBody | undefined, where: string): void {
-    if (old && body.epoch < old.epoch) fleet.broken(`${where} went back from epoch ${old.epoch} to ${body.epoch}`)
+    if (old && body.epoch < old.epoch)
+      fleet.reportViolation(`${where} went back from epoch ${old.epoch} to ${body.epoch}`)
     model.saw(body, where)
   }
   /** No two lives of one node believe in a lease at one time. */
   function lookAtLeases(): void {
     const holders = new Map<string, number>()
-    for (const life of fleet.lives())
+    for (const life of fleet.liveAgents())
       if (life.agent.leaseExpiresAt() > sim.now() + life.machine.skew)
         holders.set(life.node, (holders.get(life.node) ?? 0) + 1)
-    for (const [node, count] of holders) if (count > 1) fleet.broken(`${count} lives of ${node} hold leases`)
+    for (const [node, count] of holders) if (count > 1) fleet.reportViolation(`${count} lives of ${node} hold leases`)
   }
   function look(): void {
     if (over()) return
     fleet.latest()
-    for (const life of fleet.lives()) lookAt(life.agent, life.node)
+    for (const life of fleet.liveAgents()) lookAt(life.agent, life.node)
     lookAtLeases()
     sim.at(LOOK_BEAT, look)
   }
--- a/packages/fleet/src/control/week.ts
+++ b/packages/fleet/src/control/week.ts
@@ -4,7 +4,7 @@
  */
 import { pause, type World } from '@claynotch/base'
 import type { Action } from './actions.js'
-import { makeRun, WHOLE_LIMIT, type Run, type Verdict } from './run.js'
+import { makeRun, WHOLE_LIMIT_MS, type Run, type Verdict } from './run.js'
 
 /** One kind of loss: its actions, with the machine that it falls on left open. */
 type Loss = { name: string; actions: (machine: number, other: number) => Action[] }
@@ -121,12 +121,12 @@
   }
   if (await run.found()) {
     startOrders(run, isOver, took)
-    for (let k = 0; k < rounds && run.broken.length === 0; k++) {
+    for (let k = 0; k < rounds && run.violations.length === 0; k++) {
       const { name, actions } = LOSSES[k % LOSSES.length]
       present = 'nothing'
       await sim.run(sim.now() + QUIET)
-      if (!(await sim.until(fleet.whole, WHOLE_LIMIT)))
-        run.fleet.broken(`not whole before ${name}, loss ${k}: ${run.states()}`)
+      if (!(await sim.until(fleet.whole, WHOLE_LIMIT_MS)))
+        run.fleet.reportViolation(`not whole before ${name}, loss ${k}: ${run.states()}`)
       present = name
       const machine = Math.floor(sim.random() * fleet.present().length)
       const other = Math.floor(sim.random() * fleet.present().length)
@@ -150,7 +150,7 @@
   const { verdict, losses, replaced, outage } = got
   const lines = [
     `seed ${seed}: ${losses} losses, ${replaced} machines replaced, ${verdict.orders} orders (${verdict.accepted} accepted, ` +
-      `${verdict.refused} refused, ${verdict.unclear} answers unclear), ${verdict.sets} core sets, ${verdict.counts} leases looked for, ` +
+      `${verdict.refused} refused, ${verdict.unclear} answers unclear), ${verdict.sets} core sets, ${verdict.leaseChecks} leases looked for, ` +
       `${Math.round(verdict.virtual / 1000)} s of virtual time, ${verdict.broken.length} contradictions`,
   ]
   for (const [name, ms] of outage) lines.push(`  longest order, ${name}: ${Math.round(ms)} ms`)
--- a/packages/fleet/src/controlmodel.ts
+++ b/packages/fleet/src/controlmodel.ts
@@ -9,7 +9,13 @@
 export { SCOPES, schedulesOf } from './control/scope.js'
 export { makeSums, type Sums } from './control/sums.js'
 export { runWeek, weekText, type WeekReport } from './control/week.js'
-export { makeRun, PROGRESS_LIMIT, WHOLE_LIMIT, type Run, type Verdict } from './control/run.js'
+export {
+  makeRun,
+  PROGRESS_LIMIT_MS as PROGRESS_LIMIT,
+  WHOLE_LIMIT_MS as WHOLE_LIMIT,
+  type Run,
+  type Verdict,
+} from './control/run.js'
 
 function begin(run: Run, action: Action, operator: number): void {
   if (action.kind === 'order') void run.order(operator, action.machine, action)
@@ -24,7 +30,7 @@
   if (await run.found()) {
     for (let k = 0; k < schedule.before; k++) {
       void run.order(0, k)
-      await run.idle()
+      await run.untilIdle()
     }
     for (const [k, action] of schedule.actions.entries()) {
       await sim.run(sim.now() + action.wait)
