--- a/packages/fleet/src/control/actions.ts
+++ b/packages/fleet/src/control/actions.ts
@@ -1,40 +1,40 @@
 /**
- * The vocabulary of the model test of control: what a drawn schedule may hold.
+ * The actions and schedules of the control model test.
  *
- * A schedule is data alone, so that it can be drawn, shrunk, printed and kept. Machines are named by numbers that are taken
- * modulo the machines there are when the action begins, so that every shrunk schedule still means something.
+ * A schedule is plain data, so that it can be generated, shrunk, printed and stored. Machine numbers are taken modulo
+ * the number of machines present when the action starts, so that every shrunk schedule stays meaningful.
  */
 
-/** Faults of one core machine that end by themselves after `long` milliseconds. */
+/** Faults of one core host that end by themselves after `long` milliseconds. */
 export const FAULTS = ['kill', 'power', 'wipe', 'freeze', 'term', 'slow', 'stall', 'full'] as const
 export type FaultKind = (typeof FAULTS)[number]
 
-/** Which way a cut takes bytes away, seen from the machine that is cut off. */
+/** Direction in which a network cut drops bytes, seen from the machine that is cut off. */
 export const WAYS = ['in', 'out', 'both'] as const
 export type Way = (typeof WAYS)[number]
 
-/** `wait`: milliseconds between the beginning of the action before and the beginning of this one. */
+/** One action; `wait`: milliseconds from the start of the previous action to the start of this one. */
 export type Action = { wait: number } & (
   | { kind: FaultKind; machine: number; long: number }
-  // others: a bit for each core machine, then one for each front.
+  // `others`: a bit for the front (bit 0), then one for each core host.
   | { kind: 'cut'; machine: number; others: number; way: Way; long: number }
-  // Power is lost everywhere at once.
+  // Power loss of all core hosts at once.
   | { kind: 'blackout'; long: number }
-  // share: of datagrams lost, and of stream chunks that come a resend later.
+  // `share`: fraction of datagrams lost, and of stream chunks that arrive one retransmission later.
   | { kind: 'loss'; share: number; long: number }
   | { kind: 'clock'; machine: number; step: number }
   | { kind: 'front'; fault: 'kill' | 'freeze' | 'clock'; long: number }
   | { kind: 'add' }
   | { kind: 'remove'; machine: number }
-  // stale: expects an epoch that was passed. again: how often it is sent once more after its answer.
+  // `stale`: expects an outdated epoch. `again`: how often it is resent after its answer.
   | { kind: 'order'; machine: number; stale: boolean; gap: number; again: number }
-  // Two operators name one epoch at the same time, at two machines.
+  // Two operators send orders for the same epoch at the same time, to two machines.
   | { kind: 'race'; machine: number; other: number; gap: number }
 )
 
 /**
- * A whole schedule. `seeds`: machines that found the set; `spares`: core machines beside them; `pad`: bytes of each
- * configuration beside its name, so that data files are rewritten; `before`: orders taken before the first action.
+ * A complete schedule. `seeds`: hosts that found the core set; `spares`: further core hosts; `pad`: padding bytes of
+ * each configuration, so that data files are rewritten; `before`: orders sent, and completed, before the first action.
  */
 export type Schedule = {
   seed: number
--- a/packages/fleet/src/control/census.ts
+++ b/packages/fleet/src/control/census.ts
@@ -1,6 +1,6 @@
 /**
- * The census: under every core set that ever was, whoever still answers under it is asked for the members. No quorum of cores
- * that are all sure may miss a node that holds a valid lease by its own clock.
+ * Lease census: asks the voters of the latest core sets for the members. No quorum of cores that are all sure of their
+ * answer may miss a node that holds a valid lease by its own clock.
  */
 import {
   makeHello,
@@ -18,29 +18,34 @@
 import { quorumOf, votersOf, type CoreSet } from './sets.js'
 import type { Machine, Proc } from '../sim.js'
 
-const CENSUS_BEAT = 150
-const CENSUS_WAIT = 200
-/** Sets older than this many epochs are asked no more: nobody stands in them, so nobody answers. */
-const SETS_ASKED = 4
+const CENSUS_INTERVAL_MS = 150
+const CENSUS_TIMEOUT_MS = 200
+/** Only this many of the latest core sets are asked: no core is in an older epoch any more, so none answers. */
+const MAX_SETS_ASKED = 4
 
-type Holder = { node: string; termUntil: number; machine: Machine; proc: Proc }
+type LeaseHolder = { node: string; leaseExpiresAt: number; machine: Machine; proc: Proc }
 
-/** Whether its lease stands now, by the clock of its own machine. */
-function stands(h: Holder, now: number): boolean {
-  return h.proc.state !== 'dead' && h.termUntil > now + h.machine.skew
+/** Whether the lease is valid now, by the clock of its own machine. */
+function isLeaseValid(holder: LeaseHolder, now: number): boolean {
+  return holder.proc.state !== 'dead' && holder.leaseExpiresAt > now + holder.machine.skew
 }
-/** Who holds a lease now; not who was told to stop, as its lease may be given up already. */
-function holdersOf(fleet: ControlFleet): Holder[] {
+/** The current lease holders, except processes told to stop: those may have released their lease already. */
+function holdersOf(fleet: ControlFleet): LeaseHolder[] {
   const now = fleet.sim.now()
-  const out: Holder[] = []
-  for (const life of fleet.liveAgents()) {
-    const one = { node: life.node, termUntil: life.agent.leaseExpiresAt(), machine: life.machine, proc: life.proc }
-    if (!life.isStopping() && stands(one, now)) out.push(one)
+  const out: LeaseHolder[] = []
+  for (const agentProcess of fleet.liveAgents()) {
+    const holder = {
+      node: agentProcess.node,
+      leaseExpiresAt: agentProcess.agent.leaseExpiresAt(),
+      machine: agentProcess.machine,
+      proc: agentProcess.proc,
+    }
+    if (!agentProcess.isStopping() && isLeaseValid(holder, now)) out.push(holder)
   }
   return out
 }
-function lastSets(fleet: ControlFleet): CoreSet[] {
-  const epochs = [...fleet.coreSetsByEpoch.keys()].sort(byNumber).slice(-SETS_ASKED)
+function latestSets(fleet: ControlFleet): CoreSet[] {
+  const epochs = [...fleet.coreSetsByEpoch.keys()].sort(byNumber).slice(-MAX_SETS_ASKED)
   const out: CoreSet[] = []
   for (const e of epochs) out.push(fleet.coreSetsByEpoch.get(e)!)
   return out
@@ -49,53 +54,54 @@
   return a - b
 }
 
-/** Starts it; the answer tells how many quorums were counted so far. */
-export function startCensus(fleet: ControlFleet, over: () => boolean): () => number {
+/** Starts the census; the returned function tells how many lease holders were checked so far. */
+export function startCensus(fleet: ControlFleet, hasEnded: () => boolean): () => number {
   const { sim } = fleet
-  let counted = 0
+  let leaseChecks = 0
 
-  /** Every quorum of those that answered and are sure must name every holder whose lease still stands. */
-  function check(set: CoreSet, holders: Holder[], got: (MembersAnswer | undefined)[]): void {
-    const list = votersOf(set)
+  /** Every quorum of sure answers must name every holder whose lease is still valid. */
+  function check(set: CoreSet, holders: LeaseHolder[], answers: (MembersAnswer | undefined)[]): void {
+    const voters = votersOf(set)
     const quorum = quorumOf(set)
-    for (const h of holders) {
-      if (!stands(h, sim.now())) continue
-      // The largest group of sure answers that does not name the holder.
-      const without = new Set<string>()
-      for (const [k, p] of list.entries()) if (got[k] && !got[k].members.some(isHolder)) without.add(p.id)
+    for (const holder of holders) {
+      if (!isLeaseValid(holder, sim.now())) continue
+      /** All voters that are sure of their answer and do not name the holder. */
+      const surePeersWithoutHolder = new Set<string>()
+      for (const [k, voter] of voters.entries())
+        if (answers[k] && !answers[k].members.some(isHolder)) surePeersWithoutHolder.add(voter.id)
       function isHolder(m: { node: string }): boolean {
-        return m.node === h.node
+        return m.node === holder.node
       }
-      counted++
-      if (quorum.met(without))
+      leaseChecks++
+      if (quorum.met(surePeersWithoutHolder))
         fleet.reportViolation(
-          `epoch ${set.epoch}: ${[...without].join()} are sure of the members, and ${h.node} holds a lease`,
+          `epoch ${set.epoch}: ${[...surePeersWithoutHolder].join()} are sure of the members, and ${holder.node} holds a lease`,
         )
     }
   }
   async function run(world: World): Promise<void> {
     const links = new Map<string, PersistentLink>()
     async function ask(addr: Address, epoch: number): Promise<MembersAnswer | undefined> {
-      const held = links.get(addr) ?? makePersistentLink(world, addr, makeHello('test', 'census'), noop, makeFlag())
-      links.set(addr, held)
-      const got = readAs(MembersAnswer, await held.ask({ t: 'members', epoch }, CENSUS_WAIT))
-      return got.ok && got.val.ok && got.val.sure ? got.val : undefined
+      const link = links.get(addr) ?? makePersistentLink(world, addr, makeHello('test', 'census'), noop, makeFlag())
+      links.set(addr, link)
+      const answer = readAs(MembersAnswer, await link.ask({ t: 'members', epoch }, CENSUS_TIMEOUT_MS))
+      return answer.ok && answer.val.ok && answer.val.sure ? answer.val : undefined
     }
-    while (!over()) {
+    while (!hasEnded()) {
       fleet.latest()
-      for (const set of lastSets(fleet)) {
-        // Only leases that stood before the question and stand after the answers.
+      for (const set of latestSets(fleet)) {
+        // Only leases valid before the question and still valid after the answers are checked.
         const holders = holdersOf(fleet)
         const asks: Promise<MembersAnswer | undefined>[] = []
-        for (const p of votersOf(set)) asks.push(ask(p.addr, set.epoch))
+        for (const voter of votersOf(set)) asks.push(ask(voter.addr, set.epoch))
         check(set, holders, await Promise.all(asks))
       }
-      await pause(world, CENSUS_BEAT)
+      await pause(world, CENSUS_INTERVAL_MS)
     }
   }
   sim.spawn(sim.machine('census', '10.0.3.250'), 'census', run)
-  function count(): number {
-    return counted
+  function getLeaseChecks(): number {
+    return leaseChecks
   }
-  return count
+  return getLeaseChecks
 }
--- a/packages/fleet/src/control/faults.ts
+++ b/packages/fleet/src/control/faults.ts
@@ -1,8 +1,9 @@
 /**
  * Injects the faults of a schedule, and ends each after its duration.
  *
- * Actions that the core set could not tolerate are skipped: a disk is lost, or a host removed, only while the hosts that
- * keep their voter state are a quorum of every core set that may decide. Any number of temporary faults may overlap.
+ * Actions that the core set could not tolerate are skipped: a disk is lost, or a host removed, only while the hosts
+ * that keep their voter state are a quorum of every core set that may decide. Any number of temporary faults may
+ * overlap.
  */
 import type { Action } from './actions.js'
 import type { Box, ControlFleet } from './fleet.js'
--- a/packages/fleet/src/control/model.ts
+++ b/packages/fleet/src/control/model.ts
@@ -1,143 +1,176 @@
 /**
- * The plain model of the configuration: every order that was sent with every answer it got, and everything ever seen of the
- * configuration, held against each other.
+ * Reference model of the configuration: compares every order and its answers with every observed configuration.
  *
- * It knows nothing of rounds, ballots or sets. What it demands:
- * - of each epoch there is one order, wherever and whenever it is read;
- * - an order stands right after the epoch that it expects, so no two on one expected epoch are both in force;
- * - an order told accepted is in force at that epoch for good; one told refused never is;
- * - an accepted order sent again is never told refused, nor another epoch;
- * - a read sees what was told accepted before it began;
- * - of each change of a register there is one value, whoever learned it.
+ * It knows nothing of rounds, ballots or core sets. Its invariants:
+ * - each epoch belongs to one order, wherever and whenever it is read;
+ * - an order directly follows the epoch that it expects, so of two orders that expect one epoch only one is in force;
+ * - an order answered as accepted stays in force at that epoch for good; one answered as rejected never is in force;
+ * - an accepted order that is sent again is never answered as rejected, nor with another epoch;
+ * - a read returns everything that was acknowledged before it began;
+ * - each change of a register has one value, whoever learned it.
  */
 import { MAX_NAMED_CHANGES } from '@claynotch/base'
 import type { ConfigurationBody, Decision } from '@claynotch/operator'
 import type { RegisterValue } from '@claynotch/register'
 
-/** `epoch`: the one that it makes. `acceptedAt`: the epoch told, where it was told accepted. */
+/** A change request of an operator, with what its answers said. */
 export type Order = {
   name: string
+  /** The epoch that it expects to be in force. */
   expect: number
+  /** The epoch that it makes. */
   epoch: number
-  sent: number
-  unclear: number
+  attempts: number
+  /** Attempts without a clear answer. */
+  unclearAnswers: number
+  /** The epoch that the last accepting answer named. */
   acceptedAt: number | undefined
-  refused: string | undefined
+  rejectionReason: string | undefined
 }
 
-/** The model. `broken` is told each contradiction. */
+/** The reference model of one run. */
 export type Model = {
+  /** Creates an order; it is not sent yet. */
   order: (expect: number, epoch: number) => Order
   orders: () => Order[]
-  answered: (order: Order, got: Decision | undefined, where: string) => void
-  /** A body that was chosen, as someone holds it. */
-  saw: (body: ConfigurationBody, where: string) => void
-  /** A value that someone learned to be chosen. */
-  learned: (key: string, value: RegisterValue, where: string) => void
-  /** The highest epoch told accepted so far. */
-  acknowledged: () => number
-  /** The highest epoch seen in force. */
-  newest: () => number
-  /** The last look: a body read at a majority after everything else. */
-  judge: (last: ConfigurationBody) => void
+  recordAnswer: (order: Order, decision: Decision | undefined, where: string) => void
+  /** Checks a committed configuration as observed somewhere. */
+  observeBody: (body: ConfigurationBody, where: string) => void
+  /** Checks a register value that someone learned as committed. */
+  observeValue: (key: string, value: RegisterValue, where: string) => void
+  /** The highest epoch acknowledged as accepted so far. */
+  highestAcknowledgedEpoch: () => number
+  /** The highest epoch observed in force. */
+  newestEpoch: () => number
+  /** Checks the final state: a configuration read from a majority after everything else. */
+  checkFinalRead: (last: ConfigurationBody) => void
 }
 
-export function makeModel(broken: (what: string) => void): Model {
+/** Creates the model; it calls `reportViolation` for each contradiction. */
+export function makeModel(reportViolation: (what: string) => void): Model {
   const orders = new Map<string, Order>()
-  // inForce: who made each epoch. tags: the change that made each turn of each register.
-  const inForce = new Map<number, string>()
-  const tags = new Map<string, string>()
+  /** The name of the order in force at each epoch. */
+  const orderByEpoch = new Map<number, string>()
+  /** The tag of each change of each register. */
+  const tagByChange = new Map<string, string>()
   let highestAcknowledged = 0
   let highestSeen = 0
 
   function order(expect: number, epoch: number): Order {
-    const one: Order = {
+    const newOrder: Order = {
       name: `order${orders.size}`,
       expect,
       epoch,
-      sent: 0,
-      unclear: 0,
+      attempts: 0,
+      unclearAnswers: 0,
       acceptedAt: undefined,
-      refused: undefined,
+      rejectionReason: undefined,
     }
-    orders.set(one.name, one)
-    return one
+    orders.set(newOrder.name, newOrder)
+    return newOrder
   }
-  function answered(one: Order, got: Decision | undefined, where: string): void {
-    one.sent++
-    if (!got) {
-      one.unclear++
+  function recordAnswer(sentOrder: Order, decision: Decision | undefined, where: string): void {
+    sentOrder.attempts++
+    if (!decision) {
+      sentOrder.unclearAnswers++
       return
     }
-    if (got.decision === 'accepted') accepted(one, got.epoch, where)
-    else refused(one, got.why, where)
+    if (decision.decision === 'accepted') recordAccepted(sentOrder, decision.epoch, where)
+    else recordRejected(sentOrder, decision.why, where)
   }
-  function accepted(one: Order, epoch: number, where: string): void {
-    if (one.refused !== undefined) broken(`${one.name} was refused (${one.refused}) and then accepted at ${where}`)
-    if (epoch !== one.epoch) broken(`${one.name} names epoch ${one.epoch} and was accepted as ${epoch} at ${where}`)
-    one.acceptedAt = epoch
-    force(epoch, one.name, `the answer of ${where}`)
+  function recordAccepted(sentOrder: Order, epoch: number, where: string): void {
+    if (sentOrder.rejectionReason !== undefined)
+      reportViolation(`${sentOrder.name} was refused (${sentOrder.rejectionReason}) and then accepted at ${where}`)
+    if (epoch !== sentOrder.epoch)
+      reportViolation(`${sentOrder.name} names epoch ${sentOrder.epoch} and was accepted as ${epoch} at ${where}`)
+    sentOrder.acceptedAt = epoch
+    recordInForce(epoch, sentOrder.name, `the answer of ${where}`)
     highestAcknowledged = Math.max(highestAcknowledged, epoch)
   }
-  function refused(one: Order, why: string, where: string): void {
-    if (one.acceptedAt !== undefined) broken(`${one.name} was accepted and then refused at ${where}: ${why}`)
-    if (inForce.get(one.epoch) === one.name) broken(`${one.name} is in force and was refused at ${where}: ${why}`)
-    one.refused ??= why
+  function recordRejected(sentOrder: Order, why: string, where: string): void {
+    if (sentOrder.acceptedAt !== undefined)
+      reportViolation(`${sentOrder.name} was accepted and then refused at ${where}: ${why}`)
+    if (orderByEpoch.get(sentOrder.epoch) === sentOrder.name)
+      reportViolation(`${sentOrder.name} is in force and was refused at ${where}: ${why}`)
+    sentOrder.rejectionReason ??= why
   }
-  function force(epoch: number, name: string, where: string): void {
-    const old = inForce.get(epoch)
+  function recordInForce(epoch: number, name: string, where: string): void {
+    const old = orderByEpoch.get(epoch)
     if (old === name) return
     if (old !== undefined) {
-      broken(`epoch ${epoch} is ${old}, and ${name} by ${where}`)
+      reportViolation(`epoch ${epoch} is ${old}, and ${name} by ${where}`)
       return
     }
-    inForce.set(epoch, name)
+    orderByEpoch.set(epoch, name)
     highestSeen = Math.max(highestSeen, epoch)
-    const one = orders.get(name)
-    if (!one) broken(`epoch ${epoch} is ${name}, which nobody sent, by ${where}`)
-    else if (one.epoch !== epoch) broken(`${name} names epoch ${one.epoch} and is in force as ${epoch} by ${where}`)
-    else if (one.refused !== undefined) broken(`${name} was refused (${one.refused}) and is in force by ${where}`)
+    const sentOrder = orders.get(name)
+    if (!sentOrder) reportViolation(`epoch ${epoch} is ${name}, which nobody sent, by ${where}`)
+    else if (sentOrder.epoch !== epoch)
+      reportViolation(`${name} names epoch ${sentOrder.epoch} and is in force as ${epoch} by ${where}`)
+    else if (sentOrder.rejectionReason !== undefined)
+      reportViolation(`${name} was refused (${sentOrder.rejectionReason}) and is in force by ${where}`)
   }
-  function saw(body: ConfigurationBody, where: string): void {
+  function observeBody(body: ConfigurationBody, where: string): void {
     let prior: number | undefined = body.history.length < MAX_NAMED_CHANGES ? 0 : undefined
-    for (const h of body.history) {
-      force(h.epoch, h.stream, where)
-      const expect = orders.get(h.stream)?.expect
+    for (const change of body.history) {
+      recordInForce(change.epoch, change.stream, where)
+      const expect = orders.get(change.stream)?.expect
       if (prior !== undefined && expect !== undefined && expect !== prior)
-        broken(`${h.stream} expects epoch ${expect} and stands after ${prior} by ${where}`)
-      prior = h.epoch
+        reportViolation(`${change.stream} expects epoch ${expect} and stands after ${prior} by ${where}`)
+      prior = change.epoch
     }
-    if ((prior ?? 0) !== body.epoch) broken(`epoch ${body.epoch} ends a history that ends in ${prior} by ${where}`)
+    if ((prior ?? 0) !== body.epoch)
+      reportViolation(`epoch ${body.epoch} ends a history that ends in ${prior} by ${where}`)
     const label = (body.config?.label as { order?: string } | undefined)?.order
-    if (label !== undefined && label !== inForce.get(body.epoch))
-      broken(`epoch ${body.epoch} holds the document of ${label}, not ${inForce.get(body.epoch)}, by ${where}`)
+    if (label !== undefined && label !== orderByEpoch.get(body.epoch))
+      reportViolation(
+        `epoch ${body.epoch} holds the document of ${label}, not ${orderByEpoch.get(body.epoch)}, by ${where}`,
+      )
   }
-  function learned(key: string, value: RegisterValue, where: string): void {
-    const at = `${key} ${value.turn}`
-    const old = tags.get(at)
-    if (old === undefined) tags.set(at, value.tag)
-    else if (old !== value.tag) broken(`change ${value.turn} of ${key} is ${old}, and ${value.tag} by ${where}`)
+  function observeValue(key: string, value: RegisterValue, where: string): void {
+    const changeKey = `${key} ${value.turn}`
+    const old = tagByChange.get(changeKey)
+    if (old === undefined) tagByChange.set(changeKey, value.tag)
+    else if (old !== value.tag)
+      reportViolation(`change ${value.turn} of ${key} is ${old}, and ${value.tag} by ${where}`)
   }
-  function judge(last: ConfigurationBody): void {
-    saw(last, 'the last read')
-    const least = last.history.length < MAX_NAMED_CHANGES ? 0 : last.history[0].epoch
-    const kept = new Set<string>()
-    for (const h of last.history) kept.add(h.stream)
-    for (const one of orders.values()) {
-      if (one.acceptedAt !== undefined && one.acceptedAt >= least && !kept.has(one.name))
-        broken(`${one.name} was accepted as epoch ${one.acceptedAt} and is not in the history at the end`)
-      if (one.refused !== undefined && kept.has(one.name)) broken(`${one.name} was refused and is in the history`)
+  function checkFinalRead(last: ConfigurationBody): void {
+    observeBody(last, 'the last read')
+    const firstKeptEpoch = last.history.length < MAX_NAMED_CHANGES ? 0 : last.history[0].epoch
+    const keptNames = new Set<string>()
+    for (const change of last.history) keptNames.add(change.stream)
+    for (const sentOrder of orders.values()) {
+      if (
+        sentOrder.acceptedAt !== undefined &&
+        sentOrder.acceptedAt >= firstKeptEpoch &&
+        !keptNames.has(sentOrder.name)
+      )
+        reportViolation(
+          `${sentOrder.name} was accepted as epoch ${sentOrder.acceptedAt} and is not in the history at the end`,
+        )
+      if (sentOrder.rejectionReason !== undefined && keptNames.has(sentOrder.name))
+        reportViolation(`${sentOrder.name} was refused and is in the history`)
     }
-    if (last.epoch < highestSeen) broken(`the last read is of epoch ${last.epoch}, and ${highestSeen} was seen`)
+    if (last.epoch < highestSeen)
+      reportViolation(`the last read is of epoch ${last.epoch}, and ${highestSeen} was seen`)
   }
   function list(): Order[] {
     return [...orders.values()]
   }
-  function acknowledged(): number {
+  function highestAcknowledgedEpoch(): number {
     return highestAcknowledged
   }
-  function newest(): number {
+  function newestEpoch(): number {
     return highestSeen
   }
-  return { order, orders: list, answered, saw, learned, acknowledged, newest, judge }
+  return {
+    order,
+    orders: list,
+    recordAnswer: recordAnswer,
+    observeBody: observeBody,
+    observeValue: observeValue,
+    highestAcknowledgedEpoch: highestAcknowledgedEpoch,
+    newestEpoch: newestEpoch,
+    checkFinalRead: checkFinalRead,
+  }
 }
--- a/packages/fleet/src/control/power-loss.ts
+++ b/packages/fleet/src/control/power-loss.ts
@@ -1,49 +1,51 @@
 /**
- * The end of a day in the simulator: as many core machines as may be lost lose their disks, and everything else, fronts and
- * core machines without a vote too, loses power at the same instant. Whatever is needed afterwards must be on the disks.
+ * Total power loss in the simulator: as many core hosts as tolerable lose their disks, and everything else, fronts and
+ * non-voting core hosts too, loses power at the same instant. Whatever is needed afterwards must be on the disks.
  */
 import { makeRun, type Run, type Verdict } from './run.js'
 import type { Box } from './fleet.js'
 
-/** What is under way when the power goes. */
+/** What is in progress when the power fails. */
 export const MOMENTS = ['change', 'race', 'replacement', 'refill'] as const
 export type Moment = (typeof MOMENTS)[number]
 
-/** Deployments: core machines, and how many of them may lose their disks at once. */
+/** Deployments: number of core hosts, and how many of them may lose their disks at once. */
 const DEPLOYMENTS = [
   { cores: 5, disks: 1 },
   { cores: 9, disks: 2 },
 ]
-/** Core machines that found the set. */
+/** Core hosts that found the core set. */
 const FOUNDERS = 3
-/** Changes taken before anything happens. */
+/** Orders sent, and completed, before the tested moment. */
 const CHANGES_BEFORE = 4
-/** Milliseconds from the sending of the last change to the loss. */
-const LEAST_WAIT_MS = 5
-const MOST_WAIT_MS = 400
-/** Milliseconds from the start of a replacement or a refill to the sending of the last change, at most. */
-const MOST_LEAD_MS = 3000
-/** Milliseconds without power: all machines, and how much longer each may take by itself. */
+/** Bounds of the time from sending the last change to the power loss. */
+const MIN_WAIT_MS = 5
+const MAX_WAIT_MS = 400
+/** Upper bound of the time from the start of a replacement or a refill to sending the last change. */
+const MAX_LEAD_MS = 3000
+/** Time without power: for all hosts, and how much longer each may take by itself. */
 const DOWN_MS = 1000
-const MOST_LATER_MS = 2500
-/** Milliseconds for the founding set to grow to all machines. */
+const MAX_EXTRA_DOWN_MS = 2500
+/** The founding set must grow to all hosts within this time. */
 const GROWTH_LIMIT_MS = 60000
 
+/** The result of one power loss run. */
 export type PowerLossReport = { moment: Moment; cores: number; lostDisks: number; verdict: Verdict }
 
-/** Boxes that lose their disks: as many as the deployment allows, and no more than the present set bears. */
-function drawLost(run: Run, most: number): Box[] {
+/** Draws the hosts that lose their disks: at most what the deployment allows and the current core set tolerates. */
+function drawLostDisks(run: Run, maxLostDisks: number): Box[] {
   const { fleet } = run
-  const list = fleet.present()
+  const candidates = fleet.present()
   const lost: Box[] = []
-  while (lost.length < most && list.length > 0) {
-    const [host] = list.splice(Math.floor(fleet.sim.random() * list.length), 1)
+  while (lost.length < maxLostDisks && candidates.length > 0) {
+    const [host] = candidates.splice(Math.floor(fleet.sim.random() * candidates.length), 1)
     if (fleet.canLoseDisksOf([...lost, host])) lost.push(host)
   }
   return lost
 }
 
-function begin(run: Run, moment: Moment): void {
+/** Starts the fault that belongs to the moment, if it has one. */
+function beginMoment(run: Run, moment: Moment): void {
   const machine = Math.floor(run.fleet.sim.random() * run.fleet.present().length)
   if (moment === 'replacement') {
     run.faults.apply({ wait: 0, kind: 'remove', machine })
@@ -51,24 +53,25 @@
   } else if (moment === 'refill') run.faults.apply({ wait: 0, kind: 'wipe', machine, long: 300 })
 }
 
-/** Everything goes dark at this instant, and comes back machine by machine, in any order. */
+/** Cuts the power of every host at this instant; the hosts come back one by one, in random order. */
 function losePower(run: Run, lost: Box[]): void {
   const { fleet } = run
   const { sim } = fleet
   for (const host of fleet.present()) {
     fleet.kill(host, { dark: true, ...(lost.includes(host) ? { disk: 'lost' as const } : {}) })
-    function again(): void {
+    function restart(): void {
       fleet.start(host)
     }
-    sim.at(DOWN_MS + MOST_LATER_MS * sim.random(), again)
+    sim.at(DOWN_MS + MAX_EXTRA_DOWN_MS * sim.random(), restart)
   }
   fleet.killFront()
-  function frontAgain(): void {
+  function restartFront(): void {
     fleet.startFront(false)
   }
-  sim.at(DOWN_MS + MOST_LATER_MS * sim.random(), frontAgain)
+  sim.at(DOWN_MS + MAX_EXTRA_DOWN_MS * sim.random(), restartFront)
 }
 
+/** Runs one power loss; the seed also selects the moment and the deployment. */
 export async function runPowerLoss(seed: number): Promise<PowerLossReport> {
   const moment = MOMENTS[seed % MOMENTS.length]
   const { cores, disks } = DEPLOYMENTS[Math.floor(seed / MOMENTS.length) % DEPLOYMENTS.length]
@@ -82,15 +85,15 @@
       void run.order(0, k)
       await run.untilIdle()
     }
-    begin(run, moment)
-    if (moment === 'replacement' || moment === 'refill') await sim.run(sim.now() + MOST_LEAD_MS * sim.random())
+    beginMoment(run, moment)
+    if (moment === 'replacement' || moment === 'refill') await sim.run(sim.now() + MAX_LEAD_MS * sim.random())
     if (moment === 'race') void run.race(0, 1, 1)
     else void run.order(0, Math.floor(sim.random() * cores))
-    await sim.run(sim.now() + LEAST_WAIT_MS + (MOST_WAIT_MS - LEAST_WAIT_MS) * sim.random())
-    const lost = drawLost(run, disks)
+    await sim.run(sim.now() + MIN_WAIT_MS + (MAX_WAIT_MS - MIN_WAIT_MS) * sim.random())
+    const lost = drawLostDisks(run, disks)
     lostDisks = lost.length
     losePower(run, lost)
-    await sim.run(sim.now() + DOWN_MS + MOST_LATER_MS + 1)
+    await sim.run(sim.now() + DOWN_MS + MAX_EXTRA_DOWN_MS + 1)
   }
   return { moment, cores, lostDisks, verdict: await run.finish() }
 }
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -111,13 +111,13 @@
     machine: number,
     how: { stale?: boolean; gap?: number; again?: number } = {},
   ): Promise<void> {
-    const newest = model.newest()
+    const newest = model.newestEpoch()
     const expect = how.stale ? Math.max(0, newest - 1) : newest
     const change = model.order(expect, newest + (how.gap ?? 1))
     await deliver(operator, change, machine, how.again ?? 0)
   }
   async function race(machine: number, other: number, gap: number): Promise<void> {
-    const expect = model.newest()
+    const expect = model.newestEpoch()
     const first = model.order(expect, expect + gap)
     const second = model.order(expect, expect + gap)
     await Promise.all([deliver(0, first, machine, 1), deliver(1, second, other, 1)])
@@ -181,7 +181,7 @@
     }
     void work()
     await sim.until(isDone, ORDERS_LIMIT_MS * 3)
-    if (last) model.judge(last)
+    if (last) model.checkFinalRead(last)
     else reportViolation(`nobody could read at the end: ${states()}`)
   }
   async function finish(): Promise<Verdict> {
@@ -197,8 +197,8 @@
     let unclear = 0
     for (const sentOrder of model.orders()) {
       if (sentOrder.acceptedAt !== undefined) accepted++
-      if (sentOrder.refused !== undefined) refused++
-      unclear += sentOrder.unclear
+      if (sentOrder.rejectionReason !== undefined) refused++
+      unclear += sentOrder.unclearAnswers
     }
     return {
       broken: violations,
--- a/packages/fleet/src/control/sets.ts
+++ b/packages/fleet/src/control/sets.ts
@@ -1,11 +1,11 @@
-/** Reading core sets, for those who look at cores from outside. */
+/** Decoding of core sets, for code that inspects cores from outside. */
 import { readAs } from '@claynotch/base'
 import { CoreSet } from '@claynotch/register'
 
 export { quorumOf, votersOf, type CoreSet } from '@claynotch/register'
 
-/** The core set that a register's body holds, if it holds one. */
+/** Decodes a register body as a core set; undefined if it is none. */
 export function readCoreSet(body: unknown): CoreSet | undefined {
-  const got = readAs(CoreSet, body)
-  return got.ok ? got.val : undefined
+  const decoded = readAs(CoreSet, body)
+  return decoded.ok ? decoded.val : undefined
 }
--- a/packages/fleet/src/control/sums.ts
+++ b/packages/fleet/src/control/sums.ts
@@ -1,8 +1,10 @@
-/** Sums over the runs that were played. */
+/** Totals over all runs that were played. */
 import type { Verdict } from './run.js'
 
+/** Adds up verdicts; `text` formats the totals. */
 export type Sums = { add: (verdict: Verdict) => void; text: () => string }
 
+/** Creates empty totals. */
 export function makeSums(): Sums {
   let runs = 0
   let events = 0
@@ -16,19 +18,19 @@
   let skipped = 0
   let progress = 0
   let whole = 0
-  function add(one: Verdict): void {
+  function add(verdict: Verdict): void {
     runs++
-    events += one.events
-    virtual += one.virtual
-    orders += one.orders
-    accepted += one.accepted
-    refused += one.refused
-    unclear += one.unclear
-    sets += one.sets
-    counts += one.leaseChecks
-    skipped += one.skippedActions
-    progress = Math.max(progress, one.progress)
-    whole = Math.max(whole, one.whole)
+    events += verdict.events
+    virtual += verdict.virtual
+    orders += verdict.orders
+    accepted += verdict.accepted
+    refused += verdict.refused
+    unclear += verdict.unclear
+    sets += verdict.sets
+    counts += verdict.leaseChecks
+    skipped += verdict.skippedActions
+    progress = Math.max(progress, verdict.progress)
+    whole = Math.max(whole, verdict.whole)
   }
   function text(): string {
     const parts = [
--- a/packages/fleet/src/control/watch.ts
+++ b/packages/fleet/src/control/watch.ts
@@ -1,6 +1,6 @@
 /**
- * The look at everything, over and over: what each agent knows, what each set is, who holds leases. Whatever contradicts the
- * model, or goes back in one life, is told as broken.
+ * Periodic inspection of what each agent knows, of every core set and of the lease holders. Whatever contradicts the
+ * model, or goes backwards within one process, is reported as a violation.
  */
 import type { Agent } from '@claynotch/agent'
 import { CONFIG_KEY, type ConfigurationBody } from '@claynotch/operator'
@@ -8,53 +8,53 @@
 import type { ControlFleet } from './fleet.js'
 import type { Model } from './model.js'
 
-const LOOK_BEAT = 50
-const KEYS = [CONFIG_KEY, CORESET_KEY, groupKey('group0')]
+const INSPECTION_INTERVAL_MS = 50
+const WATCHED_KEYS = [CONFIG_KEY, CORESET_KEY, groupKey('group0')]
 
-/** Starts it. */
-export function startWatch(fleet: ControlFleet, model: Model, over: () => boolean): void {
+/** Starts the inspection; it stops once `hasEnded`. */
+export function startWatch(fleet: ControlFleet, model: Model, hasEnded: () => boolean): void {
   const { sim } = fleet
-  // What each life of an agent knew last, by register.
-  const last = new Map<Agent, Map<string, RegisterValue>>()
+  /** What each process of an agent knew last, by register. */
+  const lastKnown = new Map<Agent, Map<string, RegisterValue>>()
 
-  function lookAt(agent: Agent, where: string): void {
-    const known = last.get(agent) ?? new Map<string, RegisterValue>()
-    last.set(agent, known)
-    for (const key of KEYS) {
+  function inspectAgent(agent: Agent, where: string): void {
+    const known = lastKnown.get(agent) ?? new Map<string, RegisterValue>()
+    lastKnown.set(agent, known)
+    for (const key of WATCHED_KEYS) {
       const value = agent.register(key)
-      const old = known.get(key)
+      const previous = known.get(key)
       if (!value) {
-        if (old) fleet.reportViolation(`${where} forgot ${key}`)
+        if (previous) fleet.reportViolation(`${where} forgot ${key}`)
         continue
       }
-      if (value === old) continue
-      if (old && value.turn < old.turn)
-        fleet.reportViolation(`${where} went back from change ${old.turn} to ${value.turn} of ${key}`)
+      if (value === previous) continue
+      if (previous && value.turn < previous.turn)
+        fleet.reportViolation(`${where} went back from change ${previous.turn} to ${value.turn} of ${key}`)
       known.set(key, value)
-      model.learned(key, value, where)
+      model.observeValue(key, value, where)
       if (key === CONFIG_KEY)
-        lookAtBody(value.body as ConfigurationBody, old?.body as ConfigurationBody | undefined, where)
+        inspectBody(value.body as ConfigurationBody, previous?.body as ConfigurationBody | undefined, where)
     }
   }
-  function lookAtBody(body: ConfigurationBody, old: ConfigurationBody | undefined, where: string): void {
-    if (old && body.epoch < old.epoch)
-      fleet.reportViolation(`${where} went back from epoch ${old.epoch} to ${body.epoch}`)
-    model.saw(body, where)
+  function inspectBody(body: ConfigurationBody, previous: ConfigurationBody | undefined, where: string): void {
+    if (previous && body.epoch < previous.epoch)
+      fleet.reportViolation(`${where} went back from epoch ${previous.epoch} to ${body.epoch}`)
+    model.observeBody(body, where)
   }
-  /** No two lives of one node believe in a lease at one time. */
-  function lookAtLeases(): void {
+  /** No two processes of one node may consider themselves lease holders at the same time. */
+  function inspectLeases(): void {
     const holders = new Map<string, number>()
-    for (const life of fleet.liveAgents())
-      if (life.agent.leaseExpiresAt() > sim.now() + life.machine.skew)
-        holders.set(life.node, (holders.get(life.node) ?? 0) + 1)
+    for (const agentProcess of fleet.liveAgents())
+      if (agentProcess.agent.leaseExpiresAt() > sim.now() + agentProcess.machine.skew)
+        holders.set(agentProcess.node, (holders.get(agentProcess.node) ?? 0) + 1)
     for (const [node, count] of holders) if (count > 1) fleet.reportViolation(`${count} lives of ${node} hold leases`)
   }
-  function look(): void {
-    if (over()) return
+  function inspectAll(): void {
+    if (hasEnded()) return
     fleet.latest()
-    for (const life of fleet.liveAgents()) lookAt(life.agent, life.node)
-    lookAtLeases()
-    sim.at(LOOK_BEAT, look)
+    for (const agentProcess of fleet.liveAgents()) inspectAgent(agentProcess.agent, agentProcess.node)
+    inspectLeases()
+    sim.at(INSPECTION_INTERVAL_MS, inspectAll)
   }
-  look()
+  inspectAll()
 }
--- a/packages/fleet/src/controlmodel.ts
+++ b/packages/fleet/src/controlmodel.ts
@@ -1,6 +1,7 @@
 /**
- * The model test of control: plays one schedule against the real cores, agents and order-taking in the simulator, and holds
- * every step against a plain model (docs/design/control-safety.md, "Proof"). The same schedule gives the same run each time.
+ * The control model test: plays one schedule against the real cores, agents and control service in the simulator, and
+ * checks every step against a reference model (docs/design/control-safety.md, "Proof"). A run is determined by its
+ * schedule.
  */
 import type { Action, Schedule } from './control/actions.js'
 import { makeRun, type Run, type Verdict } from './control/run.js'
@@ -17,13 +18,14 @@
   type Verdict,
 } from './control/run.js'
 
-function begin(run: Run, action: Action, operator: number): void {
+/** Starts one action without waiting for its end. */
+function startAction(run: Run, action: Action, operator: number): void {
   if (action.kind === 'order') void run.order(operator, action.machine, action)
   else if (action.kind === 'race') void run.race(action.machine, action.other, action.gap)
   else run.faults.apply(action)
 }
 
-/** Plays it from its founding to the last judgement. */
+/** Plays a schedule from the founding to the final checks. */
 export async function play(schedule: Schedule): Promise<Verdict> {
   const run = makeRun(schedule.seed, schedule.seeds, schedule.spares, schedule.pad)
   const { sim } = run.fleet
@@ -34,7 +36,7 @@
     }
     for (const [k, action] of schedule.actions.entries()) {
       await sim.run(sim.now() + action.wait)
-      begin(run, action, k % 2)
+      startAction(run, action, k % 2)
     }
   }
   return await run.finish()
