--- a/packages/fleet/src/control/census.ts
+++ b/packages/fleet/src/control/census.ts
@@ -27,7 +27,7 @@
 
 /** Whether the lease is valid now, by the clock of its own machine. */
 function isLeaseValid(holder: LeaseHolder, now: number): boolean {
-  return holder.proc.state !== 'dead' && holder.leaseExpiresAt > now + holder.machine.skew
+  return holder.proc.state !== 'dead' && holder.leaseExpiresAt > now + holder.machine.clockSkewMs
 }
 /** The current lease holders, except processes told to stop: those may have released their lease already. */
 function holdersOf(fleet: ControlFleet): LeaseHolder[] {
--- a/packages/fleet/src/control/faults.ts
+++ b/packages/fleet/src/control/faults.ts
@@ -94,9 +94,9 @@
     schedule(durationMs, end)
   }
   function stall(host: Box, durationMs: number): void {
-    host.machine.stalled = true
+    host.machine.isDiskStalled = true
     function end(): void {
-      host.machine.stalled = false
+      host.machine.isDiskStalled = false
     }
     schedule(durationMs, end)
   }
@@ -135,12 +135,12 @@
   function stepClock(host: Box, stepMs: number): void {
     if (sim.now() - host.lastClockStepAt < CLOCK_STEP_PAUSE_MS) return
     host.lastClockStepAt = sim.now()
-    host.machine.skew += Math.min(stepMs, MAX_CLOCK_STEP_MS)
+    host.machine.clockSkewMs += Math.min(stepMs, MAX_CLOCK_STEP_MS)
   }
   function frontFault(kind: 'kill' | 'freeze' | 'clock', amountMs: number): void {
     if (!front.isUp) return
     const { proc } = front
-    if (kind === 'clock') front.machine.skew += amountMs
+    if (kind === 'clock') front.machine.clockSkewMs += amountMs
     else if (kind === 'freeze') {
       sim.freeze(proc)
       function thaw(): void {
@@ -201,7 +201,7 @@
     for (const host of fleet.present()) {
       host.machine.slow = 1
       host.machine.full = false
-      host.machine.stalled = false
+      host.machine.isDiskStalled = false
       if (host.proc?.state === 'frozen') sim.thaw(host.proc)
       if (host.isStopping) fleet.kill(host)
       fleet.start(host)
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -211,7 +211,7 @@
       skippedActions: faults.skipped(),
       progress: progressMs,
       whole,
-      events: sim.events(),
+      events: sim.eventCount(),
       virtual: sim.now(),
     }
   }
--- a/packages/fleet/src/control/watch.ts
+++ b/packages/fleet/src/control/watch.ts
@@ -45,7 +45,7 @@
   function inspectLeases(): void {
     const holders = new Map<string, number>()
     for (const agentProcess of fleet.liveAgents())
-      if (agentProcess.agent.leaseExpiresAt() > sim.now() + agentProcess.machine.skew)
+      if (agentProcess.agent.leaseExpiresAt() > sim.now() + agentProcess.machine.clockSkewMs)
         holders.set(agentProcess.node, (holders.get(agentProcess.node) ?? 0) + 1)
     for (const [node, count] of holders) if (count > 1) fleet.reportViolation(`${count} lives of ${node} hold leases`)
   }
--- a/packages/fleet/src/test/controlguards.test.ts
+++ b/packages/fleet/src/test/controlguards.test.ts
@@ -99,7 +99,7 @@
   fleet.front.machine.dark = false
   fleet.start(away)
   function areBack(): boolean {
-    const lease = (fleet.front.agent?.leaseExpiresAt() ?? 0) - fleet.front.machine.skew
+    const lease = (fleet.front.agent?.leaseExpiresAt() ?? 0) - fleet.front.machine.clockSkewMs
     return lease > sim.now() && fleet.whole()
   }
   c.ok(await sim.until(areBack, 30000), `the front holds a lease and the machine votes: ${run.states()}`)
