--- a/packages/fleet/src/control/census.ts
+++ b/packages/fleet/src/control/census.ts
@@ -88,7 +88,7 @@
       return answer.ok && answer.val.ok && answer.val.sure ? answer.val : undefined
     }
     while (!hasEnded()) {
-      fleet.latest()
+      fleet.latestCoreSet()
       for (const set of latestSets(fleet)) {
         // Only leases valid before the question and still valid after the answers are checked.
         const holders = holdersOf(fleet)
--- a/packages/fleet/src/control/faults.ts
+++ b/packages/fleet/src/control/faults.ts
@@ -6,7 +6,7 @@
  * overlap.
  */
 import type { Action } from './actions.js'
-import type { Box, ControlFleet } from './fleet.js'
+import type { CoreHost, ControlFleet } from './fleet.js'
 
 /** Upper bound of one clock step of a core host; less than the slack of a lease. */
 const MAX_CLOCK_STEP_MS = 90
@@ -26,12 +26,12 @@
   function schedule(durationMs: number, run: () => void): void {
     sim.at(durationMs, run)
   }
-  function hostAt(index: number): Box {
-    const hosts = fleet.present()
+  function hostAt(index: number): CoreHost {
+    const hosts = fleet.presentHosts()
     return hosts[index % hosts.length]
   }
   /** Restarts the host after a delay, unless another process was started in the meantime. */
-  function restartLater(host: Box, durationMs: number): void {
+  function restartLater(host: CoreHost, durationMs: number): void {
     const faultedProcess = host.proc
     function restart(): void {
       if (host.proc === faultedProcess) fleet.start(host)
@@ -77,7 +77,7 @@
         cut(host, action.others, action.way, long)
     }
   }
-  function freeze(host: Box, durationMs: number): void {
+  function freeze(host: CoreHost, durationMs: number): void {
     const { proc } = host
     if (!proc || !host.isUp) return
     sim.freeze(proc)
@@ -86,14 +86,14 @@
     }
     schedule(durationMs, thaw)
   }
-  function slow(host: Box, durationMs: number): void {
+  function slow(host: CoreHost, durationMs: number): void {
     host.machine.slow = SLOW_DISK_FACTOR
     function end(): void {
       host.machine.slow = 1
     }
     schedule(durationMs, end)
   }
-  function stall(host: Box, durationMs: number): void {
+  function stall(host: CoreHost, durationMs: number): void {
     host.machine.isDiskStalled = true
     function end(): void {
       host.machine.isDiskStalled = false
@@ -101,16 +101,16 @@
     schedule(durationMs, end)
   }
   /** Fills the disk: no write succeeds. The core must notice by itself when space is available again. */
-  function full(host: Box, durationMs: number): void {
+  function full(host: CoreHost, durationMs: number): void {
     host.machine.full = true
     function end(): void {
       host.machine.full = false
     }
     schedule(durationMs, end)
   }
-  function cut(host: Box, others: number, way: 'in' | 'out' | 'both', durationMs: number): void {
+  function cut(host: CoreHost, others: number, way: 'in' | 'out' | 'both', durationMs: number): void {
     const machines = [front.machine]
-    for (const other of fleet.present()) machines.push(other.machine)
+    for (const other of fleet.presentHosts()) machines.push(other.machine)
     const cuts: [typeof host.machine, typeof host.machine][] = []
     for (const [k, other] of machines.entries()) {
       if (other === host.machine || ((others >> k) & 1) === 0) continue
@@ -124,15 +124,15 @@
     schedule(durationMs, heal)
   }
   function blackout(durationMs: number): void {
-    const stoppedHosts: Box[] = []
-    for (const host of fleet.present()) {
+    const stoppedHosts: CoreHost[] = []
+    for (const host of fleet.presentHosts()) {
       if (!host.isUp) continue
       fleet.kill(host, { dark: true })
       stoppedHosts.push(host)
     }
     for (const host of stoppedHosts) restartLater(host, durationMs)
   }
-  function stepClock(host: Box, stepMs: number): void {
+  function stepClock(host: CoreHost, stepMs: number): void {
     if (sim.now() - host.lastClockStepAt < CLOCK_STEP_PAUSE_MS) return
     host.lastClockStepAt = sim.now()
     host.machine.clockSkewMs += Math.min(stepMs, MAX_CLOCK_STEP_MS)
@@ -155,13 +155,13 @@
       schedule(amountMs, restart)
     }
   }
-  function remove(host: Box): void {
-    if (fleet.present().length <= 3 || !fleet.canLoseDisksOf([host])) {
+  function remove(host: CoreHost): void {
+    if (fleet.presentHosts().length <= 3 || !fleet.canLoseDisksOf([host])) {
       skipped++
       return
     }
     fleet.kill(host, { dark: true })
-    host.gone = true
+    host.isRemoved = true
   }
   function apply(action: Action): void {
     switch (action.kind) {
@@ -198,7 +198,7 @@
   function endAll(): void {
     sim.heal()
     sim.loss(0)
-    for (const host of fleet.present()) {
+    for (const host of fleet.presentHosts()) {
       host.machine.slow = 1
       host.machine.full = false
       host.machine.isDiskStalled = false
--- a/packages/fleet/src/control/fleet.ts
+++ b/packages/fleet/src/control/fleet.ts
@@ -24,7 +24,7 @@
 const TERM_GRACE_MS = 1000
 
 /** A simulated host that runs a core and its agent. */
-export type Box = {
+export type CoreHost = {
   name: string
   ip: string
   machine: Machine
@@ -37,7 +37,7 @@
   /** Whether the process has been told to stop. */
   isStopping: boolean
   /** Whether the host has been removed for good. */
-  gone: boolean
+  isRemoved: boolean
   /** Whether its promises and accepted values remain: it voted when last inspected, and kept its disk since. */
   hasVoterState: boolean
   /** Simulated time of the last step of its clock. */
@@ -52,34 +52,34 @@
 /** All simulated hosts of one run. */
 export type ControlFleet = {
   sim: Sim
-  boxes: Box[]
+  hosts: CoreHost[]
   front: Front
   /** Every core set observed so far, by epoch. */
   coreSetsByEpoch: Map<number, CoreSet>
   /** Records the violation of an invariant. */
   reportViolation: (what: string) => void
   /** Adds and starts a core host; `first`: with the seeds of the initial start. */
-  add: (first: boolean) => Box
+  add: (first: boolean) => CoreHost
   /** Starts a core host that is down, unless it was removed. */
-  start: (host: Box) => void
+  start: (host: CoreHost) => void
   /** Kills the process at once; `dark`: the machine loses power too; `disk`: its files are lost. */
-  kill: (host: Box, how?: { dark?: boolean; disk?: 'lost' }) => void
+  kill: (host: CoreHost, how?: { dark?: boolean; disk?: 'lost' }) => void
   /** Asks the process to stop, and kills it after the grace period. */
-  terminate: (host: Box) => void
+  terminate: (host: CoreHost) => void
   /** Every agent whose process is not dead. */
   liveAgents: () => AgentProcess[]
   startFront: (first: boolean) => void
   killFront: () => void
   /** Inspects every core, checks its core set, and returns the core set of the highest epoch. */
-  latest: () => CoreSet
+  latestCoreSet: () => CoreSet
   /** Whether no membership change is in progress and every voter that is not removed serves in the latest epoch. */
   isSettled: () => boolean
   /** Whether the core set is settled and every present host votes, or `MAX_VOTERS` do and none of them is removed. */
-  whole: () => boolean
+  isFullyVoting: () => boolean
   /** Whether a quorum would remain if these hosts lost their disks for good. */
-  canLoseDisksOf: (lost: Box[]) => boolean
+  canLoseDisksOf: (lost: CoreHost[]) => boolean
   /** Core hosts that are not removed. */
-  present: () => Box[]
+  presentHosts: () => CoreHost[]
 }
 
 /** Answers an HTTP request of an operator. */
@@ -97,7 +97,7 @@
   return result.decision === 'unclear' ? { status: 503, body: null } : { status: 200, body: result }
 }
 /** Whether the host votes in this core set. */
-function isVoter(set: CoreSet, host: Box): boolean {
+function isVoter(set: CoreSet, host: CoreHost): boolean {
   for (const voter of votersOf(set)) if (voter.id === host.ip) return true
   return false
 }
@@ -111,7 +111,7 @@
 const agentAdapters: AgentAdapters = { ...defaultAdapters, control: serveOperators }
 
 /** The HTTP address of a core host. */
-export function httpOf(host: Box): Address {
+export function httpAddressOf(host: CoreHost): Address {
   return `${host.ip}:8000`
 }
 
@@ -122,10 +122,10 @@
   reportViolation: (what: string) => void,
 ): ControlFleet {
   const sim = makeSim(seed, { keepLines: process.env['MODEL_TRACE'] !== undefined })
-  const boxes: Box[] = []
+  const boxes: CoreHost[] = []
   const coreSetsByEpoch = new Map<number, CoreSet>()
   const serializedSets = new Map<number, string>()
-  const lastSeenSets = new Map<Box, CoreSet>()
+  const lastSeenSets = new Map<CoreHost, CoreSet>()
   let agentProcesses: AgentProcess[] = []
 
   function firstSeeds(): Address[] {
@@ -134,17 +134,17 @@
     return addresses
   }
   /** Up to three random core hosts that are not removed, as configured seeds; never the starting host itself. */
-  function drawSeeds(excluded: Box | undefined): Address[] {
+  function drawSeeds(excluded: CoreHost | undefined): Address[] {
     const candidates = boxes.filter(isOther)
-    function isOther(host: Box): boolean {
-      return host !== excluded && !host.gone
+    function isOther(host: CoreHost): boolean {
+      return host !== excluded && !host.isRemoved
     }
     const addresses: Address[] = []
     while (addresses.length < 3 && candidates.length > 0)
-      addresses.push(httpOf(candidates.splice(Math.floor(sim.random() * candidates.length), 1)[0]))
+      addresses.push(httpAddressOf(candidates.splice(Math.floor(sim.random() * candidates.length), 1)[0]))
     return addresses
   }
-  function spawnCore(host: Box, seeds: Address[], first: boolean): void {
+  function spawnCore(host: CoreHost, seeds: Address[], first: boolean): void {
     async function run(world: World): Promise<void> {
       const started = await startCoreMachine(
         world,
@@ -153,7 +153,7 @@
           area: 'a',
           link: `${host.ip}:7000`,
           peer: `${host.ip}:7002`,
-          http: httpOf(host),
+          http: httpAddressOf(host),
           seeds,
           first,
           data: '/d',
@@ -179,10 +179,10 @@
     const spawned = sim.spawn(host.machine, host.name, run)
     host.proc = spawned
   }
-  function add(first: boolean): Box {
+  function add(first: boolean): CoreHost {
     const hostNumber = boxes.length + 1
     const ip = `10.0.1.${hostNumber}`
-    const host: Box = {
+    const host: CoreHost = {
       name: `core${hostNumber}`,
       ip,
       machine: sim.machine(`core${hostNumber}`, ip),
@@ -190,7 +190,7 @@
       coreMachine: undefined,
       isUp: false,
       isStopping: false,
-      gone: false,
+      isRemoved: false,
       hasVoterState: false,
       lastClockStepAt: -Infinity,
     }
@@ -198,10 +198,10 @@
     spawnCore(host, first ? firstSeeds() : drawSeeds(host), first)
     return host
   }
-  function start(host: Box): void {
-    if (!host.isUp && !host.gone) spawnCore(host, drawSeeds(host), false)
+  function start(host: CoreHost): void {
+    if (!host.isUp && !host.isRemoved) spawnCore(host, drawSeeds(host), false)
   }
-  function kill(host: Box, how: { dark?: boolean; disk?: 'lost' } = {}): void {
+  function kill(host: CoreHost, how: { dark?: boolean; disk?: 'lost' } = {}): void {
     inspectCore(host)
     if (how.dark) host.machine.dark = true
     if (host.proc) sim.kill(host.proc)
@@ -211,7 +211,7 @@
     host.machine.files.clear()
     host.hasVoterState = false
   }
-  function terminate(host: Box): void {
+  function terminate(host: CoreHost): void {
     host.isStopping = true
     void host.coreMachine?.stop()
     const terminated = host.proc
@@ -279,7 +279,7 @@
     } else if (previous !== serialized)
       reportViolation(`two core sets of epoch ${set.epoch}: ${previous}, and ${serialized} at ${where}`)
   }
-  function inspectCore(host: Box): void {
+  function inspectCore(host: CoreHost): void {
     const core = host.coreMachine?.core
     if (!core) return
     const set = core.coreSet()
@@ -301,7 +301,7 @@
     for (const set of coreSetsByEpoch.values()) if (set.epoch > latestSet.epoch) latestSet = set
     return latestSet
   }
-  function isVotingIn(host: Box, epoch: number): boolean {
+  function isVotingIn(host: CoreHost, epoch: number): boolean {
     return host.coreMachine?.core.serving() === true && host.coreMachine.core.coreSet().epoch === epoch
   }
   function isSettled(): boolean {
@@ -317,7 +317,7 @@
     let nonVoters = 0
     let removedVoters = 0
     for (const host of present()) if (!isVoter(set, host)) nonVoters++
-    for (const host of boxes) if (host.gone && isVoter(set, host)) removedVoters++
+    for (const host of boxes) if (host.isRemoved && isVoter(set, host)) removedVoters++
     return nonVoters === 0 || (set.cores.length >= MAX_VOTERS && removedVoters === 0)
   }
   /** The latest known core set, and every later one that a core has accepted, committed or not. */
@@ -331,13 +331,13 @@
     return candidates
   }
   /** Whether the set lists the host with its current storage token: such a newcomer votes once it learns of it. */
-  function isListedWithToken(host: Box, set: CoreSet): boolean {
+  function isListedWithToken(host: CoreHost, set: CoreSet): boolean {
     const token = host.coreMachine?.core.place().token
     if (token === undefined) return false
     for (const voter of votersOf(set)) if (voter.id === host.ip && voter.token === token) return true
     return false
   }
-  function canLoseDisksOf(lost: Box[]): boolean {
+  function canLoseDisksOf(lost: CoreHost[]): boolean {
     for (const set of possibleSets()) {
       const ids = new Set<string>()
       for (const host of present())
@@ -346,15 +346,15 @@
     }
     return true
   }
-  function present(): Box[] {
+  function present(): CoreHost[] {
     return boxes.filter(isPresent)
-    function isPresent(host: Box): boolean {
-      return !host.gone
+    function isPresent(host: CoreHost): boolean {
+      return !host.isRemoved
     }
   }
   return {
     sim,
-    boxes,
+    hosts: boxes,
     front,
     coreSetsByEpoch: coreSetsByEpoch,
     reportViolation: reportViolation,
@@ -364,11 +364,11 @@
     terminate,
     startFront,
     killFront,
-    latest,
+    latestCoreSet: latest,
     isSettled: isSettled,
-    whole,
+    isFullyVoting: whole,
     liveAgents: liveAgents,
     canLoseDisksOf: canLoseDisksOf,
-    present,
+    presentHosts: present,
   }
 }
--- a/packages/fleet/src/control/operators.ts
+++ b/packages/fleet/src/control/operators.ts
@@ -4,7 +4,7 @@
  */
 import { requestOnce, pause, type World } from '@claynotch/base'
 import type { ConfigurationBody, Change, Decision } from '@claynotch/operator'
-import { httpOf, type Box, type ControlFleet } from './fleet.js'
+import { httpAddressOf, type CoreHost, type ControlFleet } from './fleet.js'
 import type { Model, Order } from './model.js'
 
 /** Timeout of one request. */
@@ -18,9 +18,9 @@
   /** Sends to one host after the other, from this index on, until one answers clearly; undefined if none does. */
   send: (order: Order, from: number) => Promise<Decision | undefined>
   /** Makes one attempt at one host. */
-  sendOnce: (order: Order, host: Box) => Promise<Decision | undefined>
+  sendOnce: (order: Order, host: CoreHost) => Promise<Decision | undefined>
   /** Reads the configuration; undefined if the host gives none. */
-  read: (host: Box) => Promise<ConfigurationBody | undefined>
+  read: (host: CoreHost) => Promise<ConfigurationBody | undefined>
 }
 
 /** Creates an operator; `pad`: padding bytes of each document. */
@@ -37,11 +37,11 @@
     const whole = { proxies: 'live', groups: [{ name: 'group0', connections: 50 }], lanes: [], label }
     return { number: 1, expect: order.expect, epoch: order.epoch, whole }
   }
-  async function sendOnce(order: Order, host: Box): Promise<Decision | undefined> {
+  async function sendOnce(order: Order, host: CoreHost): Promise<Decision | undefined> {
     if (!world) return undefined
     const response = await requestOnce(
       world,
-      httpOf(host),
+      httpAddressOf(host),
       'POST',
       `/order/${order.name}`,
       toChange(order),
@@ -55,17 +55,17 @@
   }
   async function send(order: Order, from: number): Promise<Decision | undefined> {
     for (let k = 0; k < MAX_ATTEMPTS; k++) {
-      const hosts = fleet.present()
+      const hosts = fleet.presentHosts()
       const decision = await sendOnce(order, hosts[(from + k) % hosts.length])
       if (decision) return decision
       if (world) await pause(world, ATTEMPT_PAUSE_MS)
     }
     return undefined
   }
-  async function read(host: Box): Promise<ConfigurationBody | undefined> {
+  async function read(host: CoreHost): Promise<ConfigurationBody | undefined> {
     if (!world) return undefined
     const acknowledgedBefore = model.highestAcknowledgedEpoch()
-    const response = await requestOnce(world, httpOf(host), 'GET', '/read', undefined, ANSWER_TIMEOUT_MS)
+    const response = await requestOnce(world, httpAddressOf(host), 'GET', '/read', undefined, ANSWER_TIMEOUT_MS)
     if (!response.ok || response.val.status !== 200) return undefined
     const body = response.val.body as ConfigurationBody
     model.observeBody(body, `a read at ${host.name}`)
--- a/packages/fleet/src/control/power-loss.ts
+++ b/packages/fleet/src/control/power-loss.ts
@@ -3,7 +3,7 @@
  * non-voting core hosts too, loses power at the same instant. Whatever is needed afterwards must be on the disks.
  */
 import { makeRun, type Run, type Verdict } from './run.js'
-import type { Box } from './fleet.js'
+import type { CoreHost } from './fleet.js'
 
 /** What is in progress when the power fails. */
 export const MOMENTS = ['change', 'race', 'replacement', 'refill'] as const
@@ -33,10 +33,10 @@
 export type PowerLossReport = { moment: Moment; cores: number; lostDisks: number; verdict: Verdict }
 
 /** Draws the hosts that lose their disks: at most what the deployment allows and the current core set tolerates. */
-function drawLostDisks(run: Run, maxLostDisks: number): Box[] {
+function drawLostDisks(run: Run, maxLostDisks: number): CoreHost[] {
   const { fleet } = run
-  const candidates = fleet.present()
-  const lost: Box[] = []
+  const candidates = fleet.presentHosts()
+  const lost: CoreHost[] = []
   while (lost.length < maxLostDisks && candidates.length > 0) {
     const [host] = candidates.splice(Math.floor(fleet.sim.random() * candidates.length), 1)
     if (fleet.canLoseDisksOf([...lost, host])) lost.push(host)
@@ -46,7 +46,7 @@
 
 /** Starts the fault that belongs to the moment, if it has one. */
 function beginMoment(run: Run, moment: Moment): void {
-  const machine = Math.floor(run.fleet.sim.random() * run.fleet.present().length)
+  const machine = Math.floor(run.fleet.sim.random() * run.fleet.presentHosts().length)
   if (moment === 'replacement') {
     run.faults.apply({ wait: 0, kind: 'remove', machine })
     run.faults.apply({ wait: 0, kind: 'add' })
@@ -54,10 +54,10 @@
 }
 
 /** Cuts the power of every host at this instant; the hosts come back one by one, in random order. */
-function losePower(run: Run, lost: Box[]): void {
+function losePower(run: Run, lost: CoreHost[]): void {
   const { fleet } = run
   const { sim } = fleet
-  for (const host of fleet.present()) {
+  for (const host of fleet.presentHosts()) {
     fleet.kill(host, { dark: true, ...(lost.includes(host) ? { disk: 'lost' as const } : {}) })
     function restart(): void {
       fleet.start(host)
@@ -79,16 +79,17 @@
   const { fleet } = run
   const { sim } = fleet
   let lostDisks = 0
-  if (await run.found()) {
-    if (!(await sim.until(fleet.whole, GROWTH_LIMIT_MS))) fleet.reportViolation(`the set did not grow: ${run.states()}`)
+  if (await run.foundCluster()) {
+    if (!(await sim.until(fleet.isFullyVoting, GROWTH_LIMIT_MS)))
+      fleet.reportViolation(`the set did not grow: ${run.describeState()}`)
     for (let k = 0; k < CHANGES_BEFORE; k++) {
-      void run.order(0, k)
+      void run.sendOrder(0, k)
       await run.untilIdle()
     }
     beginMoment(run, moment)
     if (moment === 'replacement' || moment === 'refill') await sim.run(sim.now() + MAX_LEAD_MS * sim.random())
-    if (moment === 'race') void run.race(0, 1, 1)
-    else void run.order(0, Math.floor(sim.random() * cores))
+    if (moment === 'race') void run.sendRacingOrders(0, 1, 1)
+    else void run.sendOrder(0, Math.floor(sim.random() * cores))
     await sim.run(sim.now() + MIN_WAIT_MS + (MAX_WAIT_MS - MIN_WAIT_MS) * sim.random())
     const lost = drawLostDisks(run, disks)
     lostDisks = lost.length
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -20,7 +20,7 @@
 
 /** The result of one run. */
 export type Verdict = {
-  broken: string[]
+  violations: string[]
   orders: number
   accepted: number
   refused: number
@@ -47,15 +47,19 @@
   operators: Operator[]
   violations: string[]
   /** Starts all hosts and the monitors; returns whether the founded core set settled in time. */
-  found: () => Promise<boolean>
+  foundCluster: () => Promise<boolean>
   /** Sends one order that expects the newest known epoch, or an outdated one; `again`: how often it is resent. */
-  order: (operator: number, machine: number, how?: { stale?: boolean; gap?: number; again?: number }) => Promise<void>
+  sendOrder: (
+    operator: number,
+    machine: number,
+    how?: { stale?: boolean; gap?: number; again?: number },
+  ) => Promise<void>
   /** Sends two orders at once that expect the same epoch and make the same epoch. */
-  race: (machine: number, other: number, gap: number) => Promise<void>
+  sendRacingOrders: (machine: number, other: number, gap: number) => Promise<void>
   /** Waits until no order is pending; returns whether that happened in time. */
   untilIdle: () => Promise<boolean>
   /** Describes the latest core set and the state of each host, for a message. */
-  states: () => string
+  describeState: () => string
   /** Ends all faults and runs the final checks. */
   finish: () => Promise<Verdict>
 }
@@ -101,7 +105,7 @@
     pending++
     await operators[operator].send(order, machine)
     for (let k = 0; k < again; k++) {
-      const hosts = fleet.present()
+      const hosts = fleet.presentHosts()
       await operators[operator].sendOnce(order, hosts[(machine + k + 1) % hosts.length])
     }
     pending--
@@ -134,7 +138,7 @@
     let done = false
     async function work(): Promise<void> {
       for (let k = 0; !done && sim.now() - startedAt < PROGRESS_LIMIT_MS; k++) {
-        const hosts = fleet.present()
+        const hosts = fleet.presentHosts()
         const body = await operators[0].read(hosts[k % hosts.length])
         if (!body) continue
         const change = model.order(body.epoch, body.epoch + 1)
@@ -152,15 +156,15 @@
   }
   async function untilWhole(): Promise<number> {
     const startedAt = sim.now()
-    if (!(await sim.until(fleet.whole, WHOLE_LIMIT_MS)))
+    if (!(await sim.until(fleet.isFullyVoting, WHOLE_LIMIT_MS)))
       reportViolation(`not whole ${WHOLE_LIMIT_MS} ms after the end of the faults: ${states()}`)
     return sim.now() - startedAt
   }
   function states(): string {
-    const parts: string[] = [`${Math.round(sim.now())} ms`, JSON.stringify(fleet.latest())]
-    for (const host of fleet.boxes)
+    const parts: string[] = [`${Math.round(sim.now())} ms`, JSON.stringify(fleet.latestCoreSet())]
+    for (const host of fleet.hosts)
       parts.push(
-        `${host.name} ${host.gone ? 'gone' : (host.coreMachine?.core.state() ?? 'down')} ${host.coreMachine?.core.coreSet().epoch ?? ''} ${host.proc?.state} ${host.machine.dark}`,
+        `${host.name} ${host.isRemoved ? 'gone' : (host.coreMachine?.core.state() ?? 'down')} ${host.coreMachine?.core.coreSet().epoch ?? ''} ${host.proc?.state} ${host.machine.dark}`,
       )
     return parts.join('; ')
   }
@@ -169,10 +173,10 @@
     let last: ConfigurationBody | undefined
     async function work(): Promise<void> {
       for (const [k, sentOrder] of model.orders().slice(-32).entries()) {
-        const hosts = fleet.present()
+        const hosts = fleet.presentHosts()
         await operators[1].sendOnce(sentOrder, hosts[k % hosts.length])
       }
-      for (const host of fleet.present()) last = (await operators[1].read(host)) ?? last
+      for (const host of fleet.presentHosts()) last = (await operators[1].read(host)) ?? last
       done = true
     }
     let done = false
@@ -201,12 +205,12 @@
       unclear += sentOrder.unclearAnswers
     }
     return {
-      broken: violations,
+      violations: violations,
       orders: model.orders().length,
       accepted,
       refused,
       unclear,
-      sets: fleet.latest().epoch + 1,
+      sets: fleet.latestCoreSet().epoch + 1,
       leaseChecks: countLeaseChecks(),
       skippedActions: faults.skipped(),
       progress: progressMs,
@@ -215,5 +219,17 @@
       virtual: sim.now(),
     }
   }
-  return { fleet, model, faults, operators, violations, found, order, race, untilIdle: untilIdle, states, finish }
+  return {
+    fleet,
+    model,
+    faults,
+    operators,
+    violations,
+    foundCluster: found,
+    sendOrder: order,
+    sendRacingOrders: race,
+    untilIdle: untilIdle,
+    describeState: states,
+    finish,
+  }
 }
--- a/packages/fleet/src/control/watch.ts
+++ b/packages/fleet/src/control/watch.ts
@@ -51,7 +51,7 @@
   }
   function inspectAll(): void {
     if (hasEnded()) return
-    fleet.latest()
+    fleet.latestCoreSet()
     for (const agentProcess of fleet.liveAgents()) inspectAgent(agentProcess.agent, agentProcess.node)
     inspectLeases()
     sim.at(INSPECTION_INTERVAL_MS, inspectAll)
--- a/packages/fleet/src/control/week.ts
+++ b/packages/fleet/src/control/week.ts
@@ -99,8 +99,8 @@
   async function send(world: World): Promise<void> {
     for (let k = 0; !hasEnded(); k++) {
       const startedAt = sim.now()
-      if (k % 4 === 3) await run.race(k, k + 1, 1)
-      else await run.order(0, k, { stale: k % 9 === 8, gap: 1 + (k % 3), again: k % 5 === 0 ? 1 : 0 })
+      if (k % 4 === 3) await run.sendRacingOrders(k, k + 1, 1)
+      else await run.sendOrder(0, k, { stale: k % 9 === 8, gap: 1 + (k % 3), again: k % 5 === 0 ? 1 : 0 })
       reportDuration(sim.now() - startedAt)
       await pause(world, ORDER_PAUSE_MS)
     }
@@ -122,17 +122,17 @@
   function recordDuration(ms: number): void {
     longestOrderMs.set(currentScenario, Math.max(longestOrderMs.get(currentScenario) ?? 0, ms))
   }
-  if (await run.found()) {
+  if (await run.foundCluster()) {
     startOrders(run, hasEnded, recordDuration)
     for (let k = 0; k < rounds && run.violations.length === 0; k++) {
       const { name, actions } = SCENARIOS[k % SCENARIOS.length]
       currentScenario = 'nothing'
       await sim.run(sim.now() + QUIET_MS)
-      if (!(await sim.until(fleet.whole, WHOLE_LIMIT_MS)))
-        run.fleet.reportViolation(`not whole before ${name}, loss ${k}: ${run.states()}`)
+      if (!(await sim.until(fleet.isFullyVoting, WHOLE_LIMIT_MS)))
+        run.fleet.reportViolation(`not whole before ${name}, loss ${k}: ${run.describeState()}`)
       currentScenario = name
-      const machine = Math.floor(sim.random() * fleet.present().length)
-      const other = Math.floor(sim.random() * fleet.present().length)
+      const machine = Math.floor(sim.random() * fleet.presentHosts().length)
+      const other = Math.floor(sim.random() * fleet.presentHosts().length)
       let durationMs = 0
       for (const action of actions(machine, other)) {
         await sim.run(sim.now() + action.wait)
@@ -144,19 +144,19 @@
     ended = true
   }
   let replaced = 0
-  for (const host of fleet.boxes) if (host.gone) replaced++
+  for (const host of fleet.hosts) if (host.isRemoved) replaced++
   return { verdict: await run.finish(), losses: rounds, replaced, longestOrderMs }
 }
 
 /** Formats a report as lines of text. */
-export function weekText(seed: number, report: WeekReport): string {
+export function formatWeekReport(seed: number, report: WeekReport): string {
   const { verdict, losses, replaced, longestOrderMs } = report
   const lines = [
     `seed ${seed}: ${losses} losses, ${replaced} machines replaced, ${verdict.orders} orders (${verdict.accepted} accepted, ` +
       `${verdict.refused} refused, ${verdict.unclear} answers unclear), ${verdict.sets} core sets, ${verdict.leaseChecks} leases looked for, ` +
-      `${Math.round(verdict.virtual / 1000)} s of virtual time, ${verdict.broken.length} contradictions`,
+      `${Math.round(verdict.virtual / 1000)} s of virtual time, ${verdict.violations.length} contradictions`,
   ]
   for (const [name, ms] of longestOrderMs) lines.push(`  longest order, ${name}: ${Math.round(ms)} ms`)
-  for (const what of verdict.broken) lines.push(`  BROKEN ${what}`)
+  for (const what of verdict.violations) lines.push(`  BROKEN ${what}`)
   return lines.join('\n')
 }
