--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -21,149 +21,162 @@
 import { makeRandom, makeSim } from '../sim.js'
 import { task } from './beside.js'
 
-// Lending on an edge that nobody samples: a plain model of an instance's connection beside the real pool and watch.
+// The real connection pool and instance watch against a reference model of an instance's connections. The adapter has
+// no status poll.
 
-type Line = {
+/** The state of one connection as the instance holds it. */
+type ModelConnection = {
   tenant: string | undefined
-  values: Map<string, string>
+  settings: Map<string, string>
   shapes: Map<string, string>
-  open: boolean
-  lent: boolean
+  isOpen: boolean
+  isCheckedOut: boolean
 }
-const none: Result<StatementResult, RequestError> = Ok({ rows: [], mark: { epoch: 0, position: 0 } })
+const emptyResult: Result<StatementResult, RequestError> = Ok({ rows: [], mark: { epoch: 0, position: 0 } })
 
-// slow: ms that opening a connection takes; an opening that is given less fails as late.
-function modelEdge(lines: Line[], slow: number): InstanceAdapter {
+/**
+ * An adapter whose connections are model connections, appended to `connections`. Opening one takes `openMs`; with a
+ * shorter timeout it fails when the timeout is over.
+ */
+function makeModelAdapter(connections: ModelConnection[], openMs: number): InstanceAdapter {
   async function open(
     world: World,
     { tenant }: InstanceAddress,
-    ms: number,
+    timeoutMs: number,
   ): Promise<Result<InstanceConnection, RequestError>> {
-    await pause(world, Math.min(ms, slow))
-    if (ms < slow)
+    await pause(world, Math.min(timeoutMs, openMs))
+    if (timeoutMs < openMs)
       return {
         ok: false,
         err: true,
         val: { reach: 'none', class: 'UNAVAILABLE', transient: true, why: 'dial timeout' },
       } as never
-    const line: Line = { tenant, values: new Map(), shapes: new Map(), open: true, lent: false }
-    lines.push(line)
-    async function done(): Promise<Result<StatementResult, RequestError>> {
+    const connection: ModelConnection = {
+      tenant,
+      settings: new Map(),
+      shapes: new Map(),
+      isOpen: true,
+      isCheckedOut: false,
+    }
+    connections.push(connection)
+    async function acknowledge(): Promise<Result<StatementResult, RequestError>> {
       await pause(world, 1)
-      return none
+      return emptyResult
     }
     async function settings(pairs: [string, string][]): Promise<Result<StatementResult, RequestError>> {
-      for (const [name, value] of pairs) line.values.set(name, value)
-      return await done()
+      for (const [name, value] of pairs) connection.settings.set(name, value)
+      return await acknowledge()
     }
     async function shape(name: string, text: string): Promise<Result<StatementResult, RequestError>> {
-      line.shapes.set(name, text)
-      return await done()
+      connection.shapes.set(name, text)
+      return await acknowledge()
     }
     async function reset(): Promise<Result<StatementResult, RequestError>> {
-      line.values.clear()
-      line.shapes.clear()
-      return await done()
+      connection.settings.clear()
+      connection.shapes.clear()
+      return await acknowledge()
     }
-    function alive(): boolean {
-      return line.open
+    function isAlive(): boolean {
+      return connection.isOpen
     }
     function close(): void {
-      line.open = false
+      connection.isOpen = false
     }
-    const port: InstanceConnection = {
-      statement: done,
-      begin: done,
-      commit: done,
-      rollback: done,
+    const instanceConnection: InstanceConnection = {
+      statement: acknowledge,
+      begin: acknowledge,
+      commit: acknowledge,
+      rollback: acknowledge,
       settings,
       shape,
       reset,
-      alive,
+      alive: isAlive,
       close,
     }
-    ports.set(port, line)
-    return Ok(port)
+    modelOfConnection.set(instanceConnection, connection)
+    return Ok(instanceConnection)
   }
   async function status(): Promise<never> {
-    throw new Error('nobody asks')
+    throw new Error('the status of this adapter must not be polled')
   }
   return { exact: false, named: false, idle: 45000, open, status }
 }
-const ports = new Map<InstanceConnection, Line>()
-const who: InstanceAddress = { name: 'i1', group: 'g', addr: '10.0.0.9:1' }
+/** The model behind each connection that the pool was given. */
+const modelOfConnection = new Map<InstanceConnection, ModelConnection>()
+const address: InstanceAddress = { name: 'i1', group: 'g', addr: '10.0.0.9:1' }
 
 async function inWorld(run: (world: World) => Promise<void>): Promise<void> {
   const sim = makeSim(5)
   await task(sim, sim.machine('m', '10.0.0.1'), run)
 }
 
-async function lends(c: Test): Promise<void> {
+/** Callers with random requirements: a connection has one user, and exactly the state that this user requires. */
+async function checksOutCleanConnections(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const rnd = makeRandom(7)
-    const lines: Line[] = []
-    const pool = makePool(world, modelEdge(lines, 3), makeFlag(), makeMetrics())
-    let wrong = 0
-    let most = 0
-    let served = 0
-    async function borrower(): Promise<void> {
+    const random = makeRandom(7)
+    const connections: ModelConnection[] = []
+    const pool = makePool(world, makeModelAdapter(connections, 3), makeFlag(), makeMetrics())
+    let violations = 0
+    let maxOpen = 0
+    let checkOuts = 0
+    async function runCaller(): Promise<void> {
       for (let k = 0; k < 60; k++) {
         const settings: [string, string][] = []
-        for (const name of ['a', 'b', 'c']) if (rnd() < 0.4) settings.push([name, String(Math.floor(rnd() * 2))])
-        const shapes = new Map<string, string>(rnd() < 0.5 ? [['s', `READ q${Math.floor(rnd() * 4)}`]] : [])
-        const need: ConnectionRequirements = {
-          database: `d${Math.floor(rnd() * 3)}`,
+        for (const name of ['a', 'b', 'c']) if (random() < 0.4) settings.push([name, String(Math.floor(random() * 2))])
+        const shapes = new Map<string, string>(random() < 0.5 ? [['s', `READ q${Math.floor(random() * 4)}`]] : [])
+        const requirements: ConnectionRequirements = {
+          database: `d${Math.floor(random() * 3)}`,
           settings,
           shapes,
           team: '',
           share: 1,
         }
-        const got = await pool.checkOut(who, 4, need, { free: 200, dial: 100 }, makeFlag())
-        if (got.err) continue
-        served++
-        const line = ports.get(got.val.instanceConnection) as Line
-        if (line.lent || !line.open) wrong++
-        line.lent = true
-        let open = 0
-        for (const one of lines) if (one.open) open++
-        most = Math.max(most, open)
-        if (line.values.size !== settings.length) wrong++
-        for (const [name, value] of settings) if (line.values.get(name) !== value) wrong++
-        for (const text of shapes.values()) if (line.shapes.get(got.val.shapeId(text)) !== text) wrong++
-        if (rnd() < 0.2) {
-          await got.val.applySetting('d', 'x')
-          if (line.values.get('d') !== 'x') wrong++
+        const checkOut = await pool.checkOut(address, 4, requirements, { free: 200, dial: 100 }, makeFlag())
+        if (checkOut.err) continue
+        checkOuts++
+        const connection = modelOfConnection.get(checkOut.val.instanceConnection) as ModelConnection
+        if (connection.isCheckedOut || !connection.isOpen) violations++
+        connection.isCheckedOut = true
+        let openCount = 0
+        for (const other of connections) if (other.isOpen) openCount++
+        maxOpen = Math.max(maxOpen, openCount)
+        if (connection.settings.size !== settings.length) violations++
+        for (const [name, value] of settings) if (connection.settings.get(name) !== value) violations++
+        for (const text of shapes.values()) if (connection.shapes.get(checkOut.val.shapeId(text)) !== text) violations++
+        if (random() < 0.2) {
+          await checkOut.val.applySetting('d', 'x')
+          if (connection.settings.get('d') !== 'x') violations++
         }
-        await pause(world, rnd() * 10)
-        line.lent = false
-        got.val.end(rnd() < 0.9)
+        await pause(world, random() * 10)
+        connection.isCheckedOut = false
+        checkOut.val.end(random() < 0.9)
       }
     }
-    const all: Promise<void>[] = []
-    for (let k = 0; k < 8; k++) all.push(borrower())
-    await Promise.all(all)
-    c.equal(wrong, 0, 'one borrower each, with just the settings and the shapes that it needs')
-    c.ok(most <= 4, `${most} connections open at most`)
-    c.ok(served > 400, `${served} loans`)
+    const callers: Promise<void>[] = []
+    for (let k = 0; k < 8; k++) callers.push(runCaller())
+    await Promise.all(callers)
+    test.equal(violations, 0, 'each connection has a single user and exactly the required settings and shapes')
+    test.ok(maxOpen <= 4, `${maxOpen} connections open at most`)
+    test.ok(checkOuts > 400, `${checkOuts} check-outs`)
   }
   await inWorld(run)
 }
-void t.test('the pool against a plain model of connections', lends)
+void t.test('the connection pool against a reference model of connections', checksOutCleanConnections)
 
-// Tenants share the room for connections, and no connection.
-async function keepsTenantsApart(c: Test): Promise<void> {
+/** Tenants share the limit on connections, but never a connection. */
+async function keepsTenantsApart(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const rnd = makeRandom(11)
-    const lines: Line[] = []
-    const pool = makePool(world, modelEdge(lines, 3), makeFlag(), makeMetrics())
-    let wrong = 0
-    let most = 0
-    let served = 0
-    async function borrower(): Promise<void> {
+    const random = makeRandom(11)
+    const connections: ModelConnection[] = []
+    const pool = makePool(world, makeModelAdapter(connections, 3), makeFlag(), makeMetrics())
+    let violations = 0
+    let maxOpen = 0
+    let checkOuts = 0
+    async function runCaller(): Promise<void> {
       for (let k = 0; k < 80; k++) {
-        const number = Math.floor(rnd() * 6)
+        const number = Math.floor(random() * 6)
         const tenant = number === 0 ? undefined : `tenant${number}`
-        const need: ConnectionRequirements = {
+        const requirements: ConnectionRequirements = {
           database: 'd',
           settings: [],
           shapes: new Map(),
@@ -171,61 +184,65 @@
           share: 1,
           ...(tenant !== undefined ? { tenant } : {}),
         }
-        const got = await pool.checkOut(who, 4, need, { free: 200, dial: 100 }, makeFlag())
-        if (got.err) continue
-        served++
-        const line = ports.get(got.val.instanceConnection) as Line
-        if (line.lent || !line.open || line.tenant !== tenant) wrong++
-        line.lent = true
-        let open = 0
-        for (const one of lines) if (one.open) open++
-        most = Math.max(most, open)
-        await pause(world, rnd() * 10)
-        line.lent = false
-        got.val.end(rnd() < 0.95)
+        const checkOut = await pool.checkOut(address, 4, requirements, { free: 200, dial: 100 }, makeFlag())
+        if (checkOut.err) continue
+        checkOuts++
+        const connection = modelOfConnection.get(checkOut.val.instanceConnection) as ModelConnection
+        if (connection.isCheckedOut || !connection.isOpen || connection.tenant !== tenant) violations++
+        connection.isCheckedOut = true
+        let openCount = 0
+        for (const other of connections) if (other.isOpen) openCount++
+        maxOpen = Math.max(maxOpen, openCount)
+        await pause(world, random() * 10)
+        connection.isCheckedOut = false
+        checkOut.val.end(random() < 0.95)
       }
     }
-    const all: Promise<void>[] = []
-    for (let k = 0; k < 8; k++) all.push(borrower())
-    await Promise.all(all)
-    c.equal(wrong, 0, 'each connection is lent to the tenant alone in whose name it was opened')
-    c.ok(most <= 4, `${most} connections open at most`)
-    c.equal(served, 8 * 80, 'nobody is kept waiting by idle connections of others')
-    c.ok(lines.length < served, `${lines.length} connections opened for ${served} loans`)
+    const callers: Promise<void>[] = []
+    for (let k = 0; k < 8; k++) callers.push(runCaller())
+    await Promise.all(callers)
+    test.equal(violations, 0, 'a connection is checked out only for the tenant that it was opened for')
+    test.ok(maxOpen <= 4, `${maxOpen} connections open at most`)
+    test.equal(checkOuts, 8 * 80, 'idle connections of other tenants never make a caller time out')
+    test.ok(connections.length < checkOuts, `${connections.length} connections opened for ${checkOuts} check-outs`)
   }
   await inWorld(run)
 }
-void t.test('a pooled connection lent to another tenant than it was opened for', keepsTenantsApart)
+void t.test('a pooled connection is never used by another tenant than the one it was opened for', keepsTenantsApart)
 
-// Statements that clients prepare on a pooled connection are bounded: it is reset, and not opened anew.
-async function preparedStatementsAreBounded(c: Test): Promise<void> {
+/** The number of statements prepared on a pooled connection is bounded: at the bound it is reset, not reopened. */
+async function preparedStatementsAreBounded(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const lines: Line[] = []
-    const pool = makePool(world, modelEdge(lines, 3), makeFlag(), makeMetrics())
-    let most = 0
+    const connections: ModelConnection[] = []
+    const pool = makePool(world, makeModelAdapter(connections, 3), makeFlag(), makeMetrics())
+    let maxPreparedShapes = 0
     for (let k = 0; k < 4 * MAX_CONNECTION_PREPARED_STATEMENTS; k++) {
       const text = `READ q${k}`
-      const need = { database: 'd', settings: [], shapes: new Map([['s', text]]), team: '', share: 1 }
-      const got = await pool.checkOut(who, 1, need, { free: 200, dial: 100 }, makeFlag())
-      if (got.err) throw new Error(got.val.why)
-      const line = ports.get(got.val.instanceConnection) as Line
-      if (line.shapes.get(got.val.shapeId(text)) !== text) throw new Error(`${text} is not in force`)
-      most = Math.max(most, line.shapes.size)
-      got.val.end(true)
+      const requirements = { database: 'd', settings: [], shapes: new Map([['s', text]]), team: '', share: 1 }
+      const checkOut = await pool.checkOut(address, 1, requirements, { free: 200, dial: 100 }, makeFlag())
+      if (checkOut.err) throw new Error(checkOut.val.why)
+      const connection = modelOfConnection.get(checkOut.val.instanceConnection) as ModelConnection
+      if (connection.shapes.get(checkOut.val.shapeId(text)) !== text)
+        throw new Error(`${text} is not prepared on the connection`)
+      maxPreparedShapes = Math.max(maxPreparedShapes, connection.shapes.size)
+      checkOut.val.end(true)
     }
-    c.equal(lines.length, 1, 'the same connection throughout')
-    c.equal(most, MAX_CONNECTION_PREPARED_STATEMENTS + 1)
+    test.equal(connections.length, 1, 'the same connection is used throughout')
+    test.equal(maxPreparedShapes, MAX_CONNECTION_PREPARED_STATEMENTS + 1)
   }
   await inWorld(run)
 }
-void t.test('prepared statements of a pooled connection', preparedStatementsAreBounded)
+void t.test('the prepared statements of a pooled connection are bounded', preparedStatementsAreBounded)
 
-// Fewer connections than proxies: one that is given back is open for nobody, so that others can have it.
-async function closesAfterUse(c: Test): Promise<void> {
+/**
+ * With fewer connections than proxies, a connection that is checked in is closed unless a caller waits for it, so that
+ * other proxies can open one.
+ */
+async function closesAfterUse(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const lines: Line[] = []
-    const pool = makePool(world, modelEdge(lines, 3), makeFlag(), makeMetrics())
-    const need: ConnectionRequirements = {
+    const connections: ModelConnection[] = []
+    const pool = makePool(world, makeModelAdapter(connections, 3), makeFlag(), makeMetrics())
+    const requirements: ConnectionRequirements = {
       database: 'd',
       settings: [],
       shapes: new Map(),
@@ -233,126 +250,134 @@
       share: 1,
       closesAfterUse: true,
     }
-    function borrow() {
-      return pool.checkOut(who, 1, need, { free: 200, dial: 100 }, makeFlag())
+    function checkOut() {
+      return pool.checkOut(address, 1, requirements, { free: 200, dial: 100 }, makeFlag())
     }
-    const first = await borrow()
+    const first = await checkOut()
     if (first.err) throw new Error(first.val.why)
-    const second = borrow()
+    const second = checkOut()
     await pause(world, 10)
     first.val.end(true)
-    const handed = await second
-    if (handed.err) throw new Error(handed.val.why)
-    c.equal(lines.length, 1, 'whoever waits is given the same connection')
-    c.equal(lines[0].open, true)
-    handed.val.end(true)
-    c.equal(lines[0].open, false, 'nobody waits: it is closed')
-    c.equal(pool.open(who.name), 0)
+    const secondResult = await second
+    if (secondResult.err) throw new Error(secondResult.val.why)
+    test.equal(connections.length, 1, 'the waiting caller gets the same connection')
+    test.equal(connections[0].isOpen, true)
+    secondResult.val.end(true)
+    test.equal(connections[0].isOpen, false, 'it is closed when no caller waits')
+    test.equal(pool.open(address.name), 0)
     pool.close()
   }
   await inWorld(run)
 }
-void t.test('a connection of which there are fewer than proxies is not kept idle', closesAfterUse)
+void t.test('no connection is kept idle where there are fewer connections than proxies', closesAfterUse)
 
-async function dials(c: Test): Promise<void> {
+/** The timeout for a free connection and the timeout for opening one are separate. */
+async function opensWithinDialTimeout(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const lines: Line[] = []
-    const pool = makePool(world, modelEdge(lines, 20), makeFlag(), makeMetrics())
-    const need: ConnectionRequirements = { database: 'd', settings: [], shapes: new Map(), team: '', share: 1 }
-    const got = await pool.checkOut(who, 4, need, { free: 1, dial: 100 }, makeFlag())
-    c.ok(got.ok, 'a call that has waited long for its leader still has time to open a connection')
-    if (got.ok) got.val.end(true)
-    const full = await Promise.all([
-      pool.checkOut(who, 1, need, { free: 5, dial: 100 }, makeFlag()),
-      pool.checkOut(who, 1, need, { free: 5, dial: 100 }, makeFlag()),
+    const connections: ModelConnection[] = []
+    const pool = makePool(world, makeModelAdapter(connections, 20), makeFlag(), makeMetrics())
+    const requirements: ConnectionRequirements = { database: 'd', settings: [], shapes: new Map(), team: '', share: 1 }
+    const checkOut = await pool.checkOut(address, 4, requirements, { free: 1, dial: 100 }, makeFlag())
+    test.ok(
+      checkOut.ok,
+      'a call with little time left to wait for a free connection has the whole dial timeout to open one',
+    )
+    if (checkOut.ok) checkOut.val.end(true)
+    const results = await Promise.all([
+      pool.checkOut(address, 1, requirements, { free: 5, dial: 100 }, makeFlag()),
+      pool.checkOut(address, 1, requirements, { free: 5, dial: 100 }, makeFlag()),
     ])
-    const refused = full.find(isErr)
-    function isErr(r: { err: boolean }): boolean {
-      return r.err
+    const rejected = results.find(isErr)
+    function isErr(result: { err: boolean }): boolean {
+      return result.err
     }
-    c.equal(
-      refused?.err === true ? refused.val.class : '',
+    test.equal(
+      rejected?.err === true ? rejected.val.class : '',
       'RESOURCE_EXHAUSTED',
-      'where all are lent it is told so after the wait for a free one',
+      'with all connections checked out, the call is rejected after the wait for a free one',
     )
   }
   await inWorld(run)
 }
-void t.test('the wait for a leader takes nothing from the time that a dial has', dials)
+void t.test('the wait for a free connection does not shorten the dial timeout', opensWithinDialTimeout)
 
-async function doubts(c: Test): Promise<void> {
+/** Without a status poll, only the answers and failures of calls tell whether an instance is usable. */
+async function doubtWithoutStatusPolls(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const bell = makeSignal()
+    const changed = makeSignal()
     const config: Config = { proxies: 'live', groups: [{ name: 'g', connections: 30 }], lanes: [] }
-    function share(): boolean {
+    function hasConnectionShare(): boolean {
       return true
     }
     function configNow(): Config {
       return config
     }
-    function sights(): Map<string, unknown> {
+    function instanceStatuses(): Map<string, unknown> {
       return new Map([
-        ['i1', { name: 'i1', group: 'g', addr: who.addr, area: 'x', role: 'leader', leaving: false, age: 0 }],
+        ['i1', { name: 'i1', group: 'g', addr: address.addr, area: 'x', role: 'leader', leaving: false, age: 0 }],
       ])
     }
     function group(): undefined {
       return undefined
     }
     const state = {
-      changed: bell,
-      hasConnectionShare: share,
+      changed: changed,
+      hasConnectionShare: hasConnectionShare,
       config: configNow,
-      instanceStatuses: sights,
+      instanceStatuses: instanceStatuses,
       group,
     } as unknown as State
     const stop = makeFlag()
-    const watch = startWatch(world, state, modelEdge([], 1), stop, makeMetrics())
+    const watch = startWatch(world, state, makeModelAdapter([], 1), stop, makeMetrics())
     await pause(world, 10)
-    const one = watch.get('i1') as Instance
+    const instance = watch.get('i1') as Instance
     watch.recordAnswer('i1', world.now(), { epoch: 1, position: 1 }, 1)
     watch.failed('i1', world.now(), false, false)
-    c.ok(watch.isUsable(one, false), 'one lost answer keeps nobody away')
+    test.ok(watch.isUsable(instance, false), 'a single lost answer leaves the instance usable')
     await pause(world, 5)
     watch.recordAnswer('i1', world.now(), { epoch: 1, position: 2 }, 1)
     watch.failed('i1', world.now() - 3, false, false)
     watch.failed('i1', world.now() - 2, false, false)
-    c.ok(watch.isUsable(one, false), 'answers that came after speak for it')
+    test.ok(watch.isUsable(instance, false), 'failures of calls sent before the latest answer do not count')
     await pause(world, 5)
     watch.failed('i1', world.now(), true, false)
     watch.failed('i1', world.now(), true, false)
     watch.failed('i1', world.now(), true, false)
-    c.ok(watch.isUsable(one, false), 'one that answers that it is busy is there')
+    test.ok(watch.isUsable(instance, false), 'an instance that answers that it is busy stays usable')
     watch.failed('i1', world.now(), false, false)
     watch.failed('i1', world.now(), false, false)
-    c.notOk(watch.isUsable(one, false), 'two in a row do')
+    test.notOk(watch.isUsable(instance, false), 'two lost answers in a row make it unusable')
     await pause(world, 150)
-    c.ok(watch.isUsable(one, true), 'after a pause one call may try')
-    c.notOk(watch.isUsable(one, true), 'and only one')
+    test.ok(watch.isUsable(instance, true), 'after a delay one trial call may go')
+    test.notOk(watch.isUsable(instance, true), 'a second trial call may not')
     watch.recordAnswer('i1', world.now(), { epoch: 1, position: 3 }, 1)
-    c.ok(watch.isUsable(one, false), 'its answer ends the doubt')
+    test.ok(watch.isUsable(instance, false), 'an answer ends the doubt')
     watch.failed('i1', world.now(), false, true)
-    c.notOk(watch.isUsable(one, false), 'one that says it does not lead is doubted at once')
+    test.notOk(
+      watch.isUsable(instance, false),
+      'an instance that reports that it is not the leader is in doubt at once',
+    )
     stop.fire()
   }
   await inWorld(run)
 }
-void t.test('doubt where nobody samples', doubts)
+void t.test('an instance in doubt without status polls', doubtWithoutStatusPolls)
 
-function shares(c: Test): void {
+function sharesByLiveProxies(test: Test): void {
   const config: Config = { proxies: 'live', groups: [{ name: 'g', connections: 92 }], lanes: [] }
-  c.equal(usableConnectionsPerProxy(config, 'g', 9), 9, 'a ninth, less the one that is kept back')
-  c.equal(usableConnectionsPerProxy(config, 'g', 1), 91)
-  c.ok(usableConnectionsPerProxy(config, 'g', 200) >= 1, 'never none')
-  c.strictSame(
+  test.equal(usableConnectionsPerProxy(config, 'g', 9), 9, 'a ninth, minus the connection reserved for failover calls')
+  test.equal(usableConnectionsPerProxy(config, 'g', 1), 91)
+  test.ok(usableConnectionsPerProxy(config, 'g', 200) >= 1, 'at least one')
+  test.strictSame(
     [isShareBelowOne(config, 'g', 92), isShareBelowOne(config, 'g', 93), isShareBelowOne(config, 'none', 93)],
     [false, true, false],
-    'more proxies than connections',
+    'a share is below one only with more proxies than connections',
   )
   for (let live = 1; live <= 40; live++)
-    c.ok(
+    test.ok(
       live * usableConnectionsPerProxy(config, 'g', live) <= 92,
-      `${live} live proxies together stay under the limit`,
+      `${live} live proxies together stay within the limit`,
     )
-  c.end()
+  test.end()
 }
-void t.test('shares by live proxies', shares)
+void t.test('connection shares by the number of live proxies', sharesByLiveProxies)
--- a/packages/fleet/src/test/parts.test.ts
+++ b/packages/fleet/src/test/parts.test.ts
@@ -36,96 +36,105 @@
   await task(sim, sim.machine('m', '10.0.0.1'), run)
 }
 
-// --- freshness: a leader's history in full, against the proof from samples ---
-async function freshness(c: Test): Promise<void> {
-  const rnd = makeRandom(11)
-  let allowed = 0
-  let wrong = 0
+// --- freshness ---
+
+/** Checks the freshness proof, which knows only samples, against a leader's complete commit history. */
+async function freshness(test: Test): Promise<void> {
+  const random = makeRandom(11)
+  let allowedReads = 0
+  let violations = 0
   for (let round = 0; round < 400; round++) {
-    const within = [500, 1500, 2500][Math.floor(rnd() * 3)]
-    // Commits at times, epochs change now and then; the position goes on across epochs.
+    const maxStalenessMs = [500, 1500, 2500][Math.floor(random() * 3)]
+    // Commits at random times, with occasional epoch changes; the position keeps increasing across epochs.
     const commits: { at: number; epoch: number; position: number; session: boolean }[] = []
     let epoch = 1
-    let at = 0
+    let committedAt = 0
     for (let k = 1; k <= 60; k++) {
-      at += rnd() * 200
-      if (rnd() < 0.03) epoch++
-      commits.push({ at, epoch, position: k, session: rnd() < 0.1 })
+      committedAt += random() * 200
+      if (random() < 0.03) epoch++
+      commits.push({ at: committedAt, epoch, position: k, session: random() < 0.1 })
     }
-    const now = at + rnd() * 500
+    const now = committedAt + random() * 500
     function positionAt(time: number): { epoch: number; position: number } {
-      let best = { epoch: 1, position: 0 }
-      for (const m of commits) if (m.at <= time) best = { epoch: m.epoch, position: m.position }
-      return best
+      let latest = { epoch: 1, position: 0 }
+      for (const commit of commits) if (commit.at <= time) latest = { epoch: commit.epoch, position: commit.position }
+      return latest
     }
-    // Samples are answered some time after they were asked, some of them long after.
+    // A sample's position is taken up to 600 ms after it was asked for.
     const samples: Sample[] = []
     for (let k = 0; k < 20; k++) {
-      const asked = rnd() * now
-      const mark = positionAt(Math.min(now, asked + rnd() * 600))
-      samples.push({ askedAt: asked, epoch: mark.epoch, position: mark })
+      const askedAt = random() * now
+      const answeredPosition = positionAt(Math.min(now, askedAt + random() * 600))
+      samples.push({ askedAt: askedAt, epoch: answeredPosition.epoch, position: answeredPosition })
     }
-    const mark = commits[Math.floor(rnd() * commits.length)]
-    const follower = { epoch: rnd() < 0.8 ? epoch : mark.epoch, position: mark.position }
+    const followerCommit = commits[Math.floor(random() * commits.length)]
+    const follower = { epoch: random() < 0.8 ? epoch : followerCommit.epoch, position: followerCommit.position }
     let token: { epoch: number; position: number } | undefined
-    for (const m of commits) if (m.session) token = { epoch: m.epoch, position: m.position }
-    const need = requiredPositionOf(freshnessFloor(samples, epoch, within, now), epoch, token)
-    if (need === undefined || !isFresh(follower, need, true)) continue
-    allowed++
-    // The plain model: every commit owed must lie at or under what the follower holds.
-    for (const m of commits)
-      if ((m.at < now - within || m.session) && m.position > follower.position && !(m.epoch < epoch)) wrong++
+    for (const commit of commits) if (commit.session) token = { epoch: commit.epoch, position: commit.position }
+    const required = requiredPositionOf(freshnessFloor(samples, epoch, maxStalenessMs, now), epoch, token)
+    if (required === undefined || !isFresh(follower, required, true)) continue
+    allowedReads++
+    // Reference model: of the current epoch, the follower must hold every commit older than the staleness limit and
+    // every commit of the session.
+    for (const commit of commits)
+      if (
+        (commit.at < now - maxStalenessMs || commit.session) &&
+        commit.position > follower.position &&
+        !(commit.epoch < epoch)
+      )
+        violations++
   }
-  c.equal(wrong, 0, 'no read is let through that misses what it is owed')
-  c.ok(allowed > 20, `${allowed} reads were let through`)
+  test.equal(violations, 0, 'no allowed read misses a commit that it must see')
+  test.ok(allowedReads > 20, `${allowedReads} reads were allowed`)
 }
 
 // --- the data file ---
-function record(k: number): unknown {
+function recordOf(k: number): unknown {
   return { k, text: 'x'.repeat(k % 50) }
 }
-async function dataFile(c: Test): Promise<void> {
+async function dataFile(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    const f = makeDataFile(world, '/f')
-    await f.open()
-    for (let k = 0; k < 20; k++) await f.append(record(k))
-    const whole = Buffer.from((await world.disk.read('/f')) as Uint8Array)
-    // Cut anywhere, a file gives back a prefix of its records and is never called damaged.
-    const rnd = makeRandom(4)
+    const file = makeDataFile(world, '/f')
+    await file.open()
+    for (let k = 0; k < 20; k++) await file.append(recordOf(k))
+    const contents = Buffer.from((await world.disk.read('/f')) as Uint8Array)
+    // Truncated anywhere, the file yields a prefix of its records and is never reported as damaged.
+    const random = makeRandom(4)
     for (let k = 0; k < 60; k++) {
-      const cut = Math.floor(rnd() * whole.length)
-      const got = readRecords(whole.subarray(0, cut))
-      c.notOk(got.damaged)
-      for (const [n, r] of got.records.entries())
-        if (JSON.stringify(r) !== JSON.stringify(record(n))) c.fail('a wrong record')
+      const cut = Math.floor(random() * contents.length)
+      const parsed = readRecords(contents.subarray(0, cut))
+      test.notOk(parsed.damaged)
+      for (const [index, record] of parsed.records.entries())
+        if (JSON.stringify(record) !== JSON.stringify(recordOf(index)))
+          test.fail('a record differs from the one written')
     }
-    // One byte changed anywhere but in the last record is seen as damage.
-    let seen = 0
+    // A changed byte anywhere but in the last record is detected as damage.
+    let detected = 0
     for (let k = 0; k < 60; k++) {
-      const at = Math.floor(rnd() * (whole.length - 80))
-      const bad = Buffer.from(whole)
-      bad[at] ^= 1 + Math.floor(rnd() * 255)
-      if (readRecords(bad).damaged) seen++
+      const offset = Math.floor(random() * (contents.length - 80))
+      const corrupted = Buffer.from(contents)
+      corrupted[offset] ^= 1 + Math.floor(random() * 255)
+      if (readRecords(corrupted).damaged) detected++
     }
-    c.equal(seen, 60, 'damage before good records is seen each time')
-    const again = makeDataFile(world, '/f')
-    const opened = await again.open()
-    c.equal(opened.records.length, 20)
-    await again.reset([record(1)])
-    c.equal((await makeDataFile(world, '/f').open()).records.length, 1, 'a rewrite holds what lives')
+    test.equal(detected, 60, 'damage before intact records is always detected')
+    const reopened = makeDataFile(world, '/f')
+    const opened = await reopened.open()
+    test.equal(opened.records.length, 20)
+    await reopened.reset([recordOf(1)])
+    test.equal((await makeDataFile(world, '/f').open()).records.length, 1, 'a reset file holds only the new records')
   }
   await inWorld(run)
 }
 
 // --- configuration and decisions ---
-const good: Config = {
+const validConfig: Config = {
   proxies: 4,
   groups: [{ name: 'g', connections: 40 }],
   lanes: [{ name: 'l', database: 'd', group: 'g', reads: { within: 1500 } }],
 }
-async function configuration(c: Test): Promise<void> {
-  c.ok(readConfig(good).ok)
-  const bad = readConfig({
+async function configuration(test: Test): Promise<void> {
+  test.ok(readConfig(validConfig).ok)
+  const invalid = readConfig({
     proxies: 0,
     groups: [
       { name: 'g', connections: 'x' },
@@ -134,9 +143,9 @@
     lanes: [{ name: 'l', database: 'd', group: 'g', reads: 'sometimes', colour: 1 }],
     extra: true,
   })
-  c.ok(bad.err)
+  test.ok(invalid.err)
   const places: string[] = []
-  if (bad.err) for (const f of bad.val) places.push(f.place)
+  if (invalid.err) for (const finding of invalid.val) places.push(finding.place)
   for (const place of [
     '/proxies',
     '/groups/0/connections',
@@ -145,159 +154,175 @@
     '/lanes/0/colour',
     '/extra',
   ])
-    c.ok(places.includes(place), `a finding at ${place}`)
-  const links = readConfig({ ...good, lanes: [{ ...good.lanes[0], group: 'h', team: 'nobody' }, good.lanes[0]] })
-  if (links.err) c.strictSame(links.val.map(placeOf), ['/lanes/1/name', '/lanes/0/group', '/lanes/0/team'])
-  else c.fail('links that lead nowhere were let through')
-  const short = readConfig({ ...good, proxies: 20 })
-  if (short.err) c.strictSame(short.val.map(placeOf), ['/groups/0/connections'])
-  else c.fail("connections that can't be shared were let through")
+    test.ok(places.includes(place), `finding at ${place}`)
+  const badReferences = readConfig({
+    ...validConfig,
+    lanes: [{ ...validConfig.lanes[0], group: 'h', team: 'nobody' }, validConfig.lanes[0]],
+  })
+  if (badReferences.err)
+    test.strictSame(badReferences.val.map(placeOf), ['/lanes/1/name', '/lanes/0/group', '/lanes/0/team'])
+  else test.fail('references to unknown names were accepted')
+  const tooFewConnections = readConfig({ ...validConfig, proxies: 20 })
+  if (tooFewConnections.err) test.strictSame(tooFewConnections.val.map(placeOf), ['/groups/0/connections'])
+  else test.fail('too few connections for the proxies were accepted')
 }
-function placeOf(f: { place: string }): string {
-  return f.place
+function placeOf(finding: { place: string }): string {
+  return finding.place
 }
-// Random changes of several streams, with repeats and with rivals under a number that is taken, against a plain model of
-// what must come of each.
-async function decisions(c: Test): Promise<void> {
-  const rnd = makeRandom(9)
+/**
+ * Random changes of several streams, with repeats and with different changes under a number already used, against a
+ * reference model of the expected decisions.
+ */
+async function decisions(test: Test): Promise<void> {
+  const random = makeRandom(9)
   let body: ConfigurationBody = emptyBody()
   let epoch = 0
-  const first = new Map<string, { told: string; change: Change }>()
-  const last = new Map<string, number>()
-  let rivals = 0
-  function ruled(stream: string, change: Change): { decision: Decision; body: ConfigurationBody | undefined } {
-    const got = evaluateChange(body, { stream, change, digest: digestOf(change) })
-    if ('unclear' in got) throw new Error(got.unclear)
-    return 'known' in got ? { decision: got.known, body: undefined } : got
+  const firstDecisions = new Map<string, { decisionJson: string; change: Change }>()
+  const lastNumbers = new Map<string, number>()
+  let conflictCount = 0
+  function evaluate(stream: string, change: Change): { decision: Decision; body: ConfigurationBody | undefined } {
+    const evaluation = evaluateChange(body, { stream, change, digest: digestOf(change) })
+    if ('unclear' in evaluation) throw new Error(evaluation.unclear)
+    return 'known' in evaluation ? { decision: evaluation.known, body: undefined } : evaluation
   }
   for (let k = 0; k < 600; k++) {
-    const stream = `s${Math.floor(rnd() * 3)}`
-    const repeat = rnd() < 0.2 && last.has(stream)
-    const number = repeat ? last.get(stream)! : (last.get(stream) ?? 0) + 1
+    const stream = `s${Math.floor(random() * 3)}`
+    const isRepeat = random() < 0.2 && lastNumbers.has(stream)
+    const number = isRepeat ? lastNumbers.get(stream)! : (lastNumbers.get(stream) ?? 0) + 1
     const id = `${stream}#${number}`
-    const old = first.get(id)
-    const rival = old !== undefined && rnd() < 0.3
-    const fresh: Change = {
+    const earlier = firstDecisions.get(id)
+    const isConflicting = earlier !== undefined && random() < 0.3
+    const drawn: Change = {
       number,
-      expect: rnd() < 0.7 ? epoch : epoch - 1,
-      whole: rnd() < 0.8 ? good : { ...good, proxies: 0 },
+      expect: random() < 0.7 ? epoch : epoch - 1,
+      whole: random() < 0.8 ? validConfig : { ...validConfig, proxies: 0 },
     }
-    // The very same content, by whatever epoch it is expected on; a rival's differs.
-    const change: Change = rival
-      ? { ...fresh, whole: { ...good, transactionIdle: k } }
-      : old
-        ? { ...old.change, expect: fresh.expect }
-        : fresh
-    const got = ruled(stream, change)
-    if (rival) {
-      rivals++
-      c.equal(got.decision.decision, 'refused', 'a number is of one change alone')
-      if (got.body) c.fail('a rival was decided anew')
+    // A repeat has the same content, whatever epoch it expects; a conflicting change has different content.
+    const change: Change = isConflicting
+      ? { ...drawn, whole: { ...validConfig, transactionIdle: k } }
+      : earlier
+        ? { ...earlier.change, expect: drawn.expect }
+        : drawn
+    const evaluation = evaluate(stream, change)
+    if (isConflicting) {
+      conflictCount++
+      test.equal(evaluation.decision.decision, 'refused', 'a number identifies a single change')
+      if (evaluation.body) test.fail('a conflicting change got a new decision')
       continue
     }
-    if (old) {
-      c.equal(JSON.stringify(got.decision), old.told, 'a repeat gets the first decision')
-      if (got.body) c.fail('a repeat was decided anew')
+    if (earlier) {
+      test.equal(JSON.stringify(evaluation.decision), earlier.decisionJson, 'a repeat gets the first decision')
+      if (evaluation.body) test.fail('a repeat got a new decision')
       continue
     }
-    const wanted = change.expect === epoch && (change.whole as Config).proxies !== 0
-    if ((got.decision.decision === 'accepted') !== wanted) c.fail(`${id} was ${got.decision.decision}`)
-    if (got.body) body = got.body
-    if (wanted) epoch++
-    if (body.epoch !== epoch) c.fail('the epoch is not the count of accepted changes')
-    first.set(id, { told: JSON.stringify(got.decision), change })
-    last.set(stream, number)
+    const isAcceptanceExpected = change.expect === epoch && (change.whole as Config).proxies !== 0
+    if ((evaluation.decision.decision === 'accepted') !== isAcceptanceExpected)
+      test.fail(`${id} was ${evaluation.decision.decision}`)
+    if (evaluation.body) body = evaluation.body
+    if (isAcceptanceExpected) epoch++
+    if (body.epoch !== epoch) test.fail('the epoch is not the number of accepted changes')
+    firstDecisions.set(id, { decisionJson: JSON.stringify(evaluation.decision), change })
+    lastNumbers.set(stream, number)
   }
-  c.ok(rivals > 10, `${rivals} rivals`)
-  c.ok(epoch > 100)
-  c.equal(body.history[body.history.length - 1].epoch, epoch)
-  c.equal(body.history.filter(hasConfig).length, Math.min(8, epoch), 'the latest configurations are kept whole')
-  const long = ruled('s0', { number: 1, expect: epoch, whole: good })
-  c.equal(long.body, undefined, 'a number of long ago is known or passed, never taken anew')
+  test.ok(conflictCount > 10, `${conflictCount} conflicting changes`)
+  test.ok(epoch > 100)
+  test.equal(body.history[body.history.length - 1].epoch, epoch)
+  test.equal(body.history.filter(hasConfig).length, Math.min(8, epoch), 'the latest configurations are kept in full')
+  const longPast = evaluate('s0', { number: 1, expect: epoch, whole: validConfig })
+  test.equal(longPast.body, undefined, 'a number from long ago never gets a new decision')
 }
 
 // --- retry ---
-async function retry(c: Test): Promise<void> {
+async function retry(test: Test): Promise<void> {
   async function run(world: World): Promise<void> {
-    for (let n = 0; n < 4; n++) {
+    for (let attempt = 0; attempt < 4; attempt++) {
       for (let k = 0; k < 50; k++) {
-        const ms = backoffDelayMs(world, n)
-        if (ms < 2 ** n * BACKOFF_BASE_MS || ms >= 1.5 * 2 ** n * BACKOFF_BASE_MS) c.fail(`pause ${ms} after send ${n}`)
+        const delayMs = backoffDelayMs(world, attempt)
+        if (delayMs < 2 ** attempt * BACKOFF_BASE_MS || delayMs >= 1.5 * 2 ** attempt * BACKOFF_BASE_MS)
+          test.fail(`backoff of ${delayMs} ms at attempt ${attempt}`)
       }
     }
-    let rest = { firsts: 0, retries: 0 }
-    function others(): { firsts: number; retries: number } {
-      return rest
+    let fleetCounts = { firsts: 0, retries: 0 }
+    function fleetRetryCounts(): { firsts: number; retries: number } {
+      return fleetCounts
     }
-    const alone = makeRetryTokens(world, others)
+    const lowRetryTokens = makeRetryTokens(world, fleetRetryCounts)
     let spent = 0
-    while (alone.spendOnRetry()) spent++
-    c.equal(spent, RETRY_TOKENS, 'tokens are bounded')
-    // The rest of the fleet retries far too much: each retry costs double here.
-    rest = { firsts: 100, retries: 400 }
-    const shared = makeRetryTokens(world, others)
+    while (lowRetryTokens.spendOnRetry()) spent++
+    test.equal(spent, RETRY_TOKENS, 'the number of retry tokens is bounded')
+    // The other nodes retry too much, so each retry costs two tokens here.
+    fleetCounts = { firsts: 100, retries: 400 }
+    const highRetryTokens = makeRetryTokens(world, fleetRetryCounts)
     spent = 0
-    while (shared.spendOnRetry()) spent++
-    c.ok(spent <= RETRY_TOKENS / 2 + 1, `${spent} retries while the fleet retries too much`)
+    while (highRetryTokens.spendOnRetry()) spent++
+    test.ok(spent <= RETRY_TOKENS / 2 + 1, `${spent} retries while the fleet retries too much`)
     const breaker = makeBreaker(world, 'g', makeMetrics())
     for (let k = 0; k < BREAKER_MIN_RESULTS - 1; k++) breaker.record(false, false)
-    c.equal(breaker.state(), 'closed', 'a few failures are no sustained rate')
+    test.equal(breaker.state(), 'closed', 'failures below the minimum number of results do not open it')
     breaker.record(false, false)
-    c.equal(breaker.state(), 'open')
-    c.notOk(breaker.allows())
-    function start(ok: () => void): void {
-      world.later(4000, ok)
+    test.equal(breaker.state(), 'open')
+    test.notOk(breaker.allows())
+    function startTimer(resolve: () => void): void {
+      world.later(4000, resolve)
     }
-    await new Promise<void>(start)
-    c.ok(breaker.allows(), 'a probe goes through')
-    c.notOk(breaker.allows(), 'one at a time')
+    await new Promise<void>(startTimer)
+    test.ok(breaker.allows(), 'a probe is allowed')
+    test.notOk(breaker.allows(), 'one probe at a time')
     breaker.record(false, true)
-    c.equal(breaker.state(), 'open', 'a bad probe opens it again')
-    await new Promise<void>(start)
+    test.equal(breaker.state(), 'open', 'a failed probe opens it again')
+    await new Promise<void>(startTimer)
     for (let k = 0; k < 3; k++) {
-      c.ok(breaker.allows())
+      test.ok(breaker.allows())
       breaker.record(true, true)
     }
-    c.equal(breaker.state(), 'closed', 'good probes in a row close it')
+    test.equal(breaker.state(), 'closed', 'successful probes in a row close it')
   }
   await inWorld(run)
 }
 
-async function duties(c: Test): Promise<void> {
+/** Rendezvous hashing spreads the keys evenly, and the removal of a node moves only that node's keys. */
+async function dutyDistribution(test: Test): Promise<void> {
   const nodes: string[] = []
   for (let k = 1; k <= 9; k++) nodes.push(`front${k}`)
   const counts = new Map<string, number>()
-  let moved = 0
+  let movedKeys = 0
   for (let k = 0; k < 900; k++) {
     const key = `group/g${k}`
-    const now = dutyHolderOf(key, nodes) as string
-    counts.set(now, (counts.get(now) ?? 0) + 1)
-    const without = dutyHolderOf(key, nodes.slice(1))
-    if (now !== 'front1' && without !== now) moved++
+    const holder = dutyHolderOf(key, nodes) as string
+    counts.set(holder, (counts.get(holder) ?? 0) + 1)
+    const holderWithout = dutyHolderOf(key, nodes.slice(1))
+    if (holder !== 'front1' && holderWithout !== holder) movedKeys++
   }
-  c.equal(moved, 0, 'a node that goes moves only its own keys')
-  for (const n of counts.values()) c.ok(n > 50 && n < 170, `${n} of 900 keys at one of nine nodes`)
+  test.equal(movedKeys, 0, 'the removal of a node moves only its own keys')
+  for (const count of counts.values()) test.ok(count > 50 && count < 170, `${count} of 900 keys on one of nine nodes`)
 }
 
-function hasConfig(h: { config?: unknown }): boolean {
-  return h.config !== undefined
+function hasConfig(entry: { config?: unknown }): boolean {
+  return entry.config !== undefined
 }
-// Guards against move-lagging: a route's commits of before its move are in no sample that the new group's leader gave before it.
-function samplesBeforeMove(c: Test): void {
+/**
+ * Guards against move-lagging: samples of the new group's leader from before a lane's move don't cover the commits that
+ * the lane brought from its old group.
+ */
+function samplesBeforeMove(test: Test): void {
   const samples: Sample[] = [
     { askedAt: 100, epoch: 2, position: { epoch: 2, position: 7 } },
     { askedAt: 300, epoch: 2, position: { epoch: 2, position: 9 } },
   ]
-  c.strictSame(freshnessFloor(samples, 2, 1000, 400), { epoch: 2, position: 7 }, 'a route that was always here')
-  c.strictSame(freshnessFloor(samples, 2, 1000, 400, 200), { epoch: 2, position: 9 }, 'one that came at 200')
-  c.equal(freshnessFloor(samples, 2, 1000, 400, 350), undefined, 'one that came after all samples')
-  c.end()
+  test.strictSame(
+    freshnessFloor(samples, 2, 1000, 400),
+    { epoch: 2, position: 7 },
+    'a lane that was always in the group',
+  )
+  test.strictSame(freshnessFloor(samples, 2, 1000, 400, 200), { epoch: 2, position: 9 }, 'a lane that came at 200')
+  test.equal(freshnessFloor(samples, 2, 1000, 400, 350), undefined, 'a lane that came after all samples')
+  test.end()
 }
 
-void t.test('freshness: the proof against the whole history', freshness)
-void t.test('data file: torn ends are cut, damage is seen', dataFile)
-void t.test('configuration: all findings at once, with their places', configuration)
-void t.test('decisions: random changes against a plain model', decisions)
-void t.test('retry: pauses, tokens, breaker', retry)
-void t.test('duties: keys cut over live nodes', duties)
-void t.test('samples of before a route came to a group prove nothing of it', samplesBeforeMove)
+void t.test('freshness: the proof from samples against the complete history', freshness)
+void t.test('data file: a torn end is truncated, damage is detected', dataFile)
+void t.test('configuration: all findings are reported at once, with their places', configuration)
+void t.test('decisions: random changes against a reference model', decisions)
+void t.test('retry: backoff, tokens, circuit breaker', retry)
+void t.test('duties: keys are distributed over the live nodes', dutyDistribution)
+void t.test('samples from before a lane came to a group prove nothing about it', samplesBeforeMove)
