--- a/packages/fleet/src/test/drain.test.ts
+++ b/packages/fleet/src/test/drain.test.ts
@@ -18,96 +18,112 @@
 import { makeSim } from '../sim.js'
 import { task } from './beside.js'
 
-// A real proxy between a scripted agent and a plain model of a leader: what it acknowledges of a drain, and what it sends
-// after that. Who acknowledged has no transaction of the group open, and begins none till the group is steady again.
+// A real proxy between a scripted agent and a model of a leader: when it acknowledges a drain, and what it sends after
+// that. A proxy that has acknowledged has no open transaction of the group, and begins none until the group is steady.
 
-const link = '10.0.0.1:40'
-const key = groupKey('g')
+const agentAddress = '10.0.0.1:40'
+const cellKey = groupKey('g')
 
-// dial, begin: ms that a connection and a transaction's begin take; they may change.
-type Slow = { dial: number; begin: number }
-// open: transactions open at the leader, or on their way. begins: the phase that the agent had fed last when each was sent.
-type Seen = { open: number; begins: string[]; phase: string; acked: number; wrong: string[] }
+/** How long opening a connection and beginning a transaction take; tests change them during a run. */
+type Delays = { dialMs: number; beginMs: number }
+type Observations = {
+  /** Number of transactions that are open at the leader or whose begin is in flight. */
+  openTransactions: number
+  /** For each begin, the phase that the agent had fed last when it was sent. */
+  beginPhases: string[]
+  fedPhase: string
+  acknowledgedTurn: number
+  violations: string[]
+}
 
-function modelEdge(slow: Slow, seen: Seen): InstanceAdapter {
+/** An adapter for the model leader, which counts transactions. */
+function makeModelAdapter(delays: Delays, observed: Observations): InstanceAdapter {
   async function open(world: World): Promise<Result<InstanceConnection, RequestError>> {
-    await pause(world, slow.dial)
-    let up = true
-    async function done(): Promise<Result<StatementResult, RequestError>> {
+    await pause(world, delays.dialMs)
+    let isOpen = true
+    async function acknowledge(): Promise<Result<StatementResult, RequestError>> {
       await pause(world, 1)
       return Ok({ rows: [], mark: { epoch: 1, position: 1 } })
     }
     async function begin(): Promise<Result<StatementResult, RequestError>> {
-      seen.begins.push(seen.phase)
-      seen.open++
-      await pause(world, slow.begin)
-      return await done()
+      observed.beginPhases.push(observed.fedPhase)
+      observed.openTransactions++
+      await pause(world, delays.beginMs)
+      return await acknowledge()
     }
     async function end(): Promise<Result<StatementResult, RequestError>> {
-      const got = await done()
-      seen.open--
-      return got
+      const answer = await acknowledge()
+      observed.openTransactions--
+      return answer
     }
-    function alive(): boolean {
-      return up
+    function isAlive(): boolean {
+      return isOpen
     }
     function close(): void {
-      up = false
+      isOpen = false
     }
     return Ok({
-      statement: done,
+      statement: acknowledge,
       begin,
       commit: end,
       rollback: end,
-      settings: done,
-      shape: done,
-      reset: done,
-      alive,
+      settings: acknowledge,
+      shape: acknowledge,
+      reset: acknowledge,
+      alive: isAlive,
       close,
     })
   }
   async function status(): Promise<never> {
-    throw new Error('nobody asks')
+    throw new Error('the status of this adapter must not be polled')
   }
   return { exact: false, named: false, idle: 45000, open, status }
 }
 
-type Stage = {
+type Fixture = {
   world: World
   proxy: Proxy
-  slow: Slow
-  seen: Seen
+  delays: Delays
+  observed: Observations
+  /** Feeds the group's record in this phase, as the agent. */
   feed: (phase: GroupRecord['phase'], turn: number) => void
+  /** Opens a session and begins a transaction in it. */
   call: (kind: 'read' | 'write') => Promise<{ session: string; verdict: Verdict }>
   commit: (session: string) => Promise<Verdict>
 }
 
-async function onStage(run: (s: Stage) => Promise<void>): Promise<void> {
+async function withFixture(run: (fixture: Fixture) => Promise<void>): Promise<void> {
   const sim = makeSim(5)
   async function inWorld(world: World): Promise<void> {
-    const slow: Slow = { dial: 1, begin: 1 }
-    const seen: Seen = { open: 0, begins: [], phase: '', acked: 0, wrong: [] }
-    let up: Link | undefined
-    function serve(_peer: unknown, on: Link) {
-      up = on
-      function take(msg: unknown): undefined {
-        const got = readAs(ProxyReport, msg)
-        if (got.err) throw new Error('no note')
-        for (const [k, turn] of got.val.acks) {
-          if (k !== key || turn <= seen.acked) continue
-          seen.acked = turn
-          if (seen.phase === 'drain' && seen.open > 0)
-            seen.wrong.push(`turn ${turn} acknowledged with ${seen.open} open`)
+    const delays: Delays = { dialMs: 1, beginMs: 1 }
+    const observed: Observations = {
+      openTransactions: 0,
+      beginPhases: [],
+      fedPhase: '',
+      acknowledgedTurn: 0,
+      violations: [],
+    }
+    let agentLink: Link | undefined
+    function serve(_peer: unknown, link: Link) {
+      agentLink = link
+      function receive(msg: unknown): undefined {
+        const report = readAs(ProxyReport, msg)
+        if (report.err) throw new Error('malformed proxy report')
+        for (const [acknowledgedKey, turn] of report.val.acks) {
+          if (acknowledgedKey !== cellKey || turn <= observed.acknowledgedTurn) continue
+          observed.acknowledgedTurn = turn
+          if (observed.fedPhase === 'drain' && observed.openTransactions > 0)
+            observed.violations.push(`turn ${turn} acknowledged with ${observed.openTransactions} open transactions`)
         }
         return undefined
       }
-      return take
+      return receive
     }
-    await world.listen(link, acceptLinks(world, makeHello('agent', 'n1'), serve))
+    await world.listen(agentAddress, acceptLinks(world, makeHello('agent', 'n1'), serve))
     const proxy = await startProxy(
       world,
-      { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: link },
-      { ...httpAdapters, instance: modelEdge(slow, seen) },
+      { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: agentAddress },
+      { ...httpAdapters, instance: makeModelAdapter(delays, observed) },
     )
     const config: Config = {
       proxies: 'live',
@@ -115,10 +131,10 @@
       lanes: [{ name: 'l', group: 'g', database: 'd', reads: 'leader' }],
     }
     function feed(phase: GroupRecord['phase'], turn: number): void {
-      seen.phase = phase
+      observed.fedPhase = phase
       const until = world.now() + 60000
       const record: GroupRecord = { epoch: 1, phase, holder: 'n1', fence: 1, leader: 'i1', addr: '10.0.0.9:1' }
-      const word: AgentFeed = {
+      const message: AgentFeed = {
         t: 'feed',
         node: 'n1',
         area: 'x',
@@ -128,13 +144,13 @@
         live: 1,
         cells: [
           { key: CONFIG_KEY, turn: 1, until, body: { ...emptyBody(), epoch: 1, config } },
-          { key, turn, until, body: record },
+          { key: cellKey, turn, until, body: record },
         ],
         sights: [
           { name: 'i1', group: 'g', addr: '10.0.0.9:1', area: 'x', role: 'leader', leaving: false, gone: 0, age: 0 },
         ],
       }
-      up?.tell(word)
+      agentLink?.tell(message)
     }
     async function call(kind: 'read' | 'write'): Promise<{ session: string; verdict: Verdict }> {
       const session = (await proxy.sessions.run({ w: 'open', body: { lane: 'l' } }, 5000, makeFlag())).session as string
@@ -146,53 +162,56 @@
     await pause(world, 100)
     feed('steady', 1)
     await pause(world, 600)
-    await run({ world, proxy, slow, seen, feed, call, commit })
+    await run({ world, proxy, delays, observed, feed, call, commit })
     await proxy.stop()
   }
   await task(sim, sim.machine('m', '10.0.0.1'), inWorld)
 }
 
 for (const kind of ['read', 'write'] as const) {
-  async function inFlight(c: Test): Promise<void> {
-    async function run({ world, slow, seen, feed, call, commit }: Stage): Promise<void> {
-      slow.begin = 300
-      const began = call(kind)
+  async function beginInFlight(test: Test): Promise<void> {
+    async function run({ world, delays, observed, feed, call, commit }: Fixture): Promise<void> {
+      delays.beginMs = 300
+      const beginResult = call(kind)
       await pause(world, 100)
-      c.strictSame(seen.begins, ['steady'], 'the begin is on its way')
+      test.strictSame(observed.beginPhases, ['steady'], 'the begin is in flight')
       feed('drain', 2)
       await pause(world, 100)
-      c.equal(seen.acked, 1, 'the drain is not acknowledged meanwhile')
-      const { session, verdict } = await began
-      c.equal(verdict.outcome, 'done')
+      test.equal(observed.acknowledgedTurn, 1, 'the drain is not acknowledged while the begin is in flight')
+      const { session, verdict } = await beginResult
+      test.equal(verdict.outcome, 'done')
       await pause(world, 500)
-      c.equal(seen.acked, 1, 'nor while the transaction is open')
-      c.equal((await commit(session)).outcome, 'done', 'it has its time')
+      test.equal(observed.acknowledgedTurn, 1, 'the drain is not acknowledged while the transaction is open')
+      test.equal((await commit(session)).outcome, 'done', 'the open transaction may commit during the drain')
       await pause(world, 20)
-      c.equal(seen.acked, 2, 'its end is told at once')
-      c.strictSame(seen.wrong, [])
+      test.equal(observed.acknowledgedTurn, 2, 'the drain is acknowledged as soon as the transaction ends')
+      test.strictSame(observed.violations, [])
     }
-    await onStage(run)
+    await withFixture(run)
   }
-  void t.test(`a begin (${kind}) that is on its way when a drain comes counts as open`, inFlight)
+  void t.test(`a begin (${kind}) that is in flight when a drain starts counts as open`, beginInFlight)
 
-  async function aimed(c: Test): Promise<void> {
-    async function run({ world, slow, seen, feed, call, commit }: Stage): Promise<void> {
-      slow.dial = 300
-      const began = call(kind)
+  async function beginNotYetSent(test: Test): Promise<void> {
+    async function run({ world, delays, observed, feed, call, commit }: Fixture): Promise<void> {
+      delays.dialMs = 300
+      const beginResult = call(kind)
       await pause(world, 100)
       feed('drain', 2)
       await pause(world, 100)
-      c.equal(seen.acked, 2, 'nothing is open, so the drain is acknowledged')
+      test.equal(observed.acknowledgedTurn, 2, 'no transaction is open, so the drain is acknowledged')
       await pause(world, 400)
-      c.strictSame(seen.begins, [], 'the connection is there, and nothing is begun on it')
+      test.strictSame(observed.beginPhases, [], 'the connection is open and no transaction is begun on it')
       feed('steady', 3)
-      const { session, verdict } = await began
-      c.equal(verdict.outcome, 'done', 'it waited for the end of the drain')
-      c.strictSame(seen.begins, ['steady'])
-      c.equal((await commit(session)).outcome, 'done')
-      c.strictSame(seen.wrong, [])
+      const { session, verdict } = await beginResult
+      test.equal(verdict.outcome, 'done', 'the begin waited for the end of the drain')
+      test.strictSame(observed.beginPhases, ['steady'])
+      test.equal((await commit(session)).outcome, 'done')
+      test.strictSame(observed.violations, [])
     }
-    await onStage(run)
+    await withFixture(run)
   }
-  void t.test(`a begin (${kind}) that was aimed before a drain is not sent in it`, aimed)
+  void t.test(
+    `a begin (${kind}) that waits for a connection when a drain starts is not sent during it`,
+    beginNotYetSent,
+  )
 }
--- a/packages/fleet/src/test/key-refusals.test.ts
+++ b/packages/fleet/src/test/key-refusals.test.ts
@@ -17,50 +17,54 @@
   type State,
 } from '@claynotch/proxy'
 
-// What an operator is told of clients that a proxy refused for their keys: which of the causes it was, and nothing of the key.
+// What the log and the metrics report about clients that a proxy refused because of their API keys: the reason for the
+// refusal, and nothing about the key itself.
 
-type Rig = {
-  keys: KeyRefusals
+/** Key refusals with a clock, a lease and a log that the test controls. */
+type Fixture = {
+  refusals: KeyRefusals
   metrics: Metrics
-  lines: string[]
+  logLines: string[]
+  /** Advances the clock and refreshes the refusals. */
   advance: (ms: number) => void
   setLease: (isValid: boolean) => void
-  /** A configuration in which each tenant has these keys. */
+  /** Applies a configuration in which each tenant has these keys. */
   apply: (epoch: number, tenants: [string, string[]][]) => void
-  deny: (key: string | undefined) => string
+  /** Refuses a client with the key; returns the outcome and the error class. */
+  refuse: (key: string | undefined) => string
 }
 
-function makeRig(): Rig {
+function makeFixture(): Fixture {
   const metrics = makeMetrics()
-  const lines: string[] = []
+  const logLines: string[] = []
   let now = 1000
-  let isValid = true
+  let isLeaseValid = true
   let rules: Rules | undefined
   function sink(_level: string, line: string): void {
-    lines.push(line)
+    logLines.push(line)
   }
-  function time(): number {
+  function readClock(): number {
     return now
   }
-  function valid(): boolean {
-    return isValid
+  function hasValidLease(): boolean {
+    return isLeaseValid
   }
-  function rulesNow(): Rules | undefined {
+  function currentRules(): Rules | undefined {
     return rules
   }
-  const world = { now: time, log: logTo(sink) } as Pick<World, 'now' | 'log'> as World
-  const state = { rules: rulesNow, hasValidLease: valid } as Pick<State, 'rules' | 'hasValidLease'> as State
-  const keys = makeKeyRefusals(world, state, metrics)
+  const world = { now: readClock, log: logTo(sink) } as Pick<World, 'now' | 'log'> as World
+  const state = { rules: currentRules, hasValidLease: hasValidLease } as Pick<State, 'rules' | 'hasValidLease'> as State
+  const refusals = makeKeyRefusals(world, state, metrics)
   function advance(ms: number): void {
     now += ms
-    keys.refresh()
+    refusals.refresh()
   }
-  function setLease(to: boolean): void {
-    isValid = to
+  function setLease(isValid: boolean): void {
+    isLeaseValid = isValid
   }
-  function apply(epoch: number, list: [string, string[]][]): void {
+  function apply(epoch: number, tenantKeys: [string, string[]][]): void {
     const tenants: Tenant[] = []
-    for (const [name, own] of list) tenants.push({ name, keys: own.map(hashKey) })
+    for (const [name, tenantOwnKeys] of tenantKeys) tenants.push({ name, keys: tenantOwnKeys.map(hashKey) })
     const config: Config = {
       proxies: 'live',
       groups: [{ name: 'kiln', connections: 10 }],
@@ -68,100 +72,100 @@
       tenants,
     }
     rules = compileRules(config, epoch, [], now, rules)
-    keys.refresh()
+    refusals.refresh()
   }
-  function deny(key: string | undefined): string {
+  function refuse(key: string | undefined): string {
     const lane = rules!.lanes.get('book') as LaneRules
-    const { outcome, class: cls } = keys.refuse(lane, key === undefined ? undefined : hashKey(key))
-    return `${outcome} ${cls}`
+    const { outcome, class: errorClass } = refusals.refuse(lane, key === undefined ? undefined : hashKey(key))
+    return `${outcome} ${errorClass}`
   }
-  return { keys, metrics, lines, advance, setLease, apply, deny }
+  return { refusals, metrics, logLines, advance, setLease, apply, refuse }
 }
-function countOf({ metrics }: Rig, reason: string): number {
+function countOf({ metrics }: Fixture, reason: string): number {
   return metrics.get('claynotch_keys_refused_total', [['reason', reason]])
 }
 
-function mistake(c: Test): void {
-  const r = makeRig()
-  r.apply(3, [['amber', ['key-one']]])
-  c.equal(r.deny('key-other'), 'refused PERMISSION_DENIED')
-  c.equal(r.deny(undefined), 'refused PERMISSION_DENIED')
-  c.strictSame([countOf(r, 'unknown'), countOf(r, 'no-key'), countOf(r, 'removed')], [1, 1, 0])
-  c.match(r.lines[0], /event=keys-refused reason=unknown refused=1 keys=1 lane=book epoch=3$/)
-  c.end()
+function unknownAndMissingKeys(test: Test): void {
+  const fixture = makeFixture()
+  fixture.apply(3, [['amber', ['key-one']]])
+  test.equal(fixture.refuse('key-other'), 'refused PERMISSION_DENIED')
+  test.equal(fixture.refuse(undefined), 'refused PERMISSION_DENIED')
+  test.strictSame([countOf(fixture, 'unknown'), countOf(fixture, 'no-key'), countOf(fixture, 'removed')], [1, 1, 0])
+  test.match(fixture.logLines[0], /event=keys-refused reason=unknown refused=1 keys=1 lane=book epoch=3$/)
+  test.end()
 }
 
-function removed(c: Test): void {
-  const r = makeRig()
-  r.apply(3, [['amber', ['key-one', 'key-two']]])
-  r.apply(5, [['amber', ['key-two']]])
-  c.match(r.lines.pop(), /event=keys-changed epoch=5 added=0 removed=1 moved=0/)
-  r.apply(6, [['amber', ['key-two']]])
-  c.equal(r.deny('key-one'), 'refused PERMISSION_DENIED')
-  c.match(r.lines.pop(), /reason=removed .*epoch=6 tenant=amber removedBy=5$/)
-  r.apply(7, [['amber', ['key-two', 'key-one']]])
-  r.apply(8, [['cobalt', ['key-one']]])
-  c.match(r.lines.pop(), /event=keys-changed epoch=8 added=0 removed=1 moved=1/)
-  c.notOk(r.lines.some(isLate), 'a key that was refused as removed was not learnt late')
-  function isLate(line: string): boolean {
+function removedKey(test: Test): void {
+  const fixture = makeFixture()
+  fixture.apply(3, [['amber', ['key-one', 'key-two']]])
+  fixture.apply(5, [['amber', ['key-two']]])
+  test.match(fixture.logLines.pop(), /event=keys-changed epoch=5 added=0 removed=1 moved=0/)
+  fixture.apply(6, [['amber', ['key-two']]])
+  test.equal(fixture.refuse('key-one'), 'refused PERMISSION_DENIED')
+  test.match(fixture.logLines.pop(), /reason=removed .*epoch=6 tenant=amber removedBy=5$/)
+  fixture.apply(7, [['amber', ['key-two', 'key-one']]])
+  fixture.apply(8, [['cobalt', ['key-one']]])
+  test.match(fixture.logLines.pop(), /event=keys-changed epoch=8 added=0 removed=1 moved=1/)
+  test.notOk(fixture.logLines.some(isKnownLateLine), 'a key that was refused as removed is not reported as known late')
+  function isKnownLateLine(line: string): boolean {
     return line.includes('keys-known-late')
   }
-  c.end()
+  test.end()
 }
 
-function late(c: Test): void {
-  const r = makeRig()
-  r.apply(3, [['amber', ['key-one']]])
+function keyKnownLate(test: Test): void {
+  const fixture = makeFixture()
+  fixture.apply(3, [['amber', ['key-one']]])
   for (let k = 0; k < 4; k++) {
-    r.deny('key-new')
-    r.advance(100)
+    fixture.refuse('key-new')
+    fixture.advance(100)
   }
-  r.apply(5, [['amber', ['key-one', 'key-new']]])
-  c.ok(r.lines.some(tells), r.lines.join('\n'))
-  c.equal(r.metrics.get('claynotch_keys_known_late_total'), 1)
-  function tells(line: string): boolean {
+  fixture.apply(5, [['amber', ['key-one', 'key-new']]])
+  test.ok(fixture.logLines.some(isExpectedLine), fixture.logLines.join('\n'))
+  test.equal(fixture.metrics.get('claynotch_keys_known_late_total'), 1)
+  function isExpectedLine(line: string): boolean {
     return /event=keys-known-late epoch=5 keys=1 refused=4 longestMs=400$/.test(line)
   }
-  c.end()
+  test.end()
 }
 
-function withoutLease(c: Test): void {
-  const r = makeRig()
-  r.apply(3, [['amber', ['key-one']]])
-  r.setLease(false)
-  c.equal(r.deny('key-new'), 'refused UNAVAILABLE', 'it may be known elsewhere')
-  c.equal(countOf(r, 'no-lease'), 1)
-  r.setLease(true)
-  r.apply(5, [['amber', ['key-new']]])
-  c.equal(r.metrics.get('claynotch_keys_known_late_total'), 1)
-  c.end()
+function withoutLease(test: Test): void {
+  const fixture = makeFixture()
+  fixture.apply(3, [['amber', ['key-one']]])
+  fixture.setLease(false)
+  test.equal(fixture.refuse('key-new'), 'refused UNAVAILABLE', 'another node may know the key')
+  test.equal(countOf(fixture, 'no-lease'), 1)
+  fixture.setLease(true)
+  fixture.apply(5, [['amber', ['key-new']]])
+  test.equal(fixture.metrics.get('claynotch_keys_known_late_total'), 1)
+  test.end()
 }
 
-function flood(c: Test): void {
-  const r = makeRig()
-  r.apply(3, [['amber', ['key-one']]])
-  const many = MAX_REMEMBERED_KEYS * 3
-  for (let k = 0; k < many; k++) r.deny(`key-${k}`)
-  c.equal(r.lines.length, 1, 'one line at once')
-  r.advance(KEY_REFUSAL_LOG_INTERVAL_MS - 1)
-  c.equal(r.lines.length, 1, 'and none until the interval is over')
-  r.advance(1)
-  c.equal(r.lines.length, 2)
-  c.match(
-    r.lines[1],
-    new RegExp(`refused=${many - 1} keys=${MAX_REMEMBERED_KEYS} `),
-    'then all since, and no more memory',
+function manyUnknownKeys(test: Test): void {
+  const fixture = makeFixture()
+  fixture.apply(3, [['amber', ['key-one']]])
+  const keyCount = MAX_REMEMBERED_KEYS * 3
+  for (let k = 0; k < keyCount; k++) fixture.refuse(`key-${k}`)
+  test.equal(fixture.logLines.length, 1, 'the first refusal is logged at once')
+  fixture.advance(KEY_REFUSAL_LOG_INTERVAL_MS - 1)
+  test.equal(fixture.logLines.length, 1, 'nothing more is logged until the interval is over')
+  fixture.advance(1)
+  test.equal(fixture.logLines.length, 2)
+  test.match(
+    fixture.logLines[1],
+    new RegExp(`refused=${keyCount - 1} keys=${MAX_REMEMBERED_KEYS} `),
+    'then one line counts all refusals since, and remembers a bounded number of keys',
   )
-  r.advance(KEY_REFUSAL_LOG_INTERVAL_MS)
-  c.equal(r.lines.length, 2, 'nothing is told when nothing was refused')
-  const told = `${r.lines.join('\n')}\n${r.metrics.text()}`
-  c.notMatch(told, /key-\d/, 'no key')
-  c.notMatch(told, /[0-9a-f]{32}/, 'and no hash')
-  c.end()
+  fixture.advance(KEY_REFUSAL_LOG_INTERVAL_MS)
+  test.equal(fixture.logLines.length, 2, 'nothing is logged when nothing was refused')
+  const output = `${fixture.logLines.join('\n')}\n${fixture.metrics.text()}`
+  test.notMatch(output, /key-\d/, 'no key is reported')
+  test.notMatch(output, /[0-9a-f]{32}/, 'no hash of a key is reported')
+  test.end()
 }
 
-void t.test("a client's mistake can't be told from a key that was removed", mistake)
-void t.test("a key that was removed can't be told from one that was never held", removed)
-void t.test("a key that the node didn't know yet can't be told from an unknown one", late)
-void t.test('a node without a lease tells that a key is unknown', withoutLease)
-void t.test('clients with unknown keys fill the log or the memory, or a key is told', flood)
+void t.test("a client's mistake is reported as something other than a removed key", unknownAndMissingKeys)
+void t.test('a removed key is reported as something other than an unknown one', removedKey)
+void t.test('a key that was refused before the node knew it is reported as known late', keyKnownLate)
+void t.test('a node without a lease does not report a key as unknown', withoutLease)
+void t.test('many unknown keys fill neither the log nor the memory, and no key is reported', manyUnknownKeys)
--- a/packages/fleet/src/test/noroute.test.ts
+++ b/packages/fleet/src/test/noroute.test.ts
@@ -7,44 +7,44 @@
 import { makeSim } from '../sim.js'
 import { task } from './beside.js'
 
-// A proxy says that a lane is not there only while its configuration is known to be the newest: the lane may have been added
-// since by a change that was acknowledged, and whoever is told that it doesn't exist does not ask again.
+// A proxy answers that a lane doesn't exist only under a valid lease on its configuration. Otherwise an acknowledged
+// change may have added the lane since, and a client that is told that the lane doesn't exist does not retry.
 
-const LINK = '10.0.0.1:40'
+const AGENT_ADDRESS = '10.0.0.1:40'
 const LEASE_MS = 1000
 
-type Stage = {
+type Fixture = {
   world: World
-  /** Feeds a configuration with these lanes, in force for LEASE_MS from now. */
+  /** Feeds a configuration with these lanes and a lease of LEASE_MS from now. */
   feed: (turn: number, lanes: string[]) => void
-  /** Keeps the configuration of that turn in force for LEASE_MS more. */
+  /** Renews the lease on the configuration of that turn for LEASE_MS from now. */
   renew: (turn: number) => void
   run: (word: ClientRequest) => Promise<Verdict>
 }
 
 function configOf(lanes: string[]): Config {
-  const out: Config['lanes'] = []
-  for (const name of lanes) out.push({ name, group: 'g', database: `${name}-db`, reads: 'leader' })
-  return { proxies: 'live', groups: [{ name: 'g', connections: 9 }], lanes: out }
+  const laneConfigs: Config['lanes'] = []
+  for (const name of lanes) laneConfigs.push({ name, group: 'g', database: `${name}-db`, reads: 'leader' })
+  return { proxies: 'live', groups: [{ name: 'g', connections: 9 }], lanes: laneConfigs }
 }
 
-async function onStage(play: (s: Stage) => Promise<void>): Promise<void> {
+async function withFixture(runTest: (fixture: Fixture) => Promise<void>): Promise<void> {
   const sim = makeSim(21)
   async function inWorld(world: World): Promise<void> {
-    let up: Link | undefined
-    function take(): undefined {
+    let agentLink: Link | undefined
+    function receive(): undefined {
       return undefined
     }
-    function serve(_peer: unknown, on: Link) {
-      up = on
-      return take
+    function serve(_peer: unknown, link: Link) {
+      agentLink = link
+      return receive
     }
-    await world.listen(LINK, acceptLinks(world, makeHello('agent', 'n1'), serve))
-    const proxy: Proxy = await startProxy(world, { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: LINK })
-    function tell(turn: number, body?: unknown): void {
+    await world.listen(AGENT_ADDRESS, acceptLinks(world, makeHello('agent', 'n1'), serve))
+    const proxy: Proxy = await startProxy(world, { listen: '10.0.0.1:41', admin: '10.0.0.1:42', agent: AGENT_ADDRESS })
+    function feedCell(turn: number, body?: unknown): void {
       const until = world.now() + LEASE_MS
       const cells: AgentFeed['cells'] = [{ key: CONFIG_KEY, turn, until, ...(body === undefined ? {} : { body }) }]
-      const word: AgentFeed = {
+      const message: AgentFeed = {
         t: 'feed',
         node: 'n1',
         area: 'x',
@@ -55,57 +55,57 @@
         cells,
         sights: [],
       }
-      up?.tell(word)
+      agentLink?.tell(message)
     }
     function feed(turn: number, lanes: string[]): void {
-      tell(turn, { ...emptyBody(), epoch: turn, config: configOf(lanes) })
+      feedCell(turn, { ...emptyBody(), epoch: turn, config: configOf(lanes) })
     }
-    function run(word: ClientRequest): Promise<Verdict> {
-      return proxy.sessions.run(word, 5000, makeFlag())
+    function run(request: ClientRequest): Promise<Verdict> {
+      return proxy.sessions.run(request, 5000, makeFlag())
     }
     await pause(world, 100)
-    await play({ world, feed, renew: tell, run })
+    await runTest({ world, feed, renew: feedCell, run })
     await proxy.stop()
   }
   await task(sim, sim.machine('m', '10.0.0.1'), inWorld)
 }
 
-function opens(lane: string): ClientRequest {
+function openRequest(lane: string): ClientRequest {
   return { w: 'open', body: { lane } }
 }
-function calls(lane: string): ClientRequest {
+function callRequest(lane: string): ClientRequest {
   return { w: 'call', body: { lane, kind: 'read', text: 'list', args: [] } }
 }
 
-async function unknownLane(c: Test): Promise<void> {
-  async function play({ world, feed, renew, run }: Stage): Promise<void> {
+async function unknownLane(test: Test): Promise<void> {
+  async function runTest({ world, feed, renew, run }: Fixture): Promise<void> {
     feed(1, ['old'])
     await pause(world, 100)
-    for (const word of [opens('new'), calls('new')]) {
-      const verdict = await run(word)
-      c.equal(verdict.class, 'NOT_FOUND', `${word.w}: the lane is not there`)
-      c.equal(verdict.lacks, 'lane')
+    for (const request of [openRequest('new'), callRequest('new')]) {
+      const verdict = await run(request)
+      test.equal(verdict.class, 'NOT_FOUND', `${request.w}: the lane does not exist`)
+      test.equal(verdict.lacks, 'lane')
     }
     await pause(world, LEASE_MS)
-    for (const word of [opens('new'), calls('new')]) {
-      const verdict = await run(word)
-      c.equal(verdict.class, 'UNAVAILABLE', `${word.w}: it may be there by now`)
-      c.equal(verdict.lacks, undefined)
-      c.equal(verdict.outcome, 'refused', 'nothing was kept')
-      c.ok(verdict.again === true && verdict.after !== undefined, 'and the client is told when to come back')
+    for (const request of [openRequest('new'), callRequest('new')]) {
+      const verdict = await run(request)
+      test.equal(verdict.class, 'UNAVAILABLE', `${request.w}: the lane may exist by now`)
+      test.equal(verdict.lacks, undefined)
+      test.equal(verdict.outcome, 'refused', 'the request had no effect')
+      test.ok(verdict.again === true && verdict.after !== undefined, 'the client is told when to retry')
     }
     renew(1)
     await pause(world, 100)
-    c.equal((await run(opens('new'))).class, 'NOT_FOUND', 'said again under a valid term')
+    test.equal((await run(openRequest('new'))).class, 'NOT_FOUND', 'answered again under a valid lease')
   }
-  await onStage(play)
+  await withFixture(runTest)
 }
 
-async function droppedLane(c: Test): Promise<void> {
-  async function play({ world, feed, renew, run }: Stage): Promise<void> {
+async function droppedLane(test: Test): Promise<void> {
+  async function runTest({ world, feed, renew, run }: Fixture): Promise<void> {
     feed(1, ['old', 'other'])
     await pause(world, 100)
-    const { session } = await run(opens('old'))
+    const { session } = await run(openRequest('old'))
     const statement: ClientRequest = {
       w: 'statement',
       session: session!,
@@ -113,15 +113,15 @@
     }
     feed(2, ['other'])
     await pause(world, 100)
-    c.equal((await run(statement)).class, 'NOT_FOUND', 'the lane was dropped')
+    test.equal((await run(statement)).class, 'NOT_FOUND', 'the lane was removed')
     await pause(world, LEASE_MS)
-    c.equal((await run(statement)).class, 'UNAVAILABLE', 'it may have been added again')
+    test.equal((await run(statement)).class, 'UNAVAILABLE', 'the lane may have been added again')
     renew(2)
     await pause(world, 100)
-    c.equal((await run(statement)).class, 'NOT_FOUND', 'it was not')
+    test.equal((await run(statement)).class, 'NOT_FOUND', 'the lane was not added again')
   }
-  await onStage(play)
+  await withFixture(runTest)
 }
 
-void t.test('a lane that is not known here, with a valid term and without', unknownLane)
-void t.test('a lane that was dropped under an open session, with a valid term and without', droppedLane)
+void t.test('an unknown lane, with a valid lease and without', unknownLane)
+void t.test('a lane removed while a session is open, with a valid lease and without', droppedLane)
