--- a/packages/fleet/src/test/changes.test.ts
+++ b/packages/fleet/src/test/changes.test.ts
@@ -17,263 +17,295 @@
 import { laterStatus, type InstanceStatus } from '@claynotch/register'
 import { makeRandom } from '../sim.js'
 
-// Changes that name the epoch they make, lanes with an operator's own documents, and the order of an instance's words.
+// Changes that name the epoch they produce, labels and other optional fields of the configuration, and the order of an
+// instance's announcements.
 
-function lane(name: string, more: object = {}): Config['lanes'][number] {
+function laneConfig(name: string, more: object = {}): Config['lanes'][number] {
   return { name, database: `db-${name}`, group: 'g', reads: 'leader', ...more }
 }
-const base: Config = {
+const baseConfig: Config = {
   proxies: 'live',
   groups: [{ name: 'g', connections: 92, sync: 0, label: '{"name":"g","odd":[1,{"x":null}]}' }],
-  lanes: [lane('one', { path: '/', label: { any: ['thing', 7] } })],
+  lanes: [laneConfig('one', { path: '/', label: { any: ['thing', 7] } })],
   transactionIdle: 3000,
   label: { limits: { deep: { er: 1 } } },
 }
 
-function ruled(
+function evaluate(
   body: ConfigurationBody,
   stream: string,
   change: Change,
-): { decision: Decision; body: ConfigurationBody; wrote: boolean } {
-  const got = evaluateChange(body, { stream, change })
-  if ('unclear' in got) throw new Error(`unclear: ${got.unclear}`)
-  return 'known' in got
-    ? { decision: got.known, body, wrote: false }
-    : { decision: got.decision, body: got.body, wrote: true }
+): { decision: Decision; body: ConfigurationBody; isWritten: boolean } {
+  const evaluation = evaluateChange(body, { stream, change })
+  if ('unclear' in evaluation) throw new Error(`unclear: ${evaluation.unclear}`)
+  return 'known' in evaluation
+    ? { decision: evaluation.known, body, isWritten: false }
+    : { decision: evaluation.decision, body: evaluation.body, isWritten: true }
 }
 
-// Random changes, as two operators send them who race, repeat themselves, lag behind and err, against a plain model:
-// a list of what was accepted.
-function namedEpochs(c: Test): void {
-  const rnd = makeRandom(11)
+/**
+ * Random changes, as from two operators who race, repeat changes, send outdated ones and make mistakes, against a
+ * reference model: the list of accepted changes.
+ */
+function namedEpochs(test: Test): void {
+  const random = makeRandom(11)
   let body = emptyBody()
   let epoch = 0
-  let names: string[] = []
-  const taken = new Map<string, number>()
-  const sent: { id: string; change: Change }[] = []
-  const counts = new Map<string, number>()
+  let expectedLaneNames: string[] = []
+  const acceptedEpochs = new Map<string, number>()
+  const sentChanges: { id: string; change: Change }[] = []
+  const caseCounts = new Map<string, number>()
   for (let k = 0; k < 3000; k++) {
-    const again = sent.length > 0 && rnd() < 0.3
-    const back = Math.floor(rnd() * Math.min(sent.length, 40))
-    let one: { id: string; change: Change }
-    if (again) one = sent[sent.length - 1 - back]
+    const isRepeat = sentChanges.length > 0 && random() < 0.3
+    const stepsBack = Math.floor(random() * Math.min(sentChanges.length, 40))
+    let request: { id: string; change: Change }
+    if (isRepeat) request = sentChanges[sentChanges.length - 1 - stepsBack]
     else {
-      const expect = rnd() < 0.75 ? epoch : Math.max(0, epoch - Math.floor(rnd() * 4))
-      const bad = rnd() < 0.2
-      const to = rnd() < 0.85 ? expect + 1 + Math.floor(rnd() * 5) : Math.max(0, expect - Math.floor(rnd() * 2))
-      const whole = epoch === 0 || rnd() < 0.4
-      const change: Change = whole
+      const expect = random() < 0.75 ? epoch : Math.max(0, epoch - Math.floor(random() * 4))
+      const isInvalid = random() < 0.2
+      const newEpoch =
+        random() < 0.85 ? expect + 1 + Math.floor(random() * 5) : Math.max(0, expect - Math.floor(random() * 2))
+      const isWhole = epoch === 0 || random() < 0.4
+      const change: Change = isWhole
         ? {
             number: 1,
             expect,
-            epoch: to,
-            whole: { ...base, lanes: [lane(`w${k}`), lane(`v${k % 7}`, bad ? { group: 'nowhere' } : {})] },
+            epoch: newEpoch,
+            whole: {
+              ...baseConfig,
+              lanes: [laneConfig(`w${k}`), laneConfig(`v${k % 7}`, isInvalid ? { group: 'nowhere' } : {})],
+            },
           }
         : {
             number: 1,
             expect,
-            epoch: to,
+            epoch: newEpoch,
             edits: [
-              { op: 'put', what: 'lane', value: lane(`p${k % 5}`, bad ? { limit: 0 } : { limit: 900 }) },
+              { op: 'put', what: 'lane', value: laneConfig(`p${k % 5}`, isInvalid ? { limit: 0 } : { limit: 900 }) },
               { op: 'drop', what: 'lane', name: `v${k % 7}`, loose: true },
             ],
           }
-      one = { id: `digest${k}`, change }
-      sent.push(one)
+      request = { id: `digest${k}`, change }
+      sentChanges.push(request)
     }
-    const { change } = one
+    const { change } = request
     const before = body
-    const got = ruled(body, one.id, change)
-    const first = taken.get(one.id)
+    const result = evaluate(body, request.id, change)
+    const firstEpoch = acceptedEpochs.get(request.id)
     const lanes = (change.whole as Config | undefined)?.lanes ?? []
     const edits = (change.edits ?? []) as Extract<Edit, { op: 'put' }>[]
-    const valid = !lanes.some(leadsNowhere) && !edits.some(endsAtOnce)
-    const wanted =
-      first !== undefined
+    const isValid = !lanes.some(hasUnknownGroup) && !edits.some(hasZeroLimit)
+    const expected =
+      firstEpoch !== undefined
         ? 'again'
         : change.expect !== epoch
           ? 'raced'
           : change.epoch! <= epoch
             ? 'low'
-            : !valid
+            : !isValid
               ? 'invalid'
               : 'accepted'
-    counts.set(wanted, (counts.get(wanted) ?? 0) + 1)
-    if (wanted === 'again') {
-      c.equal(got.decision.decision, 'accepted')
-      if (got.decision.epoch !== first)
-        c.fail(`${one.id} was accepted as ${first}, and then told ${got.decision.epoch}`)
-    } else if ((got.decision.decision === 'accepted') !== (wanted === 'accepted'))
-      c.fail(`${one.id} was ${got.decision.decision}, and is ${wanted}: ${got.decision.why}`)
-    if (got.wrote !== (wanted === 'accepted')) c.fail(`${wanted} and ${got.wrote ? 'written' : 'not written'}`)
-    if (!got.wrote && got.body !== before) c.fail('a refusal changed the value')
-    if (wanted === 'raced' && got.decision.epoch !== epoch) c.fail('a loser is told the present epoch')
-    if (wanted === 'low' || wanted === 'invalid') {
-      if (got.decision.findings.length === 0) c.fail('refused without a finding')
-      if (got.decision.epoch !== change.expect) c.fail('refused for itself, and told another epoch')
+    caseCounts.set(expected, (caseCounts.get(expected) ?? 0) + 1)
+    if (expected === 'again') {
+      test.equal(result.decision.decision, 'accepted')
+      if (result.decision.epoch !== firstEpoch)
+        test.fail(
+          `${request.id} was accepted as epoch ${firstEpoch}, and its repeat was answered with ${result.decision.epoch}`,
+        )
+    } else if ((result.decision.decision === 'accepted') !== (expected === 'accepted'))
+      test.fail(`${request.id} was ${result.decision.decision}, expected ${expected}: ${result.decision.why}`)
+    if (result.isWritten !== (expected === 'accepted'))
+      test.fail(`${expected}, but ${result.isWritten ? 'written' : 'not written'}`)
+    if (!result.isWritten && result.body !== before) test.fail('a refused change modified the value')
+    if (expected === 'raced' && result.decision.epoch !== epoch)
+      test.fail('a change that lost a race is not answered with the current epoch')
+    if (expected === 'low' || expected === 'invalid') {
+      if (result.decision.findings.length === 0) test.fail('an invalid change was refused without a finding')
+      if (result.decision.epoch !== change.expect)
+        test.fail('an invalid change was not answered with the epoch that it expects')
     }
-    body = got.body
-    if (wanted === 'accepted') {
+    body = result.body
+    if (expected === 'accepted') {
       epoch = change.epoch!
-      taken.set(one.id, epoch)
-      if (change.whole) names = lanes.map(nameOf)
+      acceptedEpochs.set(request.id, epoch)
+      if (change.whole) expectedLaneNames = lanes.map(nameOf)
       else {
-        const put = (edits[0].value as { name: string }).name
-        names = names.filter(isKept)
-        if (!names.includes(put)) names.push(put)
-        function isKept(n: string): boolean {
-          return n !== (change.edits![1] as { name: string }).name
+        const putName = (edits[0].value as { name: string }).name
+        expectedLaneNames = expectedLaneNames.filter(isKept)
+        if (!expectedLaneNames.includes(putName)) expectedLaneNames.push(putName)
+        function isKept(laneName: string): boolean {
+          return laneName !== (change.edits![1] as { name: string }).name
         }
       }
     }
-    if (body.epoch !== epoch) c.fail('the epoch is not the last accepted')
-    c.strictSame((body.config?.lanes ?? []).map(nameOf), names)
+    if (body.epoch !== epoch) test.fail('the epoch is not that of the last accepted change')
+    test.strictSame((body.config?.lanes ?? []).map(nameOf), expectedLaneNames)
   }
   for (const kind of ['again', 'raced', 'low', 'invalid', 'accepted'])
-    c.ok((counts.get(kind) ?? 0) > 50, `${kind}: ${counts.get(kind)}`)
-  c.equal(body.history.length, MAX_NAMED_CHANGES)
-  c.strictSame(body.streams, [], 'no stream is kept for them')
-  c.equal(body.history.filter(hasConfig).length, 0)
-  c.equal(body.history[body.history.length - 1].epoch, epoch)
+    test.ok((caseCounts.get(kind) ?? 0) > 50, `${kind}: ${caseCounts.get(kind)}`)
+  test.equal(body.history.length, MAX_NAMED_CHANGES)
+  test.strictSame(body.streams, [], 'no stream is kept for changes that name their epoch')
+  test.equal(body.history.filter(hasConfig).length, 0)
+  test.equal(body.history[body.history.length - 1].epoch, epoch)
 }
-function leadsNowhere(l: { group: string }): boolean {
-  return l.group === 'nowhere'
+function hasUnknownGroup(lane: { group: string }): boolean {
+  return lane.group === 'nowhere'
 }
-function endsAtOnce(e: { value?: unknown }): boolean {
-  return (e.value as { limit?: number } | undefined)?.limit === 0
+function hasZeroLimit(edit: { value?: unknown }): boolean {
+  return (edit.value as { limit?: number } | undefined)?.limit === 0
 }
-function nameOf(l: { name: string }): string {
-  return l.name
+function nameOf(named: { name: string }): string {
+  return named.name
 }
-function hasConfig(h: { config?: unknown }): boolean {
-  return h.config !== undefined
+function hasConfig(entry: { config?: unknown }): boolean {
+  return entry.config !== undefined
 }
 
-// A day of them beside our own operators' changes: the value stays of one size, and neither kind pushes the other out.
-function bounded(c: Test): void {
+/**
+ * A day of changes that name their epoch, together with our own operators' changes: the size of the value stays
+ * bounded, and neither kind evicts the other.
+ */
+function boundedSize(test: Test): void {
   let body = emptyBody()
-  let own = 0
-  let whenFull = 0
+  let ownChangeCount = 0
+  let fullBytes = 0
   for (let k = 0; k < 47000; k++) {
-    const mine = k % 400 === 0
-    const change: Change = mine
-      ? { number: ++own, expect: body.epoch, whole: base }
+    const isOwn = k % 400 === 0
+    const change: Change = isOwn
+      ? { number: ++ownChangeCount, expect: body.epoch, whole: baseConfig }
       : {
           number: 1,
           expect: body.epoch,
           epoch: body.epoch + 3,
-          edits: [{ op: 'put', what: 'lane', value: lane('one', { aim: k }) }],
+          edits: [{ op: 'put', what: 'lane', value: laneConfig('one', { aim: k }) }],
         }
-    const got = ruled(body, mine ? 'ours' : `0123456789abcdef${k.toString(36).padStart(8, '0')}`, change)
-    if (got.decision.decision !== 'accepted') c.fail(got.decision.why)
-    body = got.body
-    if (k === MAX_NAMED_CHANGES + 100) whenFull = encode(body).length
+    const result = evaluate(body, isOwn ? 'ours' : `0123456789abcdef${k.toString(36).padStart(8, '0')}`, change)
+    if (result.decision.decision !== 'accepted') test.fail(result.decision.why)
+    body = result.body
+    if (k === MAX_NAMED_CHANGES + 100) fullBytes = encode(body).length
   }
-  const size = encode(body).length
-  c.ok(size < whenFull + 16384, `${whenFull} bytes once NAMED_KEPT are there, ${size} after 47,000`)
-  c.ok(size < 64 * MAX_NAMED_CHANGES + 20 * 1024, `${size} bytes`)
-  for (let n = 1; n <= own; n++) if (!findDecision(body, 'ours', n)) c.fail(`our own change ${n} was forgotten`)
-  c.ok(allDecisions(body).length >= own + MAX_NAMED_CHANGES - 1)
-  let last = 0
-  for (const h of body.history) {
-    if (h.epoch <= last) c.fail('history out of order')
-    last = h.epoch
+  const bytes = encode(body).length
+  test.ok(bytes < fullBytes + 16384, `${fullBytes} bytes with MAX_NAMED_CHANGES kept, ${bytes} after 47,000 changes`)
+  test.ok(bytes < 64 * MAX_NAMED_CHANGES + 20 * 1024, `${bytes} bytes`)
+  for (let number = 1; number <= ownChangeCount; number++)
+    if (!findDecision(body, 'ours', number)) test.fail(`our own change ${number} was evicted`)
+  test.ok(allDecisions(body).length >= ownChangeCount + MAX_NAMED_CHANGES - 1)
+  let lastEpoch = 0
+  for (const entry of body.history) {
+    if (entry.epoch <= lastEpoch) test.fail('the history is out of order')
+    lastEpoch = entry.epoch
   }
-  c.equal(last, body.epoch)
+  test.equal(lastEpoch, body.epoch)
 }
 
-function labels(c: Test): void {
-  let { body } = ruled(emptyBody(), 'a', { number: 1, expect: 0, epoch: 5, whole: base })
-  c.strictSame(body.config, base, 'kept as they came')
-  body = ruled(body, 'b', {
+function labels(test: Test): void {
+  let { body } = evaluate(emptyBody(), 'a', { number: 1, expect: 0, epoch: 5, whole: baseConfig })
+  test.strictSame(body.config, baseConfig, 'labels are kept unchanged')
+  body = evaluate(body, 'b', {
     number: 1,
     expect: 5,
     epoch: 9,
     edits: [
-      { op: 'put', what: 'lane', value: lane('two', { rank: 0, label: 'text' }) },
+      { op: 'put', what: 'lane', value: laneConfig('two', { rank: 0, label: 'text' }) },
       { op: 'drop', what: 'lane', name: 'none', loose: true },
     ],
   }).body
-  c.equal(body.epoch, 9)
-  c.strictSame(
+  test.equal(body.epoch, 9)
+  test.strictSame(
     body.config,
-    { ...base, lanes: [...base.lanes, lane('two', { rank: 0, label: 'text' })], teams: [] },
-    'and through edits',
+    { ...baseConfig, lanes: [...baseConfig.lanes, laneConfig('two', { rank: 0, label: 'text' })], teams: [] },
+    'labels are kept unchanged by edits',
   )
-  const strict = ruled(body, 'c', {
+  const strict = evaluate(body, 'c', {
     number: 1,
     expect: 9,
     epoch: 10,
     edits: [{ op: 'drop', what: 'lane', name: 'none' }],
   })
-  c.strictSame(strict.decision.findings.map(placeOf), ['/edits/0/name'])
-  const next = ruled(body, 'c', { number: 1, expect: 9, edits: [{ op: 'drop', what: 'lane', name: 'two' }] })
-  c.equal(next.body.epoch, 10, 'without a name of its own the next')
+  test.strictSame(strict.decision.findings.map(placeOf), ['/edits/0/name'])
+  const next = evaluate(body, 'c', { number: 1, expect: 9, edits: [{ op: 'drop', what: 'lane', name: 'two' }] })
+  test.equal(next.body.epoch, 10, 'a change that names no epoch gets the next one')
 }
-function placeOf(f: { place: string }): string {
-  return f.place
+function placeOf(finding: { place: string }): string {
+  return finding.place
 }
 
-function fields(c: Test): void {
-  function findings(config: unknown): string[] {
-    const got = readConfig(config)
-    return got.err ? [...new Set(got.val.map(placeOf))] : []
+function newFields(test: Test): void {
+  function findingPlaces(config: unknown): string[] {
+    const result = readConfig(config)
+    return result.err ? [...new Set(result.val.map(placeOf))] : []
   }
-  c.strictSame(findings(base), [])
-  c.strictSame(
-    findings({
-      ...base,
+  test.strictSame(findingPlaces(baseConfig), [])
+  test.strictSame(
+    findingPlaces({
+      ...baseConfig,
       lanes: [
-        lane('a', { path: '/' }),
-        lane('b', { database: 'db-a', path: '/' }),
-        lane('d', { database: 'db-a', path: '/x' }),
-        lane('e', { database: 'db-a' }),
-        lane('f', { database: 'db-a' }),
+        laneConfig('a', { path: '/' }),
+        laneConfig('b', { database: 'db-a', path: '/' }),
+        laneConfig('d', { database: 'db-a', path: '/x' }),
+        laneConfig('e', { database: 'db-a' }),
+        laneConfig('f', { database: 'db-a' }),
       ],
     }),
     ['/lanes/1/path'],
-    'database and path alike; without a path they may share one',
+    'the same database and path is refused; without a path, lanes may share a database',
   )
-  c.strictSame(findings({ ...base, lanes: [lane('a', { limit: 0 })] }), ['/lanes/0/limit'])
-  c.strictSame(
-    findings({ ...base, lanes: [lane('a', { limit: -1, aim: 'x', sends: 0, rank: 1.5, path: 3 })] }).sort(),
+  test.strictSame(findingPlaces({ ...baseConfig, lanes: [laneConfig('a', { limit: 0 })] }), ['/lanes/0/limit'])
+  test.strictSame(
+    findingPlaces({
+      ...baseConfig,
+      lanes: [laneConfig('a', { limit: -1, aim: 'x', sends: 0, rank: 1.5, path: 3 })],
+    }).sort(),
     ['/lanes/0/aim', '/lanes/0/limit', '/lanes/0/path', '/lanes/0/rank', '/lanes/0/sends'],
   )
-  c.strictSame(findings({ ...base, groups: [{ name: 'g', connections: 9, sync: 2 }] }), ['/groups/0/sync'])
-  c.ok(findings({ ...base, proxies: 'many' }).every(isProxies))
-  c.strictSame(findings({ ...base, transactionIdle: -3 }), ['/transactionIdle'])
-  function isProxies(p: string): boolean {
-    return p === '/proxies'
+  test.strictSame(findingPlaces({ ...baseConfig, groups: [{ name: 'g', connections: 9, sync: 2 }] }), [
+    '/groups/0/sync',
+  ])
+  test.ok(findingPlaces({ ...baseConfig, proxies: 'many' }).every(isProxies))
+  test.strictSame(findingPlaces({ ...baseConfig, transactionIdle: -3 }), ['/transactionIdle'])
+  function isProxies(place: string): boolean {
+    return place === '/proxies'
   }
-  c.strictSame(
+  test.strictSame(
     [
-      usableConnectionsPerProxy(base, 'g', 9),
-      usableConnectionsPerProxy(base, 'g', 1),
-      usableConnectionsPerProxy(base, 'g', 200),
-      usableConnectionsPerProxy(base, 'g', 0),
-      usableConnectionsPerProxy(base, 'g'),
-      usableConnectionsPerProxy(base, 'none', 3),
+      usableConnectionsPerProxy(baseConfig, 'g', 9),
+      usableConnectionsPerProxy(baseConfig, 'g', 1),
+      usableConnectionsPerProxy(baseConfig, 'g', 200),
+      usableConnectionsPerProxy(baseConfig, 'g', 0),
+      usableConnectionsPerProxy(baseConfig, 'g'),
+      usableConnectionsPerProxy(baseConfig, 'none', 3),
     ],
     [9, 91, 1, 91, 1, 0],
   )
-  c.strictSame(
+  test.strictSame(
     [
-      usableConnectionsPerProxy({ ...base, proxies: 9 }, 'g'),
-      usableConnectionsPerProxy({ ...base, proxies: 9 }, 'g', 3),
+      usableConnectionsPerProxy({ ...baseConfig, proxies: 9 }, 'g'),
+      usableConnectionsPerProxy({ ...baseConfig, proxies: 9 }, 'g', 3),
     ],
     [8, 8],
-    'a number is a number',
+    'a fixed number of proxies takes precedence over the live ones',
+  )
+  const rules = compileRules(
+    { ...baseConfig, lanes: [laneConfig('a', { limit: 700, aim: 200, sends: 2 }), laneConfig('b')] },
+    4,
+    [],
+    0,
+  )
+  const limitedLane = rules.lanes.get('a')!
+  test.strictSame(
+    [limitedLane.statementTimeoutMs, limitedLane.targetLatencyMs, limitedLane.maxAttempts, rules.transactionIdleMs],
+    [700, 200, 2, 3000],
+  )
+  const plainLane = rules.lanes.get('b')!
+  test.strictSame(
+    [plainLane.statementTimeoutMs, plainLane.targetLatencyMs, plainLane.maxAttempts],
+    [undefined, undefined, undefined],
   )
-  const rules = compileRules({ ...base, lanes: [lane('a', { limit: 700, aim: 200, sends: 2 }), lane('b')] }, 4, [], 0)
-  const a = rules.lanes.get('a')!
-  c.strictSame([a.statementTimeoutMs, a.targetLatencyMs, a.maxAttempts, rules.transactionIdleMs], [700, 200, 2, 3000])
-  const b = rules.lanes.get('b')!
-  c.strictSame([b.statementTimeoutMs, b.targetLatencyMs, b.maxAttempts], [undefined, undefined, undefined])
 }
 
-// --- the order of an instance's words ---
+// --- order of an instance's announcements ---
 
-function sight(sequence: number | undefined, more: object = {}): InstanceStatus {
+function statusOf(sequence: number | undefined, more: object = {}): InstanceStatus {
   return {
     name: 'i',
     group: 'g',
@@ -287,54 +319,71 @@
     ...more,
   }
 }
-function words(c: Test): void {
-  const old = { status: sight(7, { leaving: true }), at: 1000 }
-  c.equal(laterStatus(old, sight(6), 1500).status.leaving, true, 'one held up on its way takes nothing back')
-  c.equal(laterStatus(old, sight(8), 1500).status.leaving, false, 'ready again after it was leaving')
-  c.equal(laterStatus(old, sight(8), 900).status.sequence, 8, 'a later word that was heard earlier elsewhere')
-  c.equal(
-    laterStatus(old, sight(1), 1000 + MAX_ANNOUNCEMENT_DELAY_MS).status.sequence,
+function announcementOrder(test: Test): void {
+  const known = { status: statusOf(7, { leaving: true }), at: 1000 }
+  test.equal(
+    laterStatus(known, statusOf(6), 1500).status.leaving,
+    true,
+    'a delayed announcement does not replace a later one',
+  )
+  test.equal(
+    laterStatus(known, statusOf(8), 1500).status.leaving,
+    false,
+    'the instance is ready again after it was leaving',
+  )
+  test.equal(
+    laterStatus(known, statusOf(8), 900).status.sequence,
+    8,
+    'a later announcement that another node received earlier',
+  )
+  test.equal(
+    laterStatus(known, statusOf(1), 1000 + MAX_ANNOUNCEMENT_DELAY_MS).status.sequence,
     1,
-    'one that starts anew, once nothing can be on its way any more',
+    'a sequence that restarts, once no earlier announcement can still be in flight',
   )
-  c.equal(
-    laterStatus(old, sight(1, { addr: '10.0.0.2:1' }), 1500).status.sequence,
+  test.equal(
+    laterStatus(known, statusOf(1, { addr: '10.0.0.2:1' }), 1500).status.sequence,
     1,
-    'another life, at another address',
+    'a restart at another address',
+  )
+  test.equal(
+    laterStatus(known, statusOf(undefined), 1500).status.sequence,
+    undefined,
+    'without a sequence number, the time decides',
   )
-  c.equal(laterStatus(old, sight(undefined), 1500).status.sequence, undefined, 'without a count, by time')
-  c.equal(laterStatus({ status: sight(undefined), at: 1000 }, sight(3), 900).status.sequence, undefined)
-  // Two nodes that hear the same words in whatever order come to hold the same.
-  const rnd = makeRandom(3)
+  test.equal(laterStatus({ status: statusOf(undefined), at: 1000 }, statusOf(3), 900).status.sequence, undefined)
+  // Whatever the order in which a node receives the announcements, it ends with the last one.
+  const random = makeRandom(3)
   for (let k = 0; k < 400; k++) {
-    const said: { s: InstanceStatus; at: number }[] = []
-    for (let n = 0; n < 6; n++)
-      said.push({
-        s: sight(n, { leaving: n > 3, role: n % 2 ? 'leader' : 'follower' }),
-        at: 1000 + rnd() * (MAX_ANNOUNCEMENT_DELAY_MS - 1),
+    const announcements: { status: InstanceStatus; at: number }[] = []
+    for (let sequence = 0; sequence < 6; sequence++)
+      announcements.push({
+        status: statusOf(sequence, { leaving: sequence > 3, role: sequence % 2 ? 'leader' : 'follower' }),
+        at: 1000 + random() * (MAX_ANNOUNCEMENT_DELAY_MS - 1),
       })
-    let has: { status: InstanceStatus; at: number } | undefined
-    for (const one of shuffle(said, rnd)) has = laterStatus(has, one.s, one.at)
-    if (has?.status.sequence !== 5) c.fail(`held ${has?.status.sequence} of 0 to 5`)
+    let latest: { status: InstanceStatus; at: number } | undefined
+    for (const announcement of shuffle(announcements, random))
+      latest = laterStatus(latest, announcement.status, announcement.at)
+    if (latest?.status.sequence !== 5) test.fail(`ended with sequence ${latest?.status.sequence}, not 5`)
   }
 }
-function shuffle<T>(list: T[], rnd: () => number): T[] {
-  const out = [...list]
-  for (let k = out.length - 1; k > 0; k--) {
-    const n = Math.floor(rnd() * (k + 1))
-    ;[out[k], out[n]] = [out[n], out[k]]
+function shuffle<T>(list: T[], random: () => number): T[] {
+  const shuffled = [...list]
+  for (let k = shuffled.length - 1; k > 0; k--) {
+    const other = Math.floor(random() * (k + 1))
+    ;[shuffled[k], shuffled[other]] = [shuffled[other], shuffled[k]]
   }
-  return out
+  return shuffled
 }
 
-function sync(run: (c: Test) => void): (c: Test) => Promise<void> {
-  async function go(c: Test): Promise<void> {
-    run(c)
+function asAsync(run: (test: Test) => void): (test: Test) => Promise<void> {
+  async function runAsync(test: Test): Promise<void> {
+    run(test)
   }
-  return go
+  return runAsync
 }
-void t.test('changes that name their epoch, against a plain model', sync(namedEpochs))
-void t.test('changes that name their epoch: the value keeps its size', sync(bounded))
-void t.test('labels are kept as they came', sync(labels))
-void t.test('new fields of the configuration', sync(fields))
-void t.test("an instance's words keep their order", sync(words))
+void t.test('changes that name their epoch, against a reference model', asAsync(namedEpochs))
+void t.test('changes that name their epoch: the size of the value is bounded', asAsync(boundedSize))
+void t.test('labels are kept unchanged', asAsync(labels))
+void t.test('optional fields of the configuration', asAsync(newFields))
+void t.test("the order of an instance's announcements", asAsync(announcementOrder))
--- a/packages/fleet/src/test/edges.test.ts
+++ b/packages/fleet/src/test/edges.test.ts
@@ -6,7 +6,8 @@
 
 t.setTimeout(600000)
 
-type Told = {
+/** The fields of an answer's body that these tests read. */
+type AnswerBody = {
   outcome?: string
   class?: string
   kept?: string
@@ -18,188 +19,215 @@
   transaction?: string
 }
 
-async function requesterInput(c: Test): Promise<void> {
-  const f = makeSimFleet(1, smallShape())
-  await f.begin()
-  const at = f.fronts[0].listen
+async function requesterInput(test: Test): Promise<void> {
+  const fleet = makeSimFleet(1, smallShape())
+  await fleet.begin()
+  const proxyAddress = fleet.fronts[0].listen
   async function run(world: World): Promise<void> {
     async function post(
       path: string,
       body: unknown,
       headers: [string, string][] = [],
-    ): Promise<{ status: number; body: Told; after: number | undefined }> {
-      const got = (await requestOnce(world, at, 'POST', path, body, 20000, headers)).unwrap()
-      return { status: got.status, body: got.body as Told, after: got.after }
+    ): Promise<{ status: number; body: AnswerBody; after: number | undefined }> {
+      const answer = (await requestOnce(world, proxyAddress, 'POST', path, body, 20000, headers)).unwrap()
+      return { status: answer.status, body: answer.body as AnswerBody, after: answer.after }
     }
-    async function raw(text: string, ms = 200): Promise<string> {
-      const s = await world.dial(at, 1000)
-      let out = ''
-      function take(b: Buffer): void {
-        out += b.toString()
+    async function sendRaw(text: string, waitMs = 200): Promise<string> {
+      const socket = await world.dial(proxyAddress, 1000)
+      let received = ''
+      function receive(data: Buffer): void {
+        received += data.toString()
       }
-      s.on('data', take)
-      s.on('error', ignore)
-      s.write(text)
-      await pause(world, ms)
-      s.destroy()
-      return out
+      socket.on('data', receive)
+      socket.on('error', ignore)
+      socket.write(text)
+      await pause(world, waitMs)
+      socket.destroy()
+      return received
     }
     function ignore(): void {}
-    c.match(
-      await raw('POST /calls HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{"lane"', 11000),
+    test.match(
+      await sendRaw('POST /calls HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{"lane"', 11000),
       /408 Request Timeout[^]*connection: close/i,
-      'a body that never comes whole',
+      'a body that is never complete',
     )
-    c.match(
-      await raw(
+    test.match(
+      await sendRaw(
         'POST /sessions HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: 5\r\n\r\n{"a":',
       ),
       /400 Bad Request[^]*malformed JSON/,
       'malformed JSON',
     )
-    c.match(await raw('GARBAGE\r\n\r\n'), /400 Bad Request/, 'not HTTP at all')
-    const big = await post('/calls', { lane: 'book-g1', kind: 'write', text: 'append', args: ['x'.repeat(300 * 1024)] })
-    c.equal(big.status, 413, 'an oversized body')
-    const types = await post('/calls', { lane: 7, kind: 'both', text: 'list', colour: 'red' })
-    c.equal(types.status, 400)
-    c.equal(types.body.class, 'INVALID_ARGUMENT')
+    test.match(await sendRaw('GARBAGE\r\n\r\n'), /400 Bad Request/, 'not HTTP')
+    const oversized = await post('/calls', {
+      lane: 'book-g1',
+      kind: 'write',
+      text: 'append',
+      args: ['x'.repeat(300 * 1024)],
+    })
+    test.equal(oversized.status, 413, 'an oversized body')
+    const invalid = await post('/calls', { lane: 7, kind: 'both', text: 'list', colour: 'red' })
+    test.equal(invalid.status, 400)
+    test.equal(invalid.body.class, 'INVALID_ARGUMENT')
     const places: string[] = []
-    for (const x of types.body.findings ?? []) places.push(x.place)
-    for (const p of ['/lane', '/kind', '/colour']) c.ok(places.includes(p), `a finding at ${p}`)
-    c.equal((await post('/calls', { lane: 'nowhere', kind: 'read', text: 'list' })).status, 404, 'an unknown lane')
-    c.equal((await post('/sessions/none/commit', {})).status, 404, 'an unknown session')
-    c.equal((await post('/nothing', {})).status, 404, 'an unknown path')
-    c.equal(
+    for (const finding of invalid.body.findings ?? []) places.push(finding.place)
+    for (const place of ['/lane', '/kind', '/colour']) test.ok(places.includes(place), `finding at ${place}`)
+    test.equal((await post('/calls', { lane: 'nowhere', kind: 'read', text: 'list' })).status, 404, 'an unknown lane')
+    test.equal((await post('/sessions/none/commit', {})).status, 404, 'an unknown session')
+    test.equal((await post('/nothing', {})).status, 404, 'an unknown path')
+    test.equal(
       (await post('/calls', { lane: 'book-g1', kind: 'read', text: 'list', args: ['k'] }, [['x-deadline-ms', 'soon']]))
         .status,
       400,
-      'a deadline that is no number',
+      'a deadline that is not a number',
+    )
+    test.equal(
+      (await post('/sessions', { lane: 'book-g1', token: 'other:1:2' })).status,
+      400,
+      'a token of another group',
     )
-    c.equal((await post('/sessions', { lane: 'book-g1', token: 'other:1:2' })).status, 400, 'a token of another group')
-    // What the instance answers finally is told at once, classified, and promises what holds.
-    const type = await post('/calls', { lane: 'book-g1', kind: 'read', text: 'wrongtype' })
-    c.strictSame([type.status, type.body.class, type.body.kept], [400, 'INVALID_ARGUMENT', 'nothing'])
-    const disguise = await post('/calls', { lane: 'book-g1', kind: 'read', text: 'append', args: ['k', 'disguise'] })
-    c.strictSame(
-      [disguise.status, disguise.body.class],
+    // A final error of the instance is answered at once, with its class and with what is known to be kept.
+    const wrongType = await post('/calls', { lane: 'book-g1', kind: 'read', text: 'wrongtype' })
+    test.strictSame([wrongType.status, wrongType.body.class, wrongType.body.kept], [400, 'INVALID_ARGUMENT', 'nothing'])
+    const disguisedWrite = await post('/calls', {
+      lane: 'book-g1',
+      kind: 'read',
+      text: 'append',
+      args: ['k', 'disguise'],
+    })
+    test.strictSame(
+      [disguisedWrite.status, disguisedWrite.body.class],
       [403, 'PERMISSION_DENIED'],
-      "a write in a read's clothes is refused by the instance",
+      'the instance refuses a write that is declared as a read',
+    )
+    const leader = fleet.leaderOf('g1')!
+    leader.instance!.faults.full = true
+    const sentAt = world.now()
+    const diskFull = await post('/calls', { lane: 'book-g1', kind: 'write', text: 'append', args: ['k', 'full'] })
+    test.strictSame(
+      [diskFull.status, diskFull.body.class, diskFull.body.kept, diskFull.after],
+      [429, 'RESOURCE_EXHAUSTED', 'nothing', 1],
     )
-    const box = f.leaderOf('g1')!
-    box.instance!.faults.full = true
-    const from = world.now()
-    const full = await post('/calls', { lane: 'book-g1', kind: 'write', text: 'append', args: ['k', 'full'] })
-    c.strictSame([full.status, full.body.class, full.body.kept, full.after], [429, 'RESOURCE_EXHAUSTED', 'nothing', 1])
-    c.ok(world.now() - from < 50, 'at once, with Retry-After, not retried')
-    box.instance!.faults.full = false
-    // A session: shapes, transactions, their rules.
-    const s = (await post('/sessions', { lane: 'book-g1', settings: [{ name: 'who', value: 'me' }] })).body.session!
-    c.equal((await post(`/sessions/${s}/commit`, {})).status, 400, 'no transaction to commit')
-    c.equal(
-      (await post(`/sessions/${s}/statement`, { kind: 'read', text: 'list', shape: 'x' })).status,
+    test.ok(world.now() - sentAt < 50, 'answered at once with Retry-After, without a retry')
+    leader.instance!.faults.full = false
+    // Sessions: settings, prepared shapes and transactions.
+    const session = (await post('/sessions', { lane: 'book-g1', settings: [{ name: 'who', value: 'me' }] })).body
+      .session!
+    test.equal((await post(`/sessions/${session}/commit`, {})).status, 400, 'no transaction to commit')
+    test.equal(
+      (await post(`/sessions/${session}/statement`, { kind: 'read', text: 'list', shape: 'x' })).status,
       400,
       'text and shape together',
     )
-    c.equal(
-      (await post(`/sessions/${s}/statement`, { kind: 'read', shape: 'x' })).status,
+    test.equal(
+      (await post(`/sessions/${session}/statement`, { kind: 'read', shape: 'x' })).status,
       404,
       'a shape that was not prepared',
     )
-    await post(`/sessions/${s}/shapes`, { name: 'x', text: 'setting' })
-    c.strictSame(
-      (await post(`/sessions/${s}/statement`, { kind: 'read', shape: 'x', args: ['who'] })).body.rows,
+    await post(`/sessions/${session}/shapes`, { name: 'x', text: 'setting' })
+    test.strictSame(
+      (await post(`/sessions/${session}/statement`, { kind: 'read', shape: 'x', args: ['who'] })).body.rows,
       ['who', 'me'],
-      'settings and shapes are in force',
+      'settings and shapes are applied',
     )
-    await post(`/sessions/${s}/begin`, { kind: 'write' })
-    c.equal((await post(`/sessions/${s}/begin`, {})).status, 400, 'a transaction within one')
-    await post(`/sessions/${s}/statement`, { kind: 'write', text: 'append', args: ['tx', 'a'] })
-    const bad = await post(`/sessions/${s}/statement`, { kind: 'read', text: 'wrongtype' })
-    c.strictSame(
-      [bad.status, bad.body.class, bad.body.kept, bad.body.transaction],
+    await post(`/sessions/${session}/begin`, { kind: 'write' })
+    test.equal((await post(`/sessions/${session}/begin`, {})).status, 400, 'a transaction within a transaction')
+    await post(`/sessions/${session}/statement`, { kind: 'write', text: 'append', args: ['tx', 'a'] })
+    const failed = await post(`/sessions/${session}/statement`, { kind: 'read', text: 'wrongtype' })
+    test.strictSame(
+      [failed.status, failed.body.class, failed.body.kept, failed.body.transaction],
       [409, 'INVALID_ARGUMENT', 'unknown', 'over'],
-      'an error ends the transaction, classified, promising nothing',
+      'an error ends the transaction, with its class and an unknown outcome',
     )
-    c.equal((await post(`/sessions/${s}/commit`, {})).status, 400)
-    c.strictSame(
+    test.equal((await post(`/sessions/${session}/commit`, {})).status, 400)
+    test.strictSame(
       ((await post('/calls', { lane: 'book-g1', kind: 'read', text: 'list', args: ['tx'] })).body.rows ?? [])[1],
       [],
-      'and nothing of it was kept',
+      'no write of the transaction was kept',
     )
     // The token carries the session's last write to another node.
-    const wrote = await post('/calls', { lane: 'dep-g1', kind: 'write', text: 'append', args: ['tok', 'w'] })
-    c.match(wrote.body.token, /^g1:1:\d+$/)
-    const there = (
+    const written = await post('/calls', { lane: 'dep-g1', kind: 'write', text: 'append', args: ['tok', 'w'] })
+    test.match(written.body.token, /^g1:1:\d+$/)
+    const readElsewhere = (
       await requestOnce(
         world,
-        f.fronts[1].listen,
+        fleet.fronts[1].listen,
         'POST',
         '/calls',
-        { lane: 'dep-g1', kind: 'read', text: 'list', args: ['tok'], token: wrote.body.token },
+        { lane: 'dep-g1', kind: 'read', text: 'list', args: ['tok'], token: written.body.token },
         5000,
       )
     ).unwrap()
-    c.strictSame(((there.body as Told).rows ?? [])[1], ['w'], "read one's write on another node")
-    const future = (
+    test.strictSame(
+      ((readElsewhere.body as AnswerBody).rows ?? [])[1],
+      ['w'],
+      "a read on another node sees the session's write",
+    )
+    const futureToken = (
       await requestOnce(
         world,
-        f.fronts[1].listen,
+        fleet.fronts[1].listen,
         'POST',
         '/calls',
         { lane: 'dep-g1', kind: 'read', text: 'list', args: ['tok'], token: 'g1:1:999999' },
         5000,
       )
     ).unwrap()
-    c.equal(future.status, 200, 'a token ahead of every follower goes to the leader')
-    // A requester that goes away in the middle of its transaction is rolled back.
-    const gone = (await post('/sessions', { lane: 'book-g1' })).body.session!
-    await post(`/sessions/${gone}/begin`, {})
-    await post(`/sessions/${gone}/statement`, { kind: 'write', text: 'append', args: ['gone', 'g'] })
-    box.instance!.faults.dark = true
-    const line = (await openHttpConnection(world, at)).unwrap()
-    void line.ask('POST', `/sessions/${gone}/statement`, { kind: 'write', text: 'append', args: ['gone', 'h'] }, 100)
+    test.equal(futureToken.status, 200, 'a token ahead of every follower goes to the leader')
+    // The transaction of a requester that goes away before the commit is rolled back.
+    const abandoned = (await post('/sessions', { lane: 'book-g1' })).body.session!
+    await post(`/sessions/${abandoned}/begin`, {})
+    await post(`/sessions/${abandoned}/statement`, { kind: 'write', text: 'append', args: ['gone', 'g'] })
+    leader.instance!.faults.dark = true
+    const connection = (await openHttpConnection(world, proxyAddress)).unwrap()
+    void connection.ask(
+      'POST',
+      `/sessions/${abandoned}/statement`,
+      { kind: 'write', text: 'append', args: ['gone', 'h'] },
+      100,
+    )
     await pause(world, 300)
-    box.instance!.faults.dark = false
+    leader.instance!.faults.dark = false
     await pause(world, 8000)
-    c.equal((await post(`/sessions/${gone}/commit`, {})).status, 400, 'its transaction is over')
-    c.strictSame(
+    test.equal((await post(`/sessions/${abandoned}/commit`, {})).status, 400, 'its transaction has ended')
+    test.strictSame(
       ((await post('/calls', { lane: 'book-g1', kind: 'read', text: 'list', args: ['gone'] })).body.rows ?? [])[1],
       [],
     )
   }
-  await beside(f, run)
-  c.strictSame(f.sim.lines, [], 'no fault in any process')
+  await beside(fleet, run)
+  test.strictSame(fleet.sim.lines, [], 'no process logged a fault')
 }
 
-async function operatorInput(c: Test): Promise<void> {
-  const f = makeSimFleet(2, smallShape())
-  await f.begin()
+async function operatorInput(test: Test): Promise<void> {
+  const fleet = makeSimFleet(2, smallShape())
+  await fleet.begin()
   async function run(world: World): Promise<void> {
-    const at = f.fronts[1].http
-    async function stream(
+    const operatorAddress = fleet.fronts[1].http
+    async function sendStream(
       lines: string,
     ): Promise<{ decision: string; why: string; epoch?: number; findings?: { place: string }[] }[]> {
-      const s = await world.dial(at, 1000)
-      let out = ''
-      function take(b: Buffer): void {
-        out += b.toString()
+      const socket = await world.dial(operatorAddress, 1000)
+      let received = ''
+      function receive(data: Buffer): void {
+        received += data.toString()
       }
       function ignore(): void {}
-      s.on('data', take)
-      s.on('error', ignore)
-      s.write(
+      socket.on('data', receive)
+      socket.on('error', ignore)
+      socket.write(
         `POST /streams/ops HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: ${Buffer.byteLength(lines)}\r\n\r\n${lines}`,
       )
       await pause(world, 1500)
-      s.destroy()
-      const told: { decision: string; why: string }[] = []
-      for (const l of out.split(/\r?\n/))
-        if (l.startsWith('{')) told.push(JSON.parse(l) as { decision: string; why: string })
-      return told
+      socket.destroy()
+      const answers: { decision: string; why: string }[] = []
+      for (const line of received.split(/\r?\n/))
+        if (line.startsWith('{')) answers.push(JSON.parse(line) as { decision: string; why: string })
+      return answers
     }
     const lane = { name: 'more', database: 'kiln', group: 'g1', reads: 'leader' }
     const put = { number: 1, expect: 1, edits: [{ op: 'put', what: 'lane', value: lane }] }
-    const got = await stream(
+    const decisions = await sendStream(
       [
         JSON.stringify(put),
         'no json',
@@ -209,23 +237,24 @@
         JSON.stringify({ number: 3, expect: 2, edits: [{ op: 'drop', what: 'group', name: 'g1' }] }),
       ].join('\n') + '\n',
     )
-    c.equal(got.length, 6, 'one decision a line')
-    c.strictSame(got.map(decisionOf), ['accepted', 'refused', 'refused', 'refused', 'accepted', 'refused'])
-    c.equal(got[0].epoch, 2)
-    c.strictSame(got[4], got[0], 'a repeat gets the first decision')
-    c.equal(got[3].epoch, 2, 'a loser is told the present epoch')
-    c.ok((got[5].findings ?? []).length >= 3, 'lanes that would lead nowhere are each named')
-    const config = (await requestOnce(world, at, 'GET', '/configuration', undefined, 5000)).unwrap().body as {
+    test.equal(decisions.length, 6, 'one decision for each line')
+    test.strictSame(decisions.map(decisionOf), ['accepted', 'refused', 'refused', 'refused', 'accepted', 'refused'])
+    test.equal(decisions[0].epoch, 2)
+    test.strictSame(decisions[4], decisions[0], 'a repeat gets the first decision')
+    test.equal(decisions[3].epoch, 2, 'a change that lost a race is answered with the current epoch')
+    test.ok((decisions[5].findings ?? []).length >= 3, 'each lane that would lose its group is named')
+    const config = (await requestOnce(world, operatorAddress, 'GET', '/configuration', undefined, 5000)).unwrap()
+      .body as {
       epoch: number
       config: { lanes: unknown[] }
     }
-    c.equal(config.epoch, 2)
-    c.equal(config.config.lanes.length, 4)
-    c.equal(
+    test.equal(config.epoch, 2)
+    test.equal(config.config.lanes.length, 4)
+    test.equal(
       (
         await requestOnce(
           world,
-          at,
+          operatorAddress,
           'POST',
           '/announcement',
           { name: 'x', group: 'g1', addr: 'nowhere', area: 'a', role: 'boss' },
@@ -233,115 +262,127 @@
         )
       ).unwrap().status,
       400,
-      'an announcement that makes no sense',
+      'an invalid announcement',
+    )
+    test.equal(
+      (await requestOnce(world, operatorAddress, 'POST', '/groups/none/replacement', {}, 5000)).unwrap().status,
+      409,
     )
-    c.equal((await requestOnce(world, at, 'POST', '/groups/none/replacement', {}, 5000)).unwrap().status, 409)
-    // The stream of decisions: what is kept, then each as it is taken.
-    const s = await world.dial(f.fronts[2].http, 1000)
-    let heard = ''
-    function take(b: Buffer): void {
-      heard += b.toString()
+    // The stream of decisions: first those that are kept, then each new one.
+    const followSocket = await world.dial(fleet.fronts[2].http, 1000)
+    let followed = ''
+    function receive(data: Buffer): void {
+      followed += data.toString()
     }
-    s.on('data', take)
-    s.write('GET /decisions/ops?follow=1 HTTP/1.1\r\nhost: x\r\n\r\n')
+    followSocket.on('data', receive)
+    followSocket.write('GET /decisions/ops?follow=1 HTTP/1.1\r\nhost: x\r\n\r\n')
     await pause(world, 300)
-    const before = heard.split('"decision"').length - 1
-    await stream(`${JSON.stringify({ number: 4, expect: 2, edits: [{ op: 'drop', what: 'lane', name: 'more' }] })}\n`)
-    c.match(heard, /"number":4,"decision":"accepted","epoch":3/, 'a new decision comes down the stream')
-    c.equal(heard.split('"decision"').length - 1, before + 1, 'once')
-    s.destroy()
+    const decisionsBefore = followed.split('"decision"').length - 1
+    await sendStream(
+      `${JSON.stringify({ number: 4, expect: 2, edits: [{ op: 'drop', what: 'lane', name: 'more' }] })}\n`,
+    )
+    test.match(followed, /"number":4,"decision":"accepted","epoch":3/, 'a new decision is sent on the stream')
+    test.equal(followed.split('"decision"').length - 1, decisionsBefore + 1, 'the decision is sent once')
+    followSocket.destroy()
     // Members and their acknowledgements.
     await pause(world, 2000)
-    const members = (await requestOnce(world, at, 'GET', '/members', undefined, 5000)).unwrap().body as {
+    const members = (await requestOnce(world, operatorAddress, 'GET', '/members', undefined, 5000)).unwrap().body as {
       node: string
       behind: unknown[]
     }[]
-    c.equal(members.length, 3)
-    for (const m of members) c.strictSame(m.behind, [], `${m.node} has acknowledged all`)
-    // An agent that is told to stop ends, though someone follows its decisions.
-    const s2 = await world.dial(f.fronts[2].http, 1000)
-    function quiet(): void {}
-    s2.on('data', quiet)
-    s2.on('error', quiet)
-    s2.write('GET /decisions?follow=1 HTTP/1.1\r\nhost: x\r\n\r\n')
+    test.equal(members.length, 3)
+    for (const member of members) test.strictSame(member.behind, [], `${member.node} has acknowledged everything`)
+    // An agent stops when asked to, even while a client follows its decisions.
+    const secondSocket = await world.dial(fleet.fronts[2].http, 1000)
+    function ignore(): void {}
+    secondSocket.on('data', ignore)
+    secondSocket.on('error', ignore)
+    secondSocket.write('GET /decisions?follow=1 HTTP/1.1\r\nhost: x\r\n\r\n')
     await pause(world, 100)
-    let ended = false
-    function over(): void {
-      ended = true
+    let isStopped = false
+    function onStopped(): void {
+      isStopped = true
     }
-    void f.fronts[2].agent!.stop().then(over)
+    void fleet.fronts[2].agent!.stop().then(onStopped)
     await pause(world, 3000)
-    c.ok(ended, 'within 3 s')
+    test.ok(isStopped, 'the agent stops within 3 s')
   }
-  await beside(f, run)
-  c.strictSame(f.sim.lines, [])
+  await beside(fleet, run)
+  test.strictSame(fleet.sim.lines, [])
 }
-function decisionOf(d: { decision: string }): string {
-  return d.decision
+function decisionOf(answer: { decision: string }): string {
+  return answer.decision
 }
 
-async function internalInput(c: Test): Promise<void> {
-  const f = makeSimFleet(3, smallShape())
-  await f.begin()
+async function internalInput(test: Test): Promise<void> {
+  const fleet = makeSimFleet(3, smallShape())
+  await fleet.begin()
   async function run(world: World): Promise<void> {
     function ignore(): void {}
-    async function closes(bytes: Uint8Array): Promise<boolean> {
-      const s = await world.dial('10.0.1.1:7000', 1000)
-      let over = false
-      function ended(): void {
-        over = true
+    async function closesLink(bytes: Uint8Array): Promise<boolean> {
+      const socket = await world.dial('10.0.1.1:7000', 1000)
+      let isClosed = false
+      function onClosed(): void {
+        isClosed = true
       }
-      s.on('close', ended)
-      s.on('error', ignore)
-      s.on('data', ignore)
-      s.write(bytes)
+      socket.on('close', onClosed)
+      socket.on('error', ignore)
+      socket.on('data', ignore)
+      socket.write(bytes)
       await pause(world, 500)
-      return over
+      return isClosed
     }
     function frame(body: unknown): Uint8Array {
-      const b = encode(body)
-      const head = Buffer.alloc(4)
-      head.writeUInt32BE(b.length)
-      return Buffer.concat([head, b])
+      const payload = encode(body)
+      const header = Buffer.alloc(4)
+      header.writeUInt32BE(payload.length)
+      return Buffer.concat([header, payload])
     }
-    c.ok(await closes(Buffer.from('GET / HTTP/1.1\r\n\r\n')), 'HTTP on a link')
-    c.ok(await closes(Buffer.from([255, 255, 255, 255, 1])), 'a frame too long')
-    c.ok(await closes(Buffer.from([0, 0, 0, 2, 0xff, 0xff])), 'no CBOR')
-    c.ok(await closes(frame([0, 1, { t: 'prepare', key: 'k', ballot: [9, 'x'] }])), 'a word before the hello')
+    test.ok(await closesLink(Buffer.from('GET / HTTP/1.1\r\n\r\n')), 'HTTP on a link')
+    test.ok(await closesLink(Buffer.from([255, 255, 255, 255, 1])), 'a frame that is too long')
+    test.ok(await closesLink(Buffer.from([0, 0, 0, 2, 0xff, 0xff])), 'a frame that is not CBOR')
+    test.ok(await closesLink(frame([0, 1, { t: 'prepare', key: 'k', ballot: [9, 'x'] }])), 'a message before the hello')
     const hello = frame([0, 1, { t: 'hello', kind: 'agent', node: 'x', epoch: 1, least: 1 }])
-    c.ok(await closes(Buffer.concat([hello, frame([0, 2, { t: 'prepare', key: 7 }])])), 'a word that is none')
-    // Mixed versions: a newer program that can still speak ours is heard, one that can't is not.
-    c.notOk(
-      await closes(frame([0, 1, { t: 'hello', kind: 'agent', node: 'x', epoch: LINK_VERSION + 2, least: 1 }])),
-      'a newer program that still speaks our epoch',
+    test.ok(await closesLink(Buffer.concat([hello, frame([0, 2, { t: 'prepare', key: 7 }])])), 'an invalid message')
+    // Mixed versions: a newer program is accepted if it still supports this version, and rejected otherwise.
+    test.notOk(
+      await closesLink(frame([0, 1, { t: 'hello', kind: 'agent', node: 'x', epoch: LINK_VERSION + 2, least: 1 }])),
+      'a newer program that still supports this version',
     )
-    c.ok(
-      await closes(
+    test.ok(
+      await closesLink(
         frame([0, 1, { t: 'hello', kind: 'agent', node: 'x', epoch: LINK_VERSION + 2, least: LINK_VERSION + 1 }]),
       ),
-      'a newer program that does not',
+      'a newer program that no longer supports this version',
     )
-    const wire = await world.bindDatagrams('10.0.6.1:9', ignore)
+    const datagrams = await world.bindDatagrams('10.0.6.1:9', ignore)
     for (const body of [Buffer.from('junk'), encode({ v: 99, node: 'later' }), encode({ v: 1, node: 5 })])
-      wire.send('10.0.2.1:7200', body)
+      datagrams.send('10.0.2.1:7200', body)
     await pause(world, 500)
-    const metrics = f.fronts[0].agent!.metrics
-    c.equal(metrics.get('claynotch_summary_garbage_total'), 2, 'garbage is counted')
-    c.equal(metrics.get('claynotch_summary_other_epoch_total'), 1, 'other versions are ignored, and counted')
+    const metrics = fleet.fronts[0].agent!.metrics
+    test.equal(metrics.get('claynotch_summary_garbage_total'), 2, 'malformed summaries are counted')
+    test.equal(
+      metrics.get('claynotch_summary_other_epoch_total'),
+      1,
+      'summaries of other versions are ignored and counted',
+    )
   }
-  await beside(f, run)
-  c.strictSame(f.sim.lines, [], 'no process minds')
-  c.ok(f.fronts[0].proxy!.state.hasValidLease())
+  await beside(fleet, run)
+  test.strictSame(fleet.sim.lines, [], 'no process logged a fault')
+  test.ok(fleet.fronts[0].proxy!.state.hasValidLease())
 }
 
-// Two agents under one name: the newer takes the node over, the older loses its term and says why.
-async function twins(c: Test): Promise<void> {
-  const f = makeSimFleet(4, smallShape(), { keepLines: true })
-  c.ok(await f.begin())
-  const other = f.sim.machine('twin', '10.0.5.1')
-  let twin: Agent | undefined
+/**
+ * Two agents with the same node name: the newer one takes the node over, the older one loses its lease and logs the
+ * reason.
+ */
+async function duplicateNodeName(test: Test): Promise<void> {
+  const fleet = makeSimFleet(4, smallShape(), { keepLines: true })
+  test.ok(await fleet.begin())
+  const secondMachine = fleet.sim.machine('twin', '10.0.5.1')
+  let newerAgent: Agent | undefined
   async function start(world: World): Promise<void> {
-    twin = await startAgent(world, {
+    newerAgent = await startAgent(world, {
       node: 'front1',
       area: 'a',
       link: '127.0.0.1:7100',
@@ -351,18 +392,18 @@
       build: 'sim',
     })
   }
-  f.sim.spawn(other, 'twin', start)
-  await f.sim.run(f.sim.now() + 6000)
-  c.ok((twin?.leaseExpiresAt() ?? 0) > 0, 'the newer holds the term')
-  c.equal(f.fronts[0].proxy!.state.hasValidLease(), false, "the older one's proxy takes no work")
-  c.ok(f.fronts[0].agent!.metrics.get('claynotch_renewals_total', [['end', 'replaced']]) > 0)
-  c.ok(f.sim.lines.some(isReplaced), 'and the log says why')
+  fleet.sim.spawn(secondMachine, 'twin', start)
+  await fleet.sim.run(fleet.sim.now() + 6000)
+  test.ok((newerAgent?.leaseExpiresAt() ?? 0) > 0, 'the newer agent holds the lease')
+  test.equal(fleet.fronts[0].proxy!.state.hasValidLease(), false, "the older agent's proxy accepts no work")
+  test.ok(fleet.fronts[0].agent!.metrics.get('claynotch_renewals_total', [['end', 'replaced']]) > 0)
+  test.ok(fleet.sim.lines.some(isReplaced), 'the log gives the reason')
 }
 function isReplaced(line: string): boolean {
   return line.includes('proc=front1-agent') && line.includes('event=node-replaced')
 }
 
-void t.test('two agents under one name', twins)
-void t.test('requesters: bad input and the verdicts of each kind', requesterInput)
-void t.test('operators: a stream of changes, good and bad', operatorInput)
-void t.test('internal links and summaries: garbage and other versions', internalInput)
+void t.test('two agents with the same node name', duplicateNodeName)
+void t.test('requesters: invalid input and every kind of verdict', requesterInput)
+void t.test('operators: a stream of valid and invalid changes', operatorInput)
+void t.test('internal links and summaries: malformed input and other versions', internalInput)
