--- a/packages/fleet/src/test/answers.test.ts
+++ b/packages/fleet/src/test/answers.test.ts
@@ -20,296 +20,303 @@
 
 t.setTimeout(600000)
 
-// Whose answer is whose on our own connections: the links between processes, where each frame names its question, and HTTP,
-// where the order on the connection alone tells. The far end errs in every way, against a plain model of who asked what.
+// Matching of answers to requests on our own connections: links between processes, where each frame carries the id of
+// its request, and HTTP, where only the order on the connection matches them. The server misbehaves in every way,
+// against a reference model of the requests.
 
-// ms. A caller waits so long; what is later comes this much after that.
-const LIMIT = 200
-const LATE = 60
-// ms. After an answer on HTTP the next question comes no sooner, and strays come before it.
-const THINK = 30
-const STRAY = 20
-const WHOLE = 600000
+/** How long a caller waits for an answer. */
+const REQUEST_TIMEOUT_MS = 200
+/** How long after the caller's timeout a late answer comes. */
+const LATE_BY_MS = 60
+/** Minimum time between an HTTP answer and the next request; stray bytes come before that request. */
+const THINK_TIME_MS = 30
+const MAX_STRAY_DELAY_MS = 20
+const RUN_TIMEOUT_MS = 600000
 
-type Model = { came: Map<string, number>; faults: string[]; answered: number }
+/** The requests that the server received, by id, and the violations found. */
+type Model = { receivedCounts: Map<string, number>; faults: string[]; answeredCount: number }
 function makeModel(): Model {
-  return { came: new Map(), faults: [], answered: 0 }
+  return { receivedCounts: new Map(), faults: [], answeredCount: 0 }
 }
 function ignore(): void {}
-function came(model: Model, id: string): void {
-  model.came.set(id, (model.came.get(id) ?? 0) + 1)
+function countReceived(model: Model, id: string): void {
+  model.receivedCounts.set(id, (model.receivedCounts.get(id) ?? 0) + 1)
 }
-// The answer that a question is to be given, and nothing else.
-function judge(model: Model, id: string, got: unknown): void {
-  if (got === undefined) return
-  model.answered++
-  const told = (got as { re?: unknown } | null)?.re
-  if (told !== id) model.faults.push(`${id} was given the answer of ${String(told)}`)
-  if (model.came.get(id) !== 1) model.faults.push(`${id} was answered, came ${model.came.get(id) ?? 0} times`)
+/** A request must get its own answer or none, and must have been received once. */
+function checkAnswer(model: Model, id: string, answer: unknown): void {
+  if (answer === undefined) return
+  model.answeredCount++
+  const answeredId = (answer as { re?: unknown } | null)?.re
+  if (answeredId !== id) model.faults.push(`${id} got the answer to ${String(answeredId)}`)
+  if (model.receivedCounts.get(id) !== 1)
+    model.faults.push(`${id} was answered, but received ${model.receivedCounts.get(id) ?? 0} times`)
 }
-function finish(model: Model, ended: boolean, lines: string[]): Model {
-  if (!ended) model.faults.push('a caller was given no answer')
-  for (const [id, count] of model.came) if (count > 1) model.faults.push(`${id} was sent ${count} times`)
+function finish(model: Model, isFinished: boolean, lines: string[]): Model {
+  if (!isFinished) model.faults.push('a caller did not finish')
+  for (const [id, count] of model.receivedCounts) if (count > 1) model.faults.push(`${id} was received ${count} times`)
   model.faults.push(...lines)
   return model
 }
 
 // --- links ---
 
-const LINK_HOWS = [
+const LINK_REPLY_KINDS = [
   'plain',
   'split',
   'silent',
   'late',
-  'later',
+  'delayed',
   'twice',
-  'twice, apart',
-  'another first',
-  'never asked',
+  'twice, the second delayed',
+  'after the next answer',
+  'unknown request first',
   'reset before',
   'reset after',
   'part',
   'garbage',
   'too long',
 ] as const
-type LinkAct = { how: (typeof LINK_HOWS)[number]; at: number; delay: number }
+/** How the server answers a request; cutFraction: where in the answer it is cut, if it is. */
+type LinkReply = { kind: (typeof LINK_REPLY_KINDS)[number]; cutFraction: number; delayMs: number }
 
 function frame(kind: number, id: number, msg: unknown): Buffer {
   const body = encode([kind, id, msg])
-  const out = Buffer.allocUnsafe(4 + body.length)
-  out.writeUInt32BE(body.length, 0)
-  out.set(body, 4)
-  return out
+  const bytes = Buffer.allocUnsafe(4 + body.length)
+  bytes.writeUInt32BE(body.length, 0)
+  bytes.set(body, 4)
+  return bytes
 }
 
-// Speaks the link's bytes by hand, as the answering side: the hello first, then as the acts say.
-function serveLink(world: World, stream: Duplex, model: Model, next: () => LinkAct | undefined): void {
-  let rest: Buffer = Buffer.alloc(0)
-  let greeted = false
-  // held: an answer kept back until the next question has been answered, so that order changes.
-  let held: Buffer | undefined
-  // tail: the rest of a frame that is written in two parts, and all frames after it: frames never mix.
-  let tail: Buffer | undefined
-  function say(bytes: Uint8Array): void {
-    if (tail) tail = Buffer.concat([tail, bytes])
+/** The answering side of a link at the byte level: sends the hello, then answers as the replies prescribe. */
+function serveLink(world: World, stream: Duplex, model: Model, nextReply: () => LinkReply | undefined): void {
+  let unparsed: Buffer = Buffer.alloc(0)
+  let hasSentHello = false
+  /** An answer held back until the next request has been answered, so that the order changes. */
+  let heldAnswer: Buffer | undefined
+  /** The rest of a frame that is written in two parts and all later frames, so that frames are never interleaved. */
+  let pendingBytes: Buffer | undefined
+  function send(bytes: Uint8Array): void {
+    if (pendingBytes) pendingBytes = Buffer.concat([pendingBytes, bytes])
     else if (!stream.destroyed) stream.write(bytes)
   }
-  function sayTail(): void {
-    const all = tail
-    tail = undefined
-    if (all) say(all)
+  function sendPending(): void {
+    const pending = pendingBytes
+    pendingBytes = undefined
+    if (pending) send(pending)
   }
-  function sayLater(bytes: Uint8Array, ms: number): void {
-    function now(): void {
-      say(bytes)
+  function sendLater(bytes: Uint8Array, ms: number): void {
+    function sendNow(): void {
+      send(bytes)
     }
-    world.later(ms, now)
+    world.later(ms, sendNow)
   }
-  function answer(id: number, question: string, act: LinkAct): void {
-    const whole = frame(1, id, { re: question })
-    const cut = 1 + Math.floor(act.at * (whole.length - 2))
-    switch (act.how) {
+  function answer(id: number, requestId: string, reply: LinkReply): void {
+    const answerFrame = frame(1, id, { re: requestId })
+    const cut = 1 + Math.floor(reply.cutFraction * (answerFrame.length - 2))
+    switch (reply.kind) {
       case 'plain':
-        return say(whole)
+        return send(answerFrame)
       case 'split':
-        say(whole.subarray(0, cut))
-        if (tail) return say(whole.subarray(cut))
-        tail = Buffer.from(whole.subarray(cut))
-        return void world.later(act.delay, sayTail)
+        send(answerFrame.subarray(0, cut))
+        if (pendingBytes) return send(answerFrame.subarray(cut))
+        pendingBytes = Buffer.from(answerFrame.subarray(cut))
+        return void world.later(reply.delayMs, sendPending)
       case 'silent':
         return
       case 'late':
-        return sayLater(whole, LIMIT + LATE)
-      case 'later':
-        return sayLater(whole, act.delay)
+        return sendLater(answerFrame, REQUEST_TIMEOUT_MS + LATE_BY_MS)
+      case 'delayed':
+        return sendLater(answerFrame, reply.delayMs)
       case 'twice':
-        return say(Buffer.concat([whole, whole]))
-      case 'twice, apart':
-        say(whole)
-        return sayLater(whole, act.delay)
-      case 'another first':
-        held = whole
+        return send(Buffer.concat([answerFrame, answerFrame]))
+      case 'twice, the second delayed':
+        send(answerFrame)
+        return sendLater(answerFrame, reply.delayMs)
+      case 'after the next answer':
+        heldAnswer = answerFrame
         return
-      case 'never asked':
-        say(frame(1, id + 1000, { re: 'nobody' }))
-        return say(whole)
+      case 'unknown request first':
+        send(frame(1, id + 1000, { re: 'nobody' }))
+        return send(answerFrame)
       case 'reset before':
       case 'reset after':
         return void stream.destroy()
       case 'part':
-        say(whole.subarray(0, cut))
+        send(answerFrame.subarray(0, cut))
         return void stream.destroy()
       case 'garbage':
-        return say(Buffer.from([0, 0, 0, 2, 0xff, 0xff]))
+        return send(Buffer.from([0, 0, 0, 2, 0xff, 0xff]))
       case 'too long':
-        return say(Buffer.from([0xff, 0xff, 0xff, 0xff]))
+        return send(Buffer.from([0xff, 0xff, 0xff, 0xff]))
     }
   }
-  function take(bytes: Uint8Array): void {
+  function receive(bytes: Uint8Array): void {
     const [kind, id, msg] = decode(bytes) as [number, number, { t?: string; id?: string }]
     if (kind !== 0) return
-    if (!greeted) {
-      greeted = true
-      return say(frame(1, id, makeHello('core', 'far')))
+    if (!hasSentHello) {
+      hasSentHello = true
+      return send(frame(1, id, makeHello('core', 'far')))
     }
-    if (msg.id === undefined) return say(frame(1, id, { t: 'pong' }))
-    const act = next() ?? { how: 'plain', at: 0, delay: 0 }
-    if (act.how !== 'reset before') came(model, msg.id)
-    const before = held
-    held = undefined
-    answer(id, msg.id, act)
-    if (before) say(before)
+    if (msg.id === undefined) return send(frame(1, id, { t: 'pong' }))
+    const reply = nextReply() ?? { kind: 'plain', cutFraction: 0, delayMs: 0 }
+    if (reply.kind !== 'reset before') countReceived(model, msg.id)
+    const previousAnswer = heldAnswer
+    heldAnswer = undefined
+    answer(id, msg.id, reply)
+    if (previousAnswer) send(previousAnswer)
   }
-  function data(chunk: Buffer): void {
-    rest = Buffer.concat([rest, chunk])
-    while (rest.length >= 4 && rest.length >= 4 + rest.readUInt32BE(0)) {
-      const size = 4 + rest.readUInt32BE(0)
-      const one = rest.subarray(4, size)
-      rest = rest.subarray(size)
-      take(one)
+  function onData(chunk: Buffer): void {
+    unparsed = Buffer.concat([unparsed, chunk])
+    while (unparsed.length >= 4 && unparsed.length >= 4 + unparsed.readUInt32BE(0)) {
+      const frameLength = 4 + unparsed.readUInt32BE(0)
+      const payload = unparsed.subarray(4, frameLength)
+      unparsed = unparsed.subarray(frameLength)
+      receive(payload)
     }
   }
   stream.on('error', ignore)
-  stream.on('data', data)
+  stream.on('data', onData)
 }
 
-async function playLink(seed: number, acts: LinkAct[], callers: number[]): Promise<Model> {
+async function runLinkSchedule(seed: number, replies: LinkReply[], callers: number[]): Promise<Model> {
   const sim = makeSim(seed)
   const model = makeModel()
-  let at = 0
-  let left = callers.length
-  function next(): LinkAct | undefined {
-    return acts[at++]
+  let replyIndex = 0
+  let callersLeft = callers.length
+  function nextReply(): LinkReply | undefined {
+    return replies[replyIndex++]
   }
-  async function far(world: World): Promise<void> {
-    function open(stream: Duplex): void {
-      serveLink(world, stream, model, next)
+  async function runServer(world: World): Promise<void> {
+    function onConnection(stream: Duplex): void {
+      serveLink(world, stream, model, nextReply)
     }
-    await world.listen('10.0.0.1:7000', open)
+    await world.listen('10.0.0.1:7000', onConnection)
   }
-  async function near(world: World): Promise<void> {
-    const held: PersistentLink = makePersistentLink(
+  async function runClient(world: World): Promise<void> {
+    const link: PersistentLink = makePersistentLink(
       world,
       '10.0.0.1:7000',
       makeHello('agent', 'near'),
       ignore,
       makeFlag(),
     )
-    async function caller(who: number, count: number): Promise<void> {
+    async function runCaller(callerIndex: number, count: number): Promise<void> {
       for (let k = 0; k < count; k++) {
-        const id = `${who}.${k}`
-        judge(model, id, await held.ask({ t: 'ask', id }, LIMIT))
+        const id = `${callerIndex}.${k}`
+        checkAnswer(model, id, await link.ask({ t: 'ask', id }, REQUEST_TIMEOUT_MS))
         await pause(world, 20)
       }
-      left--
+      callersLeft--
     }
     await pause(world, 50)
-    for (const [who, count] of callers.entries()) void caller(who, count)
+    for (const [callerIndex, count] of callers.entries()) void runCaller(callerIndex, count)
   }
-  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', far)
-  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', near)
-  function over(): boolean {
-    return left === 0
+  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', runServer)
+  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', runClient)
+  function isFinished(): boolean {
+    return callersLeft === 0
   }
-  return finish(model, await sim.until(over, WHOLE), sim.lines)
+  return finish(model, await sim.until(isFinished, RUN_TIMEOUT_MS), sim.lines)
 }
 
-const linkAct: fc.Arbitrary<LinkAct> = fc.record({
-  how: fc.constantFrom(...LINK_HOWS),
-  at: fc.double({ min: 0, max: 0.999, noNaN: true }),
-  delay: fc.integer({ min: 0, max: LIMIT }),
+const linkReplies: fc.Arbitrary<LinkReply> = fc.record({
+  kind: fc.constantFrom(...LINK_REPLY_KINDS),
+  cutFraction: fc.double({ min: 0, max: 0.999, noNaN: true }),
+  delayMs: fc.integer({ min: 0, max: REQUEST_TIMEOUT_MS }),
 })
-async function links(c: Test): Promise<void> {
+async function linkSchedules(test: Test): Promise<void> {
   let runs = 0
   let answered = 0
-  async function holds(seed: number, acts: LinkAct[], callers: number[]): Promise<void> {
-    const model = await playLink(seed, acts, callers)
+  async function checkSchedule(seed: number, replies: LinkReply[], callers: number[]): Promise<void> {
+    const model = await runLinkSchedule(seed, replies, callers)
     runs++
-    answered += model.answered
+    answered += model.answeredCount
     if (model.faults.length > 0) throw new Error(model.faults.join('; '))
   }
   const schedule = fc.asyncProperty(
     fc.integer({ min: 1, max: 1000 }),
-    fc.array(linkAct, { maxLength: 30 }),
+    fc.array(linkReplies, { maxLength: 30 }),
     fc.array(fc.integer({ min: 1, max: 12 }), { minLength: 1, maxLength: 4 }),
-    holds,
+    checkSchedule,
   )
-  await c.resolves(fc.assert(schedule, { seed: 19, numRuns: 300 }))
-  c.ok(answered > 1000, `${answered} answers in ${runs} schedules`)
+  await test.resolves(fc.assert(schedule, { seed: 19, numRuns: 300 }))
+  test.ok(answered > 1000, `${answered} answers in ${runs} schedules`)
 }
 
-// An ask that is under way when the link breaks ends then, and the answer that is still being made for it goes nowhere: the
-// first ask of the next link, which bears the same number there, is given its own.
-async function redialled(c: Test): Promise<void> {
+/**
+ * A request in flight ends when its link breaks, and the answer that is still being prepared for it is discarded: the
+ * first request of the next link has the same id there, and must get its own answer.
+ */
+async function answerOfEarlierLink(test: Test): Promise<void> {
   const sim = makeSim(3)
-  const ends: unknown[] = []
-  let slow = true
-  async function far(world: World): Promise<void> {
+  const results: unknown[] = []
+  let isSlow = true
+  async function runServer(world: World): Promise<void> {
     function serveOne(): (msg: unknown) => Promise<unknown> {
-      async function take(msg: unknown): Promise<unknown> {
-        await pause(world, slow ? 2000 : 1)
+      async function receive(msg: unknown): Promise<unknown> {
+        await pause(world, isSlow ? 2000 : 1)
         return { re: (msg as { id: string }).id }
       }
-      return take
+      return receive
     }
     await world.listen('10.0.0.1:7000', acceptLinks(world, makeHello('core', 'far'), serveOne))
   }
-  async function near(world: World): Promise<void> {
-    const held = makePersistentLink(world, '10.0.0.1:7000', makeHello('agent', 'near'), ignore, makeFlag())
+  async function runClient(world: World): Promise<void> {
+    const link = makePersistentLink(world, '10.0.0.1:7000', makeHello('agent', 'near'), ignore, makeFlag())
     await pause(world, 100)
-    async function first(): Promise<void> {
-      ends.push(await held.ask({ id: 'old' }, 5000))
+    async function sendFirst(): Promise<void> {
+      results.push(await link.ask({ id: 'old' }, 5000))
     }
-    void first()
+    void sendFirst()
     await pause(world, 100)
-    sim.reset(nearProc)
+    sim.reset(clientProcess)
     await pause(world, 1000)
-    ends.push(await held.ask({ id: 'new' }, 5000))
-    slow = false
-    ends.push(await held.ask({ id: 'newer' }, 5000))
+    results.push(await link.ask({ id: 'new' }, 5000))
+    isSlow = false
+    results.push(await link.ask({ id: 'newer' }, 5000))
   }
-  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', far)
-  const nearProc = sim.spawn(sim.machine('near', '10.0.2.1'), 'near', near)
+  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', runServer)
+  const clientProcess = sim.spawn(sim.machine('near', '10.0.2.1'), 'near', runClient)
   await sim.run(sim.now() + 10000)
-  c.strictSame(ends, [undefined, { re: 'new' }, { re: 'newer' }])
+  test.strictSame(results, [undefined, { re: 'new' }, { re: 'newer' }])
 }
 
-// A link that closed answers no ask any more, and begins none.
-async function closed(c: Test): Promise<void> {
+/** A closed link ends the requests in flight and sends no new ones. */
+async function closedLink(test: Test): Promise<void> {
   const sim = makeSim(4)
-  const ends: unknown[] = []
-  async function far(world: World): Promise<void> {
-    function open(stream: Duplex): void {
-      makeLink(world, stream, silent)
+  const results: unknown[] = []
+  async function runServer(world: World): Promise<void> {
+    function onConnection(stream: Duplex): void {
+      makeLink(world, stream, neverAnswer)
     }
-    function silent(): Promise<unknown> {
+    function neverAnswer(): Promise<unknown> {
       return makeFlag().wait()
     }
-    await world.listen('10.0.0.1:7000', open)
+    await world.listen('10.0.0.1:7000', onConnection)
   }
-  async function near(world: World): Promise<void> {
+  async function runClient(world: World): Promise<void> {
     await pause(world, 10)
     const link: Link = makeLink(world, await world.dial('10.0.0.1:7000', 100), ignore)
-    async function one(): Promise<void> {
-      ends.push(await link.ask({ id: 'a' }, 60000))
+    async function sendRequest(): Promise<void> {
+      results.push(await link.ask({ id: 'a' }, 60000))
     }
-    void one()
-    void one()
+    void sendRequest()
+    void sendRequest()
     await pause(world, 50)
     link.close()
     await pause(world, 1)
-    c.strictSame(ends, [undefined, undefined], 'every ask under way ended with it')
-    ends.push(await link.ask({ id: 'b' }, 60000))
+    test.strictSame(results, [undefined, undefined], 'every request in flight ends when the link closes')
+    results.push(await link.ask({ id: 'b' }, 60000))
   }
-  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', far)
-  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', near)
+  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', runServer)
+  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', runClient)
   await sim.run(sim.now() + 5000)
-  c.equal(ends.length, 3)
+  test.equal(results.length, 3)
 }
 
 // --- HTTP ---
 
-const HTTP_HOWS = [
+const HTTP_REPLY_KINDS = [
   'plain',
   'split',
   'silent',
@@ -324,220 +331,225 @@
   'half closed',
   'too short',
   'not json',
-  'says close',
+  'connection: close',
   'garbage',
 ] as const
-type HttpAct = { how: (typeof HTTP_HOWS)[number]; at: number; delay: number }
+/** The same for HTTP. */
+type HttpReply = { kind: (typeof HTTP_REPLY_KINDS)[number]; cutFraction: number; delayMs: number }
 
-function httpAnswer(id: string, more = ''): string {
+function httpAnswer(id: string, extraHeaders = ''): string {
   const body = JSON.stringify({ re: id })
-  return `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: ${body.length}\r\n${more}\r\n${body}`
+  return `HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: ${body.length}\r\n${extraHeaders}\r\n${body}`
 }
-function serveHttp(world: World, stream: Duplex, model: Model, next: () => HttpAct | undefined): void {
-  let rest = ''
-  function say(text: string): void {
+function serveHttp(world: World, stream: Duplex, model: Model, nextReply: () => HttpReply | undefined): void {
+  let unparsed = ''
+  function send(text: string): void {
     if (!stream.destroyed) stream.write(text)
   }
-  function sayLater(text: string, ms: number): void {
-    function now(): void {
-      say(text)
+  function sendLater(text: string, ms: number): void {
+    function sendNow(): void {
+      send(text)
     }
-    world.later(ms, now)
+    world.later(ms, sendNow)
   }
-  function question(id: string): void {
-    const act = next() ?? { how: 'plain', at: 0, delay: 0 }
-    if (act.how === 'reset before') return void stream.destroy()
-    came(model, id)
-    const whole = httpAnswer(id)
-    const cut = 1 + Math.floor(act.at * (whole.length - 2))
-    switch (act.how) {
+  function answerRequest(id: string): void {
+    const reply = nextReply() ?? { kind: 'plain', cutFraction: 0, delayMs: 0 }
+    if (reply.kind === 'reset before') return void stream.destroy()
+    countReceived(model, id)
+    const response = httpAnswer(id)
+    const cut = 1 + Math.floor(reply.cutFraction * (response.length - 2))
+    switch (reply.kind) {
       case 'plain':
-        return say(whole)
+        return send(response)
       case 'split':
-        say(whole.slice(0, cut))
-        return sayLater(whole.slice(cut), act.delay)
+        send(response.slice(0, cut))
+        return sendLater(response.slice(cut), reply.delayMs)
       case 'silent':
         return
       case 'late':
-        return sayLater(whole, LIMIT + LATE)
+        return sendLater(response, REQUEST_TIMEOUT_MS + LATE_BY_MS)
       case 'twice':
-        return say(whole + whole)
+        return send(response + response)
       case 'stray answer':
-        say(whole)
-        return sayLater(whole, act.delay)
+        send(response)
+        return sendLater(response, reply.delayMs)
       case 'stray part':
-        say(whole)
-        return sayLater(whole.slice(0, cut), act.delay)
+        send(response)
+        return sendLater(response.slice(0, cut), reply.delayMs)
       case 'stray byte':
-        say(whole)
-        return sayLater('\n', act.delay)
+        send(response)
+        return sendLater('\n', reply.delayMs)
       case 'reset after':
         return void stream.destroy()
       case 'part':
-        say(whole.slice(0, cut))
+        send(response.slice(0, cut))
         return void stream.destroy()
       case 'half closed':
-        say(whole)
+        send(response)
         return void stream.end()
       case 'too short':
-        say(whole.replace(/content-length: \d+/, 'content-length: 900'))
+        send(response.replace(/content-length: \d+/, 'content-length: 900'))
         return void stream.end()
       case 'not json':
-        return say(whole.replace('{"re"', '{"re'))
-      case 'says close':
-        return say(httpAnswer(id, 'connection: close\r\n'))
+        return send(response.replace('{"re"', '{"re'))
+      case 'connection: close':
+        return send(httpAnswer(id, 'connection: close\r\n'))
       case 'garbage':
-        return say('nothing of HTTP\r\n\r\n')
+        return send('nothing of HTTP\r\n\r\n')
     }
   }
-  function data(chunk: Buffer): void {
-    rest += chunk.toString()
+  function onData(chunk: Buffer): void {
+    unparsed += chunk.toString()
     for (;;) {
-      const head = rest.indexOf('\r\n\r\n')
-      if (head < 0) return
-      const size = Number(/content-length: (\d+)/i.exec(rest.slice(0, head))?.[1] ?? 0)
-      if (rest.length < head + 4 + size) return
-      const body = rest.slice(head + 4, head + 4 + size)
-      rest = rest.slice(head + 4 + size)
-      question((JSON.parse(body) as { id: string }).id)
+      const headLength = unparsed.indexOf('\r\n\r\n')
+      if (headLength < 0) return
+      const bodyLength = Number(/content-length: (\d+)/i.exec(unparsed.slice(0, headLength))?.[1] ?? 0)
+      if (unparsed.length < headLength + 4 + bodyLength) return
+      const body = unparsed.slice(headLength + 4, headLength + 4 + bodyLength)
+      unparsed = unparsed.slice(headLength + 4 + bodyLength)
+      answerRequest((JSON.parse(body) as { id: string }).id)
     }
   }
   stream.on('error', ignore)
-  stream.on('data', data)
+  stream.on('data', onData)
 }
 
-// One caller that keeps its connection for as long as it stands; others beside it, each on its own.
-async function playHttp(seed: number, acts: HttpAct[], callers: number[]): Promise<Model> {
+/** Concurrent callers, each of which keeps its own connection as long as it is alive. */
+async function runHttpSchedule(seed: number, replies: HttpReply[], callers: number[]): Promise<Model> {
   const sim = makeSim(seed)
   const model = makeModel()
-  let at = 0
-  let left = callers.length
-  function next(): HttpAct | undefined {
-    return acts[at++]
+  let replyIndex = 0
+  let callersLeft = callers.length
+  function nextReply(): HttpReply | undefined {
+    return replies[replyIndex++]
   }
-  async function far(world: World): Promise<void> {
-    function open(stream: Duplex): void {
-      serveHttp(world, stream, model, next)
+  async function runServer(world: World): Promise<void> {
+    function onConnection(stream: Duplex): void {
+      serveHttp(world, stream, model, nextReply)
     }
-    await world.listen('10.0.0.1:80', open)
+    await world.listen('10.0.0.1:80', onConnection)
   }
-  async function near(world: World): Promise<void> {
-    async function caller(who: number, count: number): Promise<void> {
-      let line: HttpConnection | undefined
+  async function runClient(world: World): Promise<void> {
+    async function runCaller(callerIndex: number, count: number): Promise<void> {
+      let connection: HttpConnection | undefined
       for (let k = 0; k < count; k++) {
-        const id = `${who}.${k}`
-        if (!line?.alive()) line = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
-        const got = await line.ask('POST', '/ask', { id }, LIMIT)
-        judge(model, id, got.ok ? got.val.body : undefined)
-        if (got.err && got.val.reach === 'none' && model.came.has(id)) model.faults.push(`${id} came, told none`)
-        if (got.err && line.alive()) model.faults.push(`${id} failed, and its connection is kept`)
-        await pause(world, THINK)
+        const id = `${callerIndex}.${k}`
+        if (!connection?.alive()) connection = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
+        const answer = await connection.ask('POST', '/ask', { id }, REQUEST_TIMEOUT_MS)
+        checkAnswer(model, id, answer.ok ? answer.val.body : undefined)
+        if (answer.err && answer.val.reach === 'none' && model.receivedCounts.has(id))
+          model.faults.push(`${id} was received, but reported as not sent`)
+        if (answer.err && connection.alive()) model.faults.push(`${id} failed, but its connection is kept`)
+        await pause(world, THINK_TIME_MS)
       }
-      line?.close()
-      left--
+      connection?.close()
+      callersLeft--
     }
     await pause(world, 10)
-    for (const [who, count] of callers.entries()) void caller(who, count)
+    for (const [callerIndex, count] of callers.entries()) void runCaller(callerIndex, count)
   }
-  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', far)
-  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', near)
-  function over(): boolean {
-    return left === 0
+  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', runServer)
+  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', runClient)
+  function isFinished(): boolean {
+    return callersLeft === 0
   }
-  return finish(model, await sim.until(over, WHOLE), sim.lines)
+  return finish(model, await sim.until(isFinished, RUN_TIMEOUT_MS), sim.lines)
 }
 
-const httpAct: fc.Arbitrary<HttpAct> = fc.record({
-  how: fc.constantFrom(...HTTP_HOWS),
-  at: fc.double({ min: 0, max: 0.999, noNaN: true }),
-  delay: fc.integer({ min: 0, max: STRAY }),
+const httpReplies: fc.Arbitrary<HttpReply> = fc.record({
+  kind: fc.constantFrom(...HTTP_REPLY_KINDS),
+  cutFraction: fc.double({ min: 0, max: 0.999, noNaN: true }),
+  delayMs: fc.integer({ min: 0, max: MAX_STRAY_DELAY_MS }),
 })
-async function http(c: Test): Promise<void> {
+async function httpSchedules(test: Test): Promise<void> {
   let runs = 0
   let answered = 0
-  async function holds(seed: number, acts: HttpAct[], callers: number[]): Promise<void> {
-    const model = await playHttp(seed, acts, callers)
+  async function checkSchedule(seed: number, replies: HttpReply[], callers: number[]): Promise<void> {
+    const model = await runHttpSchedule(seed, replies, callers)
     runs++
-    answered += model.answered
+    answered += model.answeredCount
     if (model.faults.length > 0) throw new Error(model.faults.join('; '))
   }
   const schedule = fc.asyncProperty(
     fc.integer({ min: 1, max: 1000 }),
-    fc.array(httpAct, { maxLength: 24 }),
+    fc.array(httpReplies, { maxLength: 24 }),
     fc.array(fc.integer({ min: 1, max: 10 }), { minLength: 1, maxLength: 3 }),
-    holds,
+    checkSchedule,
   )
-  await c.resolves(fc.assert(schedule, { seed: 19, numRuns: 300 }))
-  c.ok(answered > 1000, `${answered} answers in ${runs} schedules`)
+  await test.resolves(fc.assert(schedule, { seed: 19, numRuns: 300 }))
+  test.ok(answered > 1000, `${answered} answers in ${runs} schedules`)
 }
 
-// What comes while nothing is asked ends the connection: nothing of it can be taken for the answer to what is asked next.
-async function idle(c: Test): Promise<void> {
+/**
+ * Bytes received while no request is in flight close the connection, so that none of them can be taken for the answer
+ * to the next request.
+ */
+async function bytesWhileIdle(test: Test): Promise<void> {
   for (const stray of ['\n', 'HTTP', httpAnswer('stray')]) {
     const sim = makeSim(5)
-    const ends: unknown[] = []
-    async function far(world: World): Promise<void> {
-      function open(stream: Duplex): void {
-        function data(): void {
+    const results: unknown[] = []
+    async function runServer(world: World): Promise<void> {
+      function onConnection(stream: Duplex): void {
+        function onData(): void {
           stream.write(httpAnswer('own'))
-          function late(): void {
+          function sendStray(): void {
             stream.write(stray)
           }
-          world.later(50, late)
+          world.later(50, sendStray)
         }
         stream.on('error', ignore)
-        stream.on('data', data)
+        stream.on('data', onData)
       }
-      await world.listen('10.0.0.1:80', open)
+      await world.listen('10.0.0.1:80', onConnection)
     }
-    async function near(world: World): Promise<void> {
+    async function runClient(world: World): Promise<void> {
       await pause(world, 10)
-      const line = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
-      ends.push((await line.ask('GET', '/', undefined, LIMIT)).unwrap().body)
-      ends.push(line.alive())
+      const connection = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
+      results.push((await connection.ask('GET', '/', undefined, REQUEST_TIMEOUT_MS)).unwrap().body)
+      results.push(connection.alive())
       await pause(world, 100)
-      ends.push(line.alive())
-      const got = await line.ask('GET', '/', undefined, LIMIT)
-      ends.push(got.err ? got.val.reach : got.val.body)
+      results.push(connection.alive())
+      const second = await connection.ask('GET', '/', undefined, REQUEST_TIMEOUT_MS)
+      results.push(second.err ? second.val.reach : second.val.body)
     }
-    sim.spawn(sim.machine('far', '10.0.0.1'), 'far', far)
-    sim.spawn(sim.machine('near', '10.0.2.1'), 'near', near)
+    sim.spawn(sim.machine('far', '10.0.0.1'), 'far', runServer)
+    sim.spawn(sim.machine('near', '10.0.2.1'), 'near', runClient)
     await sim.run(sim.now() + 5000)
-    c.strictSame(ends, [{ re: 'own' }, true, false, 'none'], JSON.stringify(stray.slice(0, 8)))
+    test.strictSame(results, [{ re: 'own' }, true, false, 'none'], JSON.stringify(stray.slice(0, 8)))
   }
 }
 
-// A second question on a connection whose first is under way is not sent at all.
-async function twoAtOnce(c: Test): Promise<void> {
+/** A second request on a connection is not sent while the first one is in flight. */
+async function concurrentRequests(test: Test): Promise<void> {
   const sim = makeSim(6)
   const model = makeModel()
-  const ends: unknown[] = []
-  async function far(world: World): Promise<void> {
-    function open(stream: Duplex): void {
-      serveHttp(world, stream, model, split)
+  const results: unknown[] = []
+  async function runServer(world: World): Promise<void> {
+    function onConnection(stream: Duplex): void {
+      serveHttp(world, stream, model, splitReply)
     }
-    function split(): HttpAct {
-      return { how: 'split', at: 0.5, delay: 50 }
+    function splitReply(): HttpReply {
+      return { kind: 'split', cutFraction: 0.5, delayMs: 50 }
     }
-    await world.listen('10.0.0.1:80', open)
+    await world.listen('10.0.0.1:80', onConnection)
   }
-  async function near(world: World): Promise<void> {
+  async function runClient(world: World): Promise<void> {
     await pause(world, 10)
-    const line = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
-    const [a, b] = await Promise.all([
-      line.ask('POST', '/ask', { id: 'a' }, LIMIT),
-      line.ask('POST', '/ask', { id: 'b' }, LIMIT),
+    const connection = (await openHttpConnection(world, '10.0.0.1:80')).unwrap()
+    const [first, second] = await Promise.all([
+      connection.ask('POST', '/ask', { id: 'a' }, REQUEST_TIMEOUT_MS),
+      connection.ask('POST', '/ask', { id: 'b' }, REQUEST_TIMEOUT_MS),
     ])
-    ends.push(a.ok ? a.val.body : a.val.reach, b.ok ? b.val.body : b.val.reach)
-    const after = await line.ask('POST', '/ask', { id: 'c' }, LIMIT)
-    ends.push(after.ok ? after.val.body : after.val.reach)
+    results.push(first.ok ? first.val.body : first.val.reach, second.ok ? second.val.body : second.val.reach)
+    const third = await connection.ask('POST', '/ask', { id: 'c' }, REQUEST_TIMEOUT_MS)
+    results.push(third.ok ? third.val.body : third.val.reach)
   }
-  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', far)
-  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', near)
+  sim.spawn(sim.machine('far', '10.0.0.1'), 'far', runServer)
+  sim.spawn(sim.machine('near', '10.0.2.1'), 'near', runClient)
   await sim.run(sim.now() + 5000)
-  c.strictSame(ends, [{ re: 'a' }, 'none', { re: 'c' }])
-  c.strictSame(
-    [...model.came],
+  test.strictSame(results, [{ re: 'a' }, 'none', { re: 'c' }])
+  test.strictSame(
+    [...model.receivedCounts],
     [
       ['a', 1],
       ['c', 1],
@@ -545,9 +557,9 @@
   )
 }
 
-void t.test('links: schedules of wrong answers against a plain model', links)
-void t.test('links: an answer to an ask of the link before', redialled)
-void t.test('links: a closed one', closed)
-void t.test('HTTP: schedules of wrong answers against a plain model', http)
-void t.test('HTTP: bytes while nothing is asked', idle)
-void t.test('HTTP: two questions at once', twoAtOnce)
+void t.test('links: schedules of wrong answers against a reference model', linkSchedules)
+void t.test('links: an answer to a request of the previous link', answerOfEarlierLink)
+void t.test('links: a closed link', closedLink)
+void t.test('HTTP: schedules of wrong answers against a reference model', httpSchedules)
+void t.test('HTTP: bytes while no request is in flight', bytesWhileIdle)
+void t.test('HTTP: two concurrent requests', concurrentRequests)
