--- a/packages/fleet/src/harm.ts
+++ b/packages/fleet/src/harm.ts
@@ -26,7 +26,7 @@
 }
 
 export function indexOf(f: SimFleet, box: { name: string } | undefined): number {
-  for (const [k, b] of f.boxes.entries()) if (b === box) return k
+  for (const [k, b] of f.instanceHosts.entries()) if (b === box) return k
   return -1
 }
 export function wait(f: SimFleet, ms: number): Promise<void> {
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -16,13 +16,13 @@
 }
 // Sends a lane as it is to be (undefined: dropped), and notes what the lane is from the acceptance on.
 export async function putLane(f: SimFleet, name: string, next: Lane | undefined): Promise<void> {
-  const num = f.decided.length
+  const num = f.operatorDecisions.length
   const edits = next ? [{ op: 'put', what: 'lane', value: next }] : [{ op: 'drop', what: 'lane', name }]
   const sent = f.change(pick(f, f.fronts.length), `lanes${num}`, [{ number: 1, expect: epochNow(f), edits }])
   await f.sim.until(sent.done, 15000)
   const told = sent.out()[0]
   if (told?.decision !== 'accepted')
-    f.watched.push({ rule: 'configuration', what: `a change of lane ${name} was told ${JSON.stringify(told)}` })
+    f.watchBreaches.push({ rule: 'configuration', what: `a change of lane ${name} was told ${JSON.stringify(told)}` })
   else
     f.laws.push(
       next ? lawOf(next, f.sim.now()) : { lane: name, from: f.sim.now(), group: undefined, within: 0, own: false },
@@ -31,7 +31,7 @@
 // The epoch last told accepted.
 export function epochNow(f: SimFleet): number {
   let most = 0
-  for (const d of f.decided) if (d.told.decision === 'accepted') most = Math.max(most, d.told.epoch ?? 0)
+  for (const d of f.operatorDecisions) if (d.told.decision === 'accepted') most = Math.max(most, d.told.epoch ?? 0)
   return most
 }
 
@@ -51,12 +51,12 @@
     const dead = f.sim.random() < 0.5 ? leaderIndex(f, 'g1') : -1
     notes.set(`${name} ${way}${dead >= 0 ? ' in a promotion' : ''}`, 1)
     if (dead >= 0) {
-      f.killBox(dead)
+      f.killInstance(dead)
       await wait(f, 100 + 1500 * f.sim.random())
     }
     await putLane(f, name, next)
     await wait(f, 7000)
-    if (dead >= 0) f.startBoxAt(dead)
+    if (dead >= 0) f.startInstanceAt(dead)
     await putLane(f, name, was)
     await wait(f, 2000 + 3000 * f.sim.random())
   }
@@ -117,7 +117,7 @@
 // Sends one change of edits; what was told.
 async function send(f: SimFleet, stream: string, edits: unknown[]): Promise<Decided> {
   const sent = f.change(pick(f, f.fronts.length), stream, [
-    { number: f.decided.length + 1, expect: bodyNow(f)?.epoch ?? 0, edits },
+    { number: f.operatorDecisions.length + 1, expect: bodyNow(f)?.epoch ?? 0, edits },
   ])
   await f.sim.until(sent.done, 15000)
   return sent.out()[0] ?? { decision: 'no answer' }
@@ -132,7 +132,7 @@
 ): Promise<boolean> {
   const told = await send(f, 'moves', [{ op: 'move', lanes, to }])
   if (told.decision !== 'accepted') {
-    f.watched.push({ rule: 'move', what: `a move of ${lanes.join()} to ${to} was told ${JSON.stringify(told)}` })
+    f.watchBreaches.push({ rule: 'move', what: `a move of ${lanes.join()} to ${to} was told ${JSON.stringify(told)}` })
     return false
   }
   const id = told.epoch ?? 0
@@ -156,7 +156,7 @@
     return m === undefined && (bodyNow(f)?.epoch ?? 0) >= id
   }
   if (!(await f.sim.until(over, 60000))) {
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'move',
       what: `the move of ${lanes.join()} to ${to} has not ended after a minute: ${JSON.stringify(move())}`,
     })
@@ -180,14 +180,14 @@
   const lanes = ['book-g1', 'dep-g1', 'cal-g1']
   const part = await send(f, 'part', [{ op: 'move', lanes: ['dep-g1'], to: 'g2' }])
   if (part.decision !== 'refused')
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'move',
       what: `a lane without its fellows to the same database was told ${JSON.stringify(part)}`,
     })
   for (const to of ['g2', 'g1']) {
     const from = f.sim.now()
     const did = await moveLanes(f, lanes, to, notes)
-    if (!did) f.watched.push({ rule: 'move', what: `a move to ${to} with nothing wrong was called off` })
+    if (!did) f.watchBreaches.push({ rule: 'move', what: `a move to ${to} with nothing wrong was called off` })
     await wait(f, 2500)
     let stall = 0
     let last = from
@@ -201,14 +201,14 @@
       Math.max(notes.get('ms without a write done, most') ?? 0, Math.round(stall)),
     )
     if (stall > 1000)
-      f.watched.push({ rule: 'move', what: `no write of ${lanes.join()} was done for ${Math.round(stall)} ms` })
+      f.watchBreaches.push({ rule: 'move', what: `no write of ${lanes.join()} was done for ${Math.round(stall)} ms` })
   }
   await wait(f, 2000)
 }
 // The same with one follower of each group lagging, so that a session's own writes are not everywhere at the switch.
 async function moveLagging(f: SimFleet, notes: Map<string, number>): Promise<void> {
   for (const g of ['g1', 'g2']) {
-    for (const b of f.boxes) {
+    for (const b of f.instanceHosts) {
       if (b.group !== g || b.instance?.role() !== 'follower') continue
       b.instance.faults.lag = 2000
       break
@@ -241,8 +241,8 @@
   notes.set(did ? 'went over' : 'called off', 1)
   await wait(f, 9000)
   f.sim.heal()
-  for (const b of f.boxes) if (b.instance) b.instance.faults.uncopied = false
-  for (const [k, b] of f.boxes.entries()) if (b.proc.state === 'dead') f.startBoxAt(k)
+  for (const b of f.instanceHosts) if (b.instance) b.instance.faults.uncopied = false
+  for (const [k, b] of f.instanceHosts.entries()) if (b.proc.state === 'dead') f.startInstanceAt(k)
   await wait(f, 4000)
 }
 function harmsOf(f: SimFleet): (() => Promise<void> | void)[] {
@@ -268,10 +268,10 @@
     }
   }
   function sourceDies(): void {
-    f.killBox(leaderIndex(f, 'g1'))
+    f.killInstance(leaderIndex(f, 'g1'))
   }
   function targetDies(): void {
-    f.killBox(leaderIndex(f, 'g2'))
+    f.killInstance(leaderIndex(f, 'g2'))
   }
   // A proxy that hears nothing more, with its requesters and both groups in reach.
   function proxyDeaf(): void {
@@ -300,7 +300,7 @@
     }
   }
   function copyStops(): void {
-    for (const b of f.boxes) if (b.group === 'g2' && b.instance) b.instance.faults.uncopied = true
+    for (const b of f.instanceHosts) if (b.group === 'g2' && b.instance) b.instance.faults.uncopied = true
   }
   async function calledOff(): Promise<void> {
     await send(f, 'off', [{ op: 'calloff', lane: 'dep-g1' }])
@@ -310,7 +310,7 @@
   }
   // The source's leader answers late, so that writes are out when the lanes are shut.
   function sourceSlow(): void {
-    const box = f.boxes[leaderIndex(f, 'g1')]
+    const box = f.instanceHosts[leaderIndex(f, 'g1')]
     f.sim.freeze(box.proc)
     f.sim.at(800 + 1500 * f.sim.random(), thaw)
     function thaw(): void {
@@ -332,7 +332,7 @@
   ]
 }
 function twoApart(): Shape {
-  return { ...twoGroups(), apart: true }
+  return { ...twoGroups(), separateGroupData: true }
 }
 
 export const lanes: Scenario[] = [
