--- a/packages/fleet/src/instance.ts
+++ b/packages/fleet/src/instance.ts
@@ -15,161 +15,169 @@
 } from '@claynotch/base'
 import type { Entry, Faults, Instance, InstanceRecord, InstanceSettings, Ran, Took } from './instancetypes.js'
 
-// A stand-in for a database instance: a table of lists, written by 'append', read by 'list'. It speaks the
-// instance's wire of docs/wire.md, replicates asynchronously, records all that it ran, and fails on request.
+/**
+ * A simulated database instance for tests: a table of lists, written by 'append' and read by 'list'. It speaks the
+ * instance protocol of docs/wire.md, replicates asynchronously, records all that it ran and injects faults on request.
+ */
 
 export type { Entry, Faults, Instance, InstanceRecord, InstanceSettings, Ran, Took } from './instancetypes.js'
 
-// One connection: what a database keeps for it.
-type Session = {
+/** The state that a database keeps for each client connection: settings, prepared statements and transaction. */
+type ConnectionState = {
   settings: Map<string, string>
   shapes: Map<string, string>
-  open: { ops: [string, string][]; mode: string; epoch: number } | undefined
+  transaction: { ops: [string, string][]; mode: string; epoch: number } | undefined
 }
 
-type Saved =
+/** A record of the data file. `k` is the record type; `cut` truncates the log to `at` entries. */
+type StoredRecord =
   | { k: 'role'; role: 'leader' | 'follower'; epoch: number; base: number }
   | { k: 'log'; entries: Entry[]; ran?: Ran[] }
   | { k: 'took'; took: Took }
   | { k: 'cut'; at: number }
 
-export async function startInstance(world: World, set: InstanceSettings): Promise<Instance> {
+/** Starts an instance: restores its state from the data file, serves requests, replicates and announces itself. */
+export async function startInstance(world: World, settings: InstanceSettings): Promise<Instance> {
   const stop = makeFlag()
-  const file = makeDataFile(world, `${set.data}/log`)
+  const file = makeDataFile(world, `${settings.data}/log`)
   const faults: Faults = {
     dark: false,
     lose: [],
     full: false,
     deaf: false,
-    lag: set.lag,
+    lag: settings.lag,
     left: false,
     uncopied: false,
     sick: 0,
   }
   let log: Entry[] = []
   let table = new Map<string, string[]>()
-  let role: 'leader' | 'follower' = set.leader ? 'leader' : 'follower'
+  let role: 'leader' | 'follower' = settings.leader ? 'leader' : 'follower'
   let epoch = 1
-  let base = 0
-  let most = 0
-  let lines = 0
+  let epochStart = 0
+  let maxConnectionCount = 0
+  let connectionCount = 0
   let lateWork = 0
   let wrongSettings = 0
-  let leftAt: number | undefined
-  const ran: Ran[] = []
-  const took: Took[] = []
-  const sessions = new Map<object, Session>()
-  const enter = makeSerialQueue()
-  let unsaved: Entry[] = []
-  let unsavedRan: Ran[] = []
+  let leaveAcknowledgedAt: number | undefined
+  const executedAppends: Ran[] = []
+  const promotions: Took[] = []
+  const sessions = new Map<object, ConnectionState>()
+  const saveQueue = makeSerialQueue()
+  let unsavedEntries: Entry[] = []
+  let unsavedAppends: Ran[] = []
 
-  function put(e: Entry): void {
-    log.push(e)
-    for (const [key, tag] of e.ops) {
-      const list = table.get(key)
-      if (list) list.push(tag)
+  /** Appends an entry to the log and applies its operations to the table. */
+  function applyEntry(entry: Entry): void {
+    log.push(entry)
+    for (const [key, tag] of entry.ops) {
+      const tags = table.get(key)
+      if (tags) tags.push(tag)
       else table.set(key, [tag])
     }
   }
-  function cutTo(at: number): void {
-    const keep = log.slice(0, at)
+  /** Keeps the first `length` log entries and rebuilds the table from them. */
+  function truncateLog(length: number): void {
+    const keptEntries = log.slice(0, length)
     log = []
     table = new Map()
-    for (const e of keep) put(e)
+    for (const entry of keptEntries) applyEntry(entry)
   }
-  const opened = await file.open()
-  for (const rec of opened.records as Saved[]) {
-    if (rec.k === 'role') ({ role, epoch, base } = rec)
-    else if (rec.k === 'cut') cutTo(rec.at)
-    else if (rec.k === 'took') took.push(rec.took)
+  const openedFile = await file.open()
+  for (const stored of openedFile.records as StoredRecord[]) {
+    if (stored.k === 'role') ({ role, epoch, base: epochStart } = stored)
+    else if (stored.k === 'cut') truncateLog(stored.at)
+    else if (stored.k === 'took') promotions.push(stored.took)
     else {
-      for (const e of rec.entries) put(e)
-      ran.push(...(rec.ran ?? []))
+      for (const entry of stored.entries) applyEntry(entry)
+      executedAppends.push(...(stored.ran ?? []))
     }
   }
-  // Entries that wait are written together, in one sync.
-  function save(): Promise<void> {
-    async function run(): Promise<void> {
-      if (unsaved.length === 0) return
-      const list = unsaved
-      const mine = unsavedRan
-      unsaved = []
-      unsavedRan = []
-      await file.append({ k: 'log', entries: list, ran: mine })
+  /** Writes all unsaved entries as one batch, with a single sync. */
+  function saveUnsavedEntries(): Promise<void> {
+    async function writeBatch(): Promise<void> {
+      if (unsavedEntries.length === 0) return
+      const batch = unsavedEntries
+      const appendBatch = unsavedAppends
+      unsavedEntries = []
+      unsavedAppends = []
+      await file.append({ k: 'log', entries: batch, ran: appendBatch })
     }
-    return enter(run)
+    return saveQueue(writeBatch)
   }
   async function saveRole(): Promise<void> {
-    await file.append({ k: 'role', role, epoch, base })
+    await file.append({ k: 'role', role, epoch, base: epochStart })
   }
 
-  function error(code: string, message: string): HttpResponse {
+  function errorResponse(code: string, message: string): HttpResponse {
     return { status: code === 'BUSY' ? 503 : 409, body: { code, message } }
   }
-  function good(rows: unknown[], position = log.length): HttpResponse {
+  function rowsResponse(rows: unknown[], position = log.length): HttpResponse {
     return { status: 200, body: { rows, epoch, position } }
   }
-  function sessionOf(line: object): Session {
-    let s = sessions.get(line)
-    if (!s) {
-      s = { settings: new Map(), shapes: new Map(), open: undefined }
-      sessions.set(line, s)
+  function sessionOf(connection: object): ConnectionState {
+    let session = sessions.get(connection)
+    if (!session) {
+      session = { settings: new Map(), shapes: new Map(), transaction: undefined }
+      sessions.set(connection, session)
     }
-    return s
+    return session
   }
-  async function write(ops: [string, string][]): Promise<HttpResponse> {
-    const e: Entry = { epoch, ops }
-    put(e)
+  /** Commits operations as one log entry and answers once the entry is on disk. */
+  async function commitOps(ops: [string, string][]): Promise<HttpResponse> {
+    const entry: Entry = { epoch, ops }
+    applyEntry(entry)
     const position = log.length
-    const mine = epoch
-    for (const [, tag] of ops) unsavedRan.push({ tag, epoch, position, at: world.now() })
-    ran.push(...unsavedRan.slice(-ops.length))
-    unsaved.push(e)
-    await save()
-    return { status: 200, body: { rows: [ops.length], epoch: mine, position } }
+    const writeEpoch = epoch
+    for (const [, tag] of ops) unsavedAppends.push({ tag, epoch, position, at: world.now() })
+    executedAppends.push(...unsavedAppends.slice(-ops.length))
+    unsavedEntries.push(entry)
+    await saveUnsavedEntries()
+    return { status: 200, body: { rows: [ops.length], epoch: writeEpoch, position } }
   }
-  async function statement(
-    s: Session,
+  async function runStatement(
+    session: ConnectionState,
     body: { text?: string; shape?: string; args?: unknown[]; mode?: string },
   ): Promise<HttpResponse> {
-    if (leftAt !== undefined && world.now() - leftAt > 7000) lateWork++
-    if (faults.sick > 0 && !s.open && world.random() < faults.sick)
-      return error('ELECTION', 'an election is in progress')
-    const text = body.shape !== undefined ? s.shapes.get(body.shape) : body.text
+    if (leaveAcknowledgedAt !== undefined && world.now() - leaveAcknowledgedAt > 7000) lateWork++
+    if (faults.sick > 0 && !session.transaction && world.random() < faults.sick)
+      return errorResponse('ELECTION', 'an election is in progress')
+    const text = body.shape !== undefined ? session.shapes.get(body.shape) : body.text
     const args = body.args ?? []
-    if (text === undefined) return error('NOT_FOUND', `no shape ${body.shape}`)
+    if (text === undefined) return errorResponse('NOT_FOUND', `no shape ${body.shape}`)
     switch (text) {
       case 'list': {
         const key = String(args[0])
         const rows = [...(table.get(key) ?? [])]
-        for (const [k, tag] of s.open?.ops ?? []) if (k === key) rows.push(tag)
-        return good([key, rows, set.group])
+        for (const [opKey, tag] of session.transaction?.ops ?? []) if (opKey === key) rows.push(tag)
+        return rowsResponse([key, rows, settings.group])
       }
       case 'append': {
-        if (body.mode !== 'write') return error('NOPERM', 'a write on a statement marked read-only')
-        if (role !== 'leader') return error('READONLY', 'this instance follows')
-        if (faults.full) return error('OOM', 'command not allowed')
+        if (body.mode !== 'write') return errorResponse('NOPERM', 'a write on a statement marked read-only')
+        if (role !== 'leader') return errorResponse('READONLY', 'this instance follows')
+        if (faults.full) return errorResponse('OOM', 'command not allowed')
         const op: [string, string] = [String(args[0]), String(args[1])]
-        if (s.open) {
-          if (s.open.mode !== 'write') return error('NOPERM', 'a write in a transaction begun to read')
-          s.open.ops.push(op)
-          return good([1])
+        if (session.transaction) {
+          if (session.transaction.mode !== 'write')
+            return errorResponse('NOPERM', 'a write in a transaction begun to read')
+          session.transaction.ops.push(op)
+          return rowsResponse([1])
         }
-        return await write([op])
+        return await commitOps([op])
       }
       case 'setting': {
         const name = String(args[0])
-        const has = s.settings.get(name) ?? ''
-        if (args.length > 1 && args[1] !== has) wrongSettings++
-        return good([name, has])
+        const currentValue = session.settings.get(name) ?? ''
+        if (args.length > 1 && args[1] !== currentValue) wrongSettings++
+        return rowsResponse([name, currentValue])
       }
       case 'wrongtype':
-        return error('WRONGTYPE', 'operation against a key of another type')
+        return errorResponse('WRONGTYPE', 'operation against a key of another type')
     }
-    return error('SYNTAX', `unknown statement ${text.slice(0, 40)}`)
+    return errorResponse('SYNTAX', `unknown statement ${text.slice(0, 40)}`)
   }
-  async function answer(ask: HttpRequest): Promise<HttpResponse> {
-    const body = (ask.body ?? {}) as {
+  async function answerRequest(request: HttpRequest): Promise<HttpResponse> {
+    const body = (request.body ?? {}) as {
       text?: string
       mode?: string
       settings?: { name: string; value: string }[]
@@ -178,309 +186,329 @@
       position?: number
       last?: number
     }
-    const s = sessionOf(ask.connection)
-    switch (ask.path) {
+    const session = sessionOf(request.connection)
+    switch (request.path) {
       case '/status':
         return {
           status: 200,
           body: {
             rows: [
-              { field: 'name', value: set.name },
-              { field: 'group', value: set.group },
+              { field: 'name', value: settings.name },
+              { field: 'group', value: settings.group },
               { field: 'role', value: role },
               { field: 'epoch', value: epoch },
               { field: 'position', value: log.length },
-              ...(copied && role === 'leader'
+              ...(copiedUpTo && role === 'leader'
                 ? [
-                    { field: 'source', value: set.source!.group },
-                    { field: 'source_epoch', value: copied.epoch },
-                    { field: 'source_position', value: copied.position },
+                    { field: 'source', value: settings.source!.group },
+                    { field: 'source_epoch', value: copiedUpTo.epoch },
+                    { field: 'source_position', value: copiedUpTo.position },
                   ]
                 : []),
             ],
           },
         }
       case '/statement':
-        return await statement(s, body)
+        return await runStatement(session, body)
       case '/begin':
-        if (body.mode === 'write' && role !== 'leader') return error('READONLY', 'this instance follows')
-        if (leftAt !== undefined && world.now() - leftAt > 7000) lateWork++
-        s.open = { ops: [], mode: body.mode ?? 'write', epoch }
-        return good([])
+        if (body.mode === 'write' && role !== 'leader') return errorResponse('READONLY', 'this instance follows')
+        if (leaveAcknowledgedAt !== undefined && world.now() - leaveAcknowledgedAt > 7000) lateWork++
+        session.transaction = { ops: [], mode: body.mode ?? 'write', epoch }
+        return rowsResponse([])
       case '/commit': {
-        const open = s.open
-        s.open = undefined
-        if (!open) return error('ABORTED', 'no transaction')
-        if (open.ops.length === 0) return good([])
-        if (role !== 'leader' || open.epoch !== epoch) return error('ABORTED', 'the leader changed')
-        return await write(open.ops)
+        const transaction = session.transaction
+        session.transaction = undefined
+        if (!transaction) return errorResponse('ABORTED', 'no transaction')
+        if (transaction.ops.length === 0) return rowsResponse([])
+        if (role !== 'leader' || transaction.epoch !== epoch) return errorResponse('ABORTED', 'the leader changed')
+        return await commitOps(transaction.ops)
       }
       case '/rollback':
-        s.open = undefined
-        return good([])
+        session.transaction = undefined
+        return rowsResponse([])
       case '/settings':
-        for (const p of body.settings ?? []) s.settings.set(p.name, p.value)
-        return good([])
+        for (const setting of body.settings ?? []) session.settings.set(setting.name, setting.value)
+        return rowsResponse([])
       case '/shapes':
-        s.shapes.set(String(body.name), String(body.text))
-        return good([])
+        session.shapes.set(String(body.name), String(body.text))
+        return rowsResponse([])
       case '/reset':
-        sessions.delete(ask.connection)
-        return good([])
+        sessions.delete(request.connection)
+        return rowsResponse([])
       case '/promotion': {
-        const next = Number(body.epoch)
-        if (next === epoch && role === 'leader') return { status: 200, body: { leader: true } }
-        if (!(next > epoch))
-          return { status: 409, body: { code: 'ABORTED', message: `epoch ${next} is not above ${epoch}` } }
+        const newEpoch = Number(body.epoch)
+        if (newEpoch === epoch && role === 'leader') return { status: 200, body: { leader: true } }
+        if (!(newEpoch > epoch))
+          return { status: 409, body: { code: 'ABORTED', message: `epoch ${newEpoch} is not above ${epoch}` } }
         role = 'leader'
-        epoch = next
-        base = log.length
-        took.push({ epoch, at: world.now(), base })
+        epoch = newEpoch
+        epochStart = log.length
+        promotions.push({ epoch, at: world.now(), base: epochStart })
         await saveRole()
-        await file.append({ k: 'took', took: took[took.length - 1] })
+        await file.append({ k: 'took', took: promotions[promotions.length - 1] })
         return { status: 200, body: { leader: true } }
       }
       case '/log': {
-        if (role !== 'leader') return error('READONLY', 'not the leader')
-        const from = Number(body.position)
-        const fits = from <= log.length && (from === 0 || log[from - 1].epoch === body.last)
+        if (role !== 'leader') return errorResponse('READONLY', 'not the leader')
+        const fromPosition = Number(body.position)
+        const isPrefixShared =
+          fromPosition <= log.length && (fromPosition === 0 || log[fromPosition - 1].epoch === body.last)
         return {
           status: 200,
-          body: fits
-            ? { epoch, base, from, entries: log.slice(from, from + 500), end: log.length }
-            : { epoch, base, from: -1, entries: [], end: log.length },
+          body: isPrefixShared
+            ? {
+                epoch,
+                base: epochStart,
+                from: fromPosition,
+                entries: log.slice(fromPosition, fromPosition + 500),
+                end: log.length,
+              }
+            : { epoch, base: epochStart, from: -1, entries: [], end: log.length },
         }
       }
       case '/record':
         return { status: 200, body: record() }
       case '/fault': {
-        const f = ask.body as Partial<Faults> & { leave?: boolean }
-        if (f.leave) void leave()
-        Object.assign(faults, f)
+        const changes = request.body as Partial<Faults> & { leave?: boolean }
+        if (changes.leave) void leave()
+        Object.assign(faults, changes)
         return { status: 200, body: faults }
       }
     }
     return { status: 404, body: { code: 'SYNTAX', message: 'no such path' } }
   }
-  async function handle(ask: HttpRequest): Promise<HttpResponse | undefined> {
-    if (faults.dark && ask.path !== '/fault' && ask.path !== '/record') {
+  async function handle(request: HttpRequest): Promise<HttpResponse | undefined> {
+    if (faults.dark && request.path !== '/fault' && request.path !== '/record') {
       await makeFlag().wait()
       return undefined
     }
-    if (lines > set.connections && ask.path !== '/record' && ask.path !== '/fault')
-      return error('BUSY', 'too many connections')
-    const reply = await answer(ask)
-    const at = faults.lose.indexOf(ask.path)
-    if (at >= 0) {
-      faults.lose.splice(at, 1)
-      ask.raw.req.socket.destroy()
+    if (connectionCount > settings.connections && request.path !== '/record' && request.path !== '/fault')
+      return errorResponse('BUSY', 'too many connections')
+    const response = await answerRequest(request)
+    const lossIndex = faults.lose.indexOf(request.path)
+    if (lossIndex >= 0) {
+      faults.lose.splice(lossIndex, 1)
+      request.raw.req.socket.destroy()
       return undefined
     }
-    return reply
+    return response
   }
-  function onLine(line: object, closed: Flag): void {
-    lines++
-    most = Math.max(most, lines)
-    // A connection that ends takes its open transaction with it.
-    function over(): void {
-      lines--
-      sessions.delete(line)
+  function onConnection(connection: object, closed: Flag): void {
+    connectionCount++
+    maxConnectionCount = Math.max(maxConnectionCount, connectionCount)
+    /** Discards the connection's state; an open transaction is rolled back with it. */
+    function onClosed(): void {
+      connectionCount--
+      sessions.delete(connection)
     }
-    closed.watch(over)
+    closed.watch(onClosed)
   }
-  const http = await serveHttp(world, set.addr, handle, { onConnection: onLine, limit: 4 * 1024 * 1024 })
+  const http = await serveHttp(world, settings.addr, handle, { onConnection: onConnection, limit: 4 * 1024 * 1024 })
 
-  // --- replication: a follower fetches from the leader of the highest epoch ---
-  let from: { addr: Address; line: HttpConnection } | undefined
-  async function findLeader(peers = set.peers): Promise<{ addr: Address; epoch: number } | undefined> {
-    let best: { addr: Address; epoch: number } | undefined
+  // --- replication: a follower fetches log entries from the leader with the highest epoch ---
+  let upstream: { addr: Address; connection: HttpConnection } | undefined
+  /** Asks all peers for their status and returns the leader with the highest epoch. */
+  async function findLeader(peers = settings.peers): Promise<{ addr: Address; epoch: number } | undefined> {
+    let highest: { addr: Address; epoch: number } | undefined
     for (const addr of peers) {
-      const got = await requestOnce(world, addr, 'GET', '/status', undefined, 500)
-      if (got.err || got.val.status !== 200) continue
+      const statusAnswer = await requestOnce(world, addr, 'GET', '/status', undefined, 500)
+      if (statusAnswer.err || statusAnswer.val.status !== 200) continue
       const rows = new Map<string, unknown>()
-      for (const r of (got.val.body as { rows: { field: string; value: unknown }[] }).rows) rows.set(r.field, r.value)
-      if (rows.get('role') === 'leader' && (!best || Number(rows.get('epoch')) > best.epoch))
-        best = { addr, epoch: Number(rows.get('epoch')) }
+      for (const row of (statusAnswer.val.body as { rows: { field: string; value: unknown }[] }).rows)
+        rows.set(row.field, row.value)
+      if (rows.get('role') === 'leader' && (!highest || Number(rows.get('epoch')) > highest.epoch))
+        highest = { addr, epoch: Number(rows.get('epoch')) }
     }
-    return best
+    return highest
   }
-  async function fetch(): Promise<void> {
+  /** One replication step: a follower fetches log entries; a leader demotes itself if a peer leads a later epoch. */
+  async function fetchFromLeader(): Promise<void> {
     if (faults.dark || faults.deaf) return
     if (role === 'leader') {
-      const other = await findLeader()
-      if (other && other.epoch > epoch) {
+      const otherLeader = await findLeader()
+      if (otherLeader && otherLeader.epoch > epoch) {
         role = 'follower'
-        world.log.info('stand-in-demoted', { instance: set.name, epoch })
+        world.log.info('stand-in-demoted', { instance: settings.name, epoch })
       }
       return
     }
-    if (!from || !from.line.alive()) {
-      const found = await findLeader()
-      if (!found || found.epoch < epoch) return
-      const line = await openHttpConnection(world, found.addr, 500)
-      if (line.err) return
-      from = { addr: found.addr, line: line.val }
+    if (!upstream || !upstream.connection.alive()) {
+      const leader = await findLeader()
+      if (!leader || leader.epoch < epoch) return
+      const opened = await openHttpConnection(world, leader.addr, 500)
+      if (opened.err) return
+      upstream = { addr: leader.addr, connection: opened.val }
     }
-    const at = log.length
-    const got = await from.line.ask('POST', '/log', { position: at, last: at > 0 ? log[at - 1].epoch : 0 }, 1000)
-    if (got.err || got.val.status !== 200 || role !== 'follower' || faults.deaf || faults.dark) {
-      if (!got.ok || got.val.status !== 200) {
-        from.line.close()
-        from = undefined
+    const position = log.length
+    const logAnswer = await upstream.connection.ask(
+      'POST',
+      '/log',
+      { position: position, last: position > 0 ? log[position - 1].epoch : 0 },
+      1000,
+    )
+    if (logAnswer.err || logAnswer.val.status !== 200 || role !== 'follower' || faults.deaf || faults.dark) {
+      if (!logAnswer.ok || logAnswer.val.status !== 200) {
+        upstream.connection.close()
+        upstream = undefined
       }
       return
     }
-    const body = got.val.body as { epoch: number; base: number; from: number; entries: Entry[] }
+    const body = logAnswer.val.body as { epoch: number; base: number; from: number; entries: Entry[] }
     if (body.epoch < epoch) {
-      from.line.close()
-      from = undefined
+      upstream.connection.close()
+      upstream = undefined
       return
     }
     if (body.from < 0) {
-      // Our last entry isn't the leader's: it never became common, so it goes.
-      const to = Math.max(0, at - Math.max(1, Math.min(50, at)))
-      cutTo(to)
-      await file.append({ k: 'cut', at: to })
+      // The last entry differs from the leader's log: it was never replicated, so up to 50 entries are truncated.
+      const keptLength = Math.max(0, position - Math.max(1, Math.min(50, position)))
+      truncateLog(keptLength)
+      await file.append({ k: 'cut', at: keptLength })
       return
     }
-    for (const e of body.entries) {
-      put(e)
-      unsaved.push(e)
+    for (const entry of body.entries) {
+      applyEntry(entry)
+      unsavedEntries.push(entry)
     }
-    await save()
-    // The new epoch is ours once all that came before its start is.
+    await saveUnsavedEntries()
+    // Adopts the new epoch only once this log includes every entry before the epoch's start.
     if (body.epoch > epoch && log.length >= body.base) {
       epoch = body.epoch
-      base = body.base
+      epochStart = body.base
       await saveRole()
     }
   }
-  // --- copying from another group: a leader's own entries, so its followers get them like any other ---
-  // copied: what STATUS reports; of this life of this leader only, and gone where the source's history was cut under it.
-  let copied: { epoch: number; position: number } | undefined
-  let there: HttpConnection | undefined
-  // place: how far the source was read, with the epoch of its entry there; found again in the log by a new leader.
-  let place: { at: number; last: number } | undefined
-  async function copy(source: { group: string; peers: Address[] }): Promise<void> {
+  // --- copying from another group: the leader appends copies as its own entries, which followers then replicate ---
+  /**
+   * The source position that STATUS reports. It holds only while this process leads, and is cleared where the source's
+   * log no longer contains the position copied so far.
+   */
+  let copiedUpTo: { epoch: number; position: number } | undefined
+  let sourceConnection: HttpConnection | undefined
+  /** Position read from the source and the epoch of the entry there; a new leader recovers both from its log. */
+  let sourceCursor: { at: number; last: number } | undefined
+  /** One copy step: a leader fetches entries of the source group and appends them to its own log. */
+  async function copyFromSource(source: { group: string; peers: Address[] }): Promise<void> {
     if (role !== 'leader' || faults.dark || faults.uncopied) {
-      copied = undefined
-      place = undefined
+      copiedUpTo = undefined
+      sourceCursor = undefined
       return
     }
-    if (!there?.alive()) {
-      const found = await findLeader(source.peers)
-      const line = found ? await openHttpConnection(world, found.addr, 500) : undefined
-      if (!line?.ok) return
-      there = line.val
+    if (!sourceConnection?.alive()) {
+      const sourceLeader = await findLeader(source.peers)
+      const opened = sourceLeader ? await openHttpConnection(world, sourceLeader.addr, 500) : undefined
+      if (!opened?.ok) return
+      sourceConnection = opened.val
     }
-    if (!place) {
-      place = { at: 0, last: 0 }
-      for (const e of log)
-        if (e.src?.group === source.group && e.src.position > place.at)
-          place = { at: e.src.position, last: e.src.epoch }
+    if (!sourceCursor) {
+      sourceCursor = { at: 0, last: 0 }
+      for (const entry of log)
+        if (entry.src?.group === source.group && entry.src.position > sourceCursor.at)
+          sourceCursor = { at: entry.src.position, last: entry.src.epoch }
     }
-    const { at, last } = place
-    const mine = epoch
-    const got = await there.ask('POST', '/log', { position: at, last }, 1000)
-    if (got.err || got.val.status !== 200) {
-      there.close()
-      there = undefined
+    const { at, last } = sourceCursor
+    const startEpoch = epoch
+    const logAnswer = await sourceConnection.ask('POST', '/log', { position: at, last }, 1000)
+    if (logAnswer.err || logAnswer.val.status !== 200) {
+      sourceConnection.close()
+      sourceConnection = undefined
       return
     }
-    const body = got.val.body as { epoch: number; from: number; entries: Entry[]; end: number }
-    if (body.from < 0 || (role as string) !== 'leader' || epoch !== mine) {
-      copied = undefined
+    const body = logAnswer.val.body as { epoch: number; from: number; entries: Entry[]; end: number }
+    if (body.from < 0 || (role as string) !== 'leader' || epoch !== startEpoch) {
+      copiedUpTo = undefined
       return
     }
-    for (const [k, e] of body.entries.entries()) {
-      place = { at: body.from + k + 1, last: e.epoch }
-      // What came from here goes round no further.
-      if (e.src?.group === set.group) continue
-      put({ epoch, ops: e.ops, src: { group: source.group, epoch: e.epoch, position: place.at } })
-      unsaved.push(log[log.length - 1])
+    for (const [index, entry] of body.entries.entries()) {
+      sourceCursor = { at: body.from + index + 1, last: entry.epoch }
+      // Skips entries that originated in this group, so that groups copying each other don't loop.
+      if (entry.src?.group === settings.group) continue
+      applyEntry({ epoch, ops: entry.ops, src: { group: source.group, epoch: entry.epoch, position: sourceCursor.at } })
+      unsavedEntries.push(log[log.length - 1])
     }
-    await save()
-    copied = { epoch: body.epoch, position: body.from + body.entries.length }
+    await saveUnsavedEntries()
+    copiedUpTo = { epoch: body.epoch, position: body.from + body.entries.length }
   }
-  async function copies(source: { group: string; peers: Address[] }): Promise<void> {
+  async function runCopyLoop(source: { group: string; peers: Address[] }): Promise<void> {
     while (!stop.fired()) {
-      await copy(source)
-      await pauseFor(set.lag / 2)
+      await copyFromSource(source)
+      await pauseWithJitter(settings.lag / 2)
     }
   }
-  if (set.source) void copies(set.source)
-  async function replicate(): Promise<void> {
+  if (settings.source) void runCopyLoop(settings.source)
+  async function runReplicationLoop(): Promise<void> {
     while (!stop.fired()) {
-      await fetch()
-      const wait = role === 'leader' ? 500 : faults.lag
-      await pauseFor(wait)
+      await fetchFromLeader()
+      const intervalMs = role === 'leader' ? 500 : faults.lag
+      await pauseWithJitter(intervalMs)
     }
   }
-  function pauseFor(ms: number): Promise<void> {
-    function start(ok: () => void): void {
-      world.later(ms * (0.9 + 0.2 * world.random()), ok)
+  function pauseWithJitter(ms: number): Promise<void> {
+    function schedule(resolve: () => void): void {
+      world.later(ms * (0.9 + 0.2 * world.random()), resolve)
     }
-    return new Promise(start)
+    return new Promise(schedule)
   }
-  void replicate()
+  void runReplicationLoop()
 
   // --- announcements ---
+  /** Announces this instance to all agents. */
   async function announce(): Promise<void> {
     if (faults.dark) return
-    async function one(addr: Address): Promise<void> {
+    async function announceTo(addr: Address): Promise<void> {
       const leaving = faults.left
-      const got = await requestOnce(
+      const answer = await requestOnce(
         world,
         addr,
         'POST',
         '/announcement',
         {
-          name: set.name,
-          group: set.group,
-          addr: set.addr,
-          area: set.area,
+          name: settings.name,
+          group: settings.group,
+          addr: settings.addr,
+          area: settings.area,
           role,
           ...(leaving ? { leaving: true } : {}),
         },
         800,
       )
-      // The users' 7 s count from when anyone has learned of it.
-      if (leaving && got.ok && got.val.status === 200) leftAt ??= world.now()
+      // The 7 s allowed for draining start once the first agent has acknowledged the announcement.
+      if (leaving && answer.ok && answer.val.status === 200) leaveAcknowledgedAt ??= world.now()
     }
-    await Promise.all(set.agents.map(one))
+    await Promise.all(settings.agents.map(announceTo))
   }
   void loop(world, 'announce', 1000, stop, announce)
   async function leave(): Promise<void> {
     faults.left = true
     await announce()
   }
-  async function end(): Promise<void> {
+  async function shutDown(): Promise<void> {
     stop.fire()
-    from?.line.close()
+    upstream?.connection.close()
     await http.close()
   }
   function record(): InstanceRecord {
     return {
-      name: set.name,
-      group: set.group,
+      name: settings.name,
+      group: settings.group,
       log,
-      ran,
-      took,
-      most,
-      limit: set.connections,
+      ran: executedAppends,
+      took: promotions,
+      most: maxConnectionCount,
+      limit: settings.connections,
       lateWork,
-      leftAt,
+      leftAt: leaveAcknowledgedAt,
       wrongSettings,
     }
   }
-  function roleNow(): string {
+  function currentRole(): string {
     return role
   }
-  function epochNow(): number {
+  function currentEpoch(): number {
     return epoch
   }
-  function positionNow(): number {
+  function currentPosition(): number {
     return log.length
   }
-  return { stop: end, leave, faults, record, role: roleNow, epoch: epochNow, position: positionNow }
+  return { stop: shutDown, leave, faults, record, role: currentRole, epoch: currentEpoch, position: currentPosition }
 }
--- a/packages/fleet/src/requester.ts
+++ b/packages/fleet/src/requester.ts
@@ -1,12 +1,16 @@
 import { openHttpConnection, pause, type Address, type Flag, type HttpConnection, type World } from '@claynotch/base'
 import type { TimeSpan } from './service-rate.js'
 
-// Stand-in requesters. Each holds one session, works through a mix of operations, and moves to another
-// node with its token when its own doesn't serve. All that it was told goes into the history.
+/**
+ * Simulated clients. Each keeps one session per lane, runs a weighted mix of operations, and moves to another node with
+ * its consistency token when its own node doesn't serve it. Every result is recorded in the history.
+ */
 
-// One thing that a requester was told. key and tag: what was written; list: what was read.
-// start and end: its own clock, around the whole operation. within: how old a commit a read may miss; 0 on the leader path.
-// served: the group whose rows a read was given.
+/**
+ * The result of one operation as the client saw it. `key` and `tag`: what was written; `list`: what was read.
+ * `start` and `end`: the client's own clock, around the whole operation. `within`: the staleness bound of a read in ms,
+ * 0 on the leader path. `served`: the group whose rows a read returned.
+ */
 export type Event = {
   kind: string
   lane: string
@@ -30,6 +34,7 @@
   why: string
 }
 
+/** One kind of operation in a client's workload, chosen with the probability `weight` / total weight. */
 export type Mix = {
   kind: string
   lane: string
@@ -42,6 +47,7 @@
   looks?: number
 }
 
+/** Settings of a client. `think`: mean pause between operations, ms. `again`: retries failed operations. */
 export type RequesterSettings = {
   id: number
   nodes: Address[]
@@ -51,11 +57,12 @@
   again: boolean
   until: () => boolean
   note: (e: Event) => void
-  /** Told of each pause that the requester makes inside of a transaction, in ms of its clock. */
+  /** Called for each pause that the client makes inside a transaction; times in ms of its clock. */
   rested?: (span: TimeSpan) => void
 }
 
-type Told = {
+/** The body of a node's answer, or the outcome `none` where no answer arrived. */
+type RequestResult = {
   outcome: Event['outcome']
   class?: string
   kept?: string
@@ -67,132 +74,136 @@
   why?: string
 }
 
-/** End of the kind of an event that tells one read inside of a reading transaction. */
+/** Suffix of an event's kind that marks one read inside a read-only transaction. */
 export const LOOK_SUFFIX = ' look'
-/** Reads in one transaction, with pauses between them. */
-const WATCH_LOOKS = 10
-const BROWSE_LOOKS = 2
+/** Reads in one read-only transaction, with pauses between them. */
+const WATCH_READS = 10
+const BROWSE_READS = 2
 
-export async function runRequester(world: World, set: RequesterSettings, stop: Flag): Promise<void> {
-  let node = set.id % set.nodes.length
-  let line: HttpConnection | undefined
+/** Runs a client until `stop` fires or `until` returns true. */
+export async function runRequester(world: World, settings: RequesterSettings, stop: Flag): Promise<void> {
+  let nodeIndex = settings.id % settings.nodes.length
+  let connection: HttpConnection | undefined
   const tokens = new Map<string, string>()
   const sessions = new Map<string, string>()
-  const shaped = new Set<string>()
-  let count = 0
+  const preparedSessions = new Set<string>()
+  let writeCount = 0
 
-  async function call(method: string, path: string, body: unknown): Promise<Told> {
-    if (!line?.alive()) {
-      const got = await openHttpConnection(world, set.nodes[node], 1000)
-      if (got.err) return { outcome: 'none', class: 'DIAL', kept: 'nothing' }
-      line = got.val
+  async function call(method: string, path: string, body: unknown): Promise<RequestResult> {
+    if (!connection?.alive()) {
+      const opened = await openHttpConnection(world, settings.nodes[nodeIndex], 1000)
+      if (opened.err) return { outcome: 'none', class: 'DIAL', kept: 'nothing' }
+      connection = opened.val
     }
-    const got = await line.ask(method, path, body, 20000)
-    if (got.err) {
-      line = undefined
-      return { outcome: 'none', class: 'BROKE', kept: got.val.reach === 'none' ? 'nothing' : 'unknown' }
+    const answer = await connection.ask(method, path, body, 20000)
+    if (answer.err) {
+      connection = undefined
+      return { outcome: 'none', class: 'BROKE', kept: answer.val.reach === 'none' ? 'nothing' : 'unknown' }
     }
-    const told = got.val.body as Told
-    return { ...told, ...(got.val.after !== undefined ? { after: got.val.after } : {}) }
+    const result = answer.val.body as RequestResult
+    return { ...result, ...(answer.val.after !== undefined ? { after: answer.val.after } : {}) }
   }
-  async function rest(ms: number): Promise<void> {
+  async function pauseInTransaction(ms: number): Promise<void> {
     const from = world.now()
     await pause(world, ms, stop)
-    set.rested?.({ from, to: world.now() })
+    settings.rested?.({ from, to: world.now() })
   }
-  function move(): void {
-    line?.close()
-    line = undefined
+  /** Closes the connection, drops all sessions and picks another node at random. */
+  function moveToOtherNode(): void {
+    connection?.close()
+    connection = undefined
     sessions.clear()
-    node = (node + 1 + Math.floor(world.random() * (set.nodes.length - 1))) % set.nodes.length
+    nodeIndex = (nodeIndex + 1 + Math.floor(world.random() * (settings.nodes.length - 1))) % settings.nodes.length
   }
+  /** Returns the session of the lane, opened on first use; moves to another node where that fails. */
   async function sessionFor(mix: Mix): Promise<string | undefined> {
-    const has = sessions.get(mix.lane)
-    if (has !== undefined) return has
-    const got = await call('POST', '/sessions', {
+    const existing = sessions.get(mix.lane)
+    if (existing !== undefined) return existing
+    const created = await call('POST', '/sessions', {
       lane: mix.lane,
-      settings: [{ name: 'who', value: `r${set.id}` }],
+      settings: [{ name: 'who', value: `r${settings.id}` }],
       token: tokens.get(mix.lane) ?? '',
     })
-    if (got.outcome !== 'done' || got.session === undefined) {
-      move()
+    if (created.outcome !== 'done' || created.session === undefined) {
+      moveToOtherNode()
       await pause(world, 200 + 300 * world.random(), stop)
       return undefined
     }
-    sessions.set(mix.lane, got.session)
-    return got.session
+    sessions.set(mix.lane, created.session)
+    return created.session
   }
-  function pick(): Mix {
-    let all = 0
-    for (const m of set.mixes) all += m.weight
-    let at = world.random() * all
-    for (const m of set.mixes) {
-      at -= m.weight
-      if (at < 0) return m
+  function pickMix(): Mix {
+    let totalWeight = 0
+    for (const mix of settings.mixes) totalWeight += mix.weight
+    let remaining = world.random() * totalWeight
+    for (const mix of settings.mixes) {
+      remaining -= mix.weight
+      if (remaining < 0) return mix
     }
-    return set.mixes[0]
+    return settings.mixes[0]
   }
-  async function operate(mix: Mix): Promise<Told | undefined> {
+  /** Runs one operation and records its result; undefined where no session could be opened. */
+  async function runOperation(mix: Mix): Promise<RequestResult | undefined> {
     const session = await sessionFor(mix)
     if (session === undefined) return undefined
-    const key = `${mix.group}/k${Math.floor(world.random() * set.keys)}`
-    const tag = `r${set.id}.${++count}@${key}`
+    const key = `${mix.group}/k${Math.floor(world.random() * settings.keys)}`
+    const tag = `r${settings.id}.${++writeCount}@${key}`
     const start = world.now()
-    const node0 = set.nodes[node]
-    let told: Told
+    const nodeAddr = settings.nodes[nodeIndex]
+    let result: RequestResult
     let list: string[] | undefined
     let served = ''
     let sentCommit = false
     let wrong = false
-    const at = `/sessions/${session}`
-    function rowsOf(t: Told): void {
-      if (t.outcome !== 'done') return
-      const [k, rows, by] = (t.rows ?? []) as [string, string[], string]
+    const sessionPath = `/sessions/${session}`
+    function takeRows(readResult: RequestResult): void {
+      if (readResult.outcome !== 'done') return
+      const [returnedKey, rows, servingGroup] = (readResult.rows ?? []) as [string, string[], string]
       list = rows
-      served = by
-      if (k !== key) wrong = true
+      served = servingGroup
+      if (returnedKey !== key) wrong = true
     }
-    let wrote = true
+    let isWrite = true
     if (mix.op === 'lookup') {
-      wrote = false
-      // Every other session reads by a shape of its own; the same name means other things in other sessions.
-      if (set.id % 2 === 0 && !shaped.has(session)) {
-        told = await call('POST', `${at}/shapes`, { name: 'find', text: 'list' })
-        if (told.outcome === 'done') shaped.add(session)
+      isWrite = false
+      // Clients with an even id read by a prepared statement ('shape') of their own session; names are per session.
+      if (settings.id % 2 === 0 && !preparedSessions.has(session)) {
+        result = await call('POST', `${sessionPath}/shapes`, { name: 'find', text: 'list' })
+        if (result.outcome === 'done') preparedSessions.add(session)
       }
-      told = await call('POST', `${at}/statement`, {
+      result = await call('POST', `${sessionPath}/statement`, {
         kind: 'read',
-        ...(shaped.has(session) ? { shape: 'find' } : { text: 'list' }),
+        ...(preparedSessions.has(session) ? { shape: 'find' } : { text: 'list' }),
         args: [key],
       })
-      rowsOf(told)
+      takeRows(result)
     } else if (mix.op === 'browse' || mix.op === 'watch') {
-      // A reading transaction that takes its time between its looks; each look is owed what the lane says.
-      const looks = mix.op === 'watch' ? (mix.looks ?? WATCH_LOOKS) : BROWSE_LOOKS
-      wrote = false
-      told = await call('POST', `${at}/begin`, { kind: 'read' })
-      for (let k = 0; k < looks && told.outcome === 'done'; k++) {
-        if (k > 0) await rest(300 + 1900 * world.random())
-        const from = world.now()
-        told = await call('POST', `${at}/statement`, { kind: 'read', text: 'list', args: [key] })
-        rowsOf(told)
-        if (told.outcome === 'done')
-          set.note({
+      // A read-only transaction with pauses between its reads; each read must meet the lane's consistency rule.
+      const readCount = mix.op === 'watch' ? (mix.looks ?? WATCH_READS) : BROWSE_READS
+      isWrite = false
+      result = await call('POST', `${sessionPath}/begin`, { kind: 'read' })
+      for (let readIndex = 0; readIndex < readCount && result.outcome === 'done'; readIndex++) {
+        if (readIndex > 0) await pauseInTransaction(300 + 1900 * world.random())
+        const readStart = world.now()
+        result = await call('POST', `${sessionPath}/statement`, { kind: 'read', text: 'list', args: [key] })
+        takeRows(result)
+        if (result.outcome === 'done')
+          settings.note({
             kind: `${mix.kind}${LOOK_SUFFIX}`,
             lane: mix.lane,
             group: mix.group,
             served,
-            session: set.id,
+            session: settings.id,
             key,
             within: mix.within,
             own: mix.own,
             wrong,
-            node: node0,
+            node: nodeAddr,
             after: false,
             why: '',
             tag: undefined,
             list,
-            start: from,
+            start: readStart,
             end: world.now(),
             outcome: 'done',
             class: '',
@@ -201,116 +212,116 @@
           })
       }
       list = undefined
-      if (told.outcome === 'done') told = await call('POST', `${at}/commit`, {})
+      if (result.outcome === 'done') result = await call('POST', `${sessionPath}/commit`, {})
     } else if (mix.op === 'post') {
-      told = await call('POST', `${at}/statement`, { kind: 'write', text: 'append', args: [key, tag] })
+      result = await call('POST', `${sessionPath}/statement`, { kind: 'write', text: 'append', args: [key, tag] })
       sentCommit = true
     } else if (mix.op === 'deposit') {
-      told = await call('POST', `${at}/statement`, { kind: 'write', text: 'append', args: [key, tag] })
+      result = await call('POST', `${sessionPath}/statement`, { kind: 'write', text: 'append', args: [key, tag] })
       sentCommit = true
     } else {
-      told = await call('POST', `${at}/begin`, { kind: 'write' })
-      if (told.outcome === 'done') {
-        const set1 = await call('POST', `${at}/statement`, {
+      result = await call('POST', `${sessionPath}/begin`, { kind: 'write' })
+      if (result.outcome === 'done') {
+        const settingResult = await call('POST', `${sessionPath}/statement`, {
           kind: 'read',
           text: 'setting',
-          args: ['who', `r${set.id}`],
+          args: ['who', `r${settings.id}`],
         })
-        told = set1
-        if (told.outcome === 'done' && (told.rows ?? [])[1] !== `r${set.id}`) wrong = true
-        if (told.outcome === 'done')
-          told = await call('POST', `${at}/statement`, { kind: 'write', text: 'append', args: [key, tag] })
-        // Some keep their transaction open for a while, as a desk does that looks something up.
-        if (told.outcome === 'done' && mix.op === 'linger') await rest(1000 + 6000 * world.random())
-        if (told.outcome === 'done' && world.random() < 0.1) {
-          // Thought better of it: a transaction rolled back keeps nothing.
-          told = await call('POST', `${at}/rollback`, {})
-          if (told.outcome === 'done') told = { outcome: 'refused', class: 'ROLLED_BACK', kept: 'nothing' }
-        } else if (told.outcome === 'done') {
+        result = settingResult
+        if (result.outcome === 'done' && (result.rows ?? [])[1] !== `r${settings.id}`) wrong = true
+        if (result.outcome === 'done')
+          result = await call('POST', `${sessionPath}/statement`, { kind: 'write', text: 'append', args: [key, tag] })
+        // 'linger' keeps its transaction open for 1 to 7 s, as an interactive user does.
+        if (result.outcome === 'done' && mix.op === 'linger') await pauseInTransaction(1000 + 6000 * world.random())
+        if (result.outcome === 'done' && world.random() < 0.1) {
+          // Rolls back one transaction in ten: it must leave nothing behind.
+          result = await call('POST', `${sessionPath}/rollback`, {})
+          if (result.outcome === 'done') result = { outcome: 'refused', class: 'ROLLED_BACK', kept: 'nothing' }
+        } else if (result.outcome === 'done') {
           sentCommit = true
-          told = await call('POST', `${at}/commit`, {})
+          result = await call('POST', `${sessionPath}/commit`, {})
         }
       }
     }
     const end = world.now()
-    const base = {
+    const common = {
       kind: mix.kind,
       lane: mix.lane,
       group: mix.group,
-      session: set.id,
+      session: settings.id,
       key,
       within: mix.within,
       own: mix.own,
       wrong,
-      node: node0,
-      after: told.after !== undefined,
-      why: told.why ?? '',
+      node: nodeAddr,
+      after: result.after !== undefined,
+      why: result.why ?? '',
     }
-    set.note({
-      ...base,
+    settings.note({
+      ...common,
       served,
-      tag: wrote ? tag : undefined,
+      tag: isWrite ? tag : undefined,
       list,
       start,
       end,
-      outcome: told.outcome,
-      class: told.class ?? '',
-      kept: told.kept ?? '',
+      outcome: result.outcome,
+      class: result.class ?? '',
+      kept: result.kept ?? '',
       sentCommit,
     })
-    if (told.outcome === 'done' && told.token !== undefined) tokens.set(mix.lane, told.token)
-    // After a deposit the session looks at what it wrote.
-    if (told.outcome === 'done' && mix.op === 'deposit') {
-      const from = world.now()
-      const seen = await call('POST', `${at}/statement`, { kind: 'read', text: 'list', args: [key] })
+    if (result.outcome === 'done' && result.token !== undefined) tokens.set(mix.lane, result.token)
+    // After a deposit the session reads its own write.
+    if (result.outcome === 'done' && mix.op === 'deposit') {
+      const readStart = world.now()
+      const ownRead = await call('POST', `${sessionPath}/statement`, { kind: 'read', text: 'list', args: [key] })
       list = undefined
-      rowsOf(seen)
-      set.note({
-        ...base,
+      takeRows(ownRead)
+      settings.note({
+        ...common,
         served,
         kind: `${mix.kind} own`,
         tag: undefined,
         list,
-        start: from,
+        start: readStart,
         end: world.now(),
-        outcome: seen.outcome,
-        class: seen.class ?? '',
-        kept: seen.kept ?? '',
+        outcome: ownRead.outcome,
+        class: ownRead.class ?? '',
+        kept: ownRead.kept ?? '',
         sentCommit: false,
         wrong,
       })
     }
-    return told
+    return result
   }
-  await pause(world, world.random() * set.think, stop)
-  while (!stop.fired() && !set.until()) {
-    const mix = pick()
-    let told = await operate(mix)
-    // A requester that retries whole operations, as those of our users do: at once, on another node.
-    let tries = 0
+  await pause(world, world.random() * settings.think, stop)
+  while (!stop.fired() && !settings.until()) {
+    const mix = pickMix()
+    let result = await runOperation(mix)
+    // Retries the whole operation at most twice, at once and on another node, as the users' clients do.
+    let retries = 0
     while (
-      set.again &&
-      told &&
-      told.outcome !== 'done' &&
-      told.class !== 'ROLLED_BACK' &&
-      told.outcome !== 'unknown' &&
-      tries < 2 &&
+      settings.again &&
+      result &&
+      result.outcome !== 'done' &&
+      result.class !== 'ROLLED_BACK' &&
+      result.outcome !== 'unknown' &&
+      retries < 2 &&
       !stop.fired()
     ) {
-      tries++
-      move()
-      told = await operate(mix)
+      retries++
+      moveToOtherNode()
+      result = await runOperation(mix)
     }
-    // Some move to another node, and so another area, with nothing wrong at all; their tokens go with them.
-    if (world.random() < 0.02) move()
+    // 2% move to another node, and so to another area, without any failure; they keep their tokens.
+    if (world.random() < 0.02) moveToOtherNode()
     if (
-      told &&
-      (told.outcome === 'none' ||
-        told.class === 'NOT_FOUND' ||
-        (told.outcome === 'refused' && told.class !== 'ROLLED_BACK' && world.random() < 0.3))
+      result &&
+      (result.outcome === 'none' ||
+        result.class === 'NOT_FOUND' ||
+        (result.outcome === 'refused' && result.class !== 'ROLLED_BACK' && world.random() < 0.3))
     )
-      move()
-    await pause(world, set.think * (0.5 + world.random()), stop)
+      moveToOtherNode()
+    await pause(world, settings.think * (0.5 + world.random()), stop)
   }
-  line?.close()
+  connection?.close()
 }
