--- a/packages/fleet/src/judge.ts
+++ b/packages/fleet/src/judge.ts
@@ -1,11 +1,17 @@
 import type { Event } from './requester.js'
 import type { InstanceRecord } from './instance.js'
 
-// Holds what requesters were told against what the instances recorded. The clocks are one: all of a
-// simulated fleet's, or the monotonic clock of the one machine that a local fleet runs on.
+/**
+ * Checks the results that clients saw against what the instances recorded. All times come from one clock: that of the
+ * simulation, or the monotonic clock of the one machine that a local fleet runs on.
+ */
+
+/** A violated rule, with a description of the case. */
 export type Breach = { rule: string; what: string }
-// What a lane was from a time on, by an accepted change; group undefined: it was dropped.
-// fenced: it took the group over by a move, so no write may count on the other side once one did on this.
+/**
+ * A lane's rule from a time on, set by an accepted change; `group` undefined: the lane was dropped. `fenced`: a move
+ * switched the lane to the group, so no write may succeed in the other group once one has succeeded in this one.
+ */
 export type Law = {
   lane: string
   from: number
@@ -14,169 +20,192 @@
   own: boolean
   fenced?: boolean
 }
-// ms. Work by a rule that was replaced longer ago than this is a breach: the users' 3 s, and half a second for the
-// requester's own way to its node and back.
-const HEEDED = 3500
+/**
+ * Work by a rule that was replaced longer ago than this is a breach: the 3 s promised to users, and half a second for
+ * the client's round trip to its node.
+ */
+const REPLACED_RULE_GRACE_MS = 3500
+/** The result of the check: breaches, lost writes and the number of cases checked. */
 export type Judgement = {
   breaches: Breach[]
-  // Acknowledged commits that no instance holds any more because the old leader had not sent them on
-  // before it was replaced: asynchronous replication's own loss, reported and not hidden.
+  /**
+   * Acknowledged commits that were lost because the old leader had not replicated them before it was replaced. This
+   * loss is inherent in asynchronous replication: it is reported, and is no breach.
+   */
   lost: string[]
   checked: { writes: number; reads: number; done: number; promised: number }
 }
 
-// apart: a lane's groups hold data of their own, so that what one was told the other doesn't owe.
+/**
+ * Checks all events. `apart`: each group holds its own data, so that a read in one group need not see writes of
+ * another.
+ */
 export function judge(events: Event[], records: InstanceRecord[], laws: Law[] = [], apart = false): Judgement {
   const breaches: Breach[] = []
   const lost = new Set<string>()
-  const byLane = new Map<string, Law[]>()
-  for (const law of laws) byLane.set(law.lane, [...(byLane.get(law.lane) ?? []), law])
-  // The laws that work between two times may go by: those in force then, and those replaced a moment before.
-  function lawsOf(lane: string, from: number, to: number): Law[] {
-    const list = byLane.get(lane) ?? []
-    const out: Law[] = []
-    for (const [k, law] of list.entries()) {
-      const next = list[k + 1]
-      if (law.from <= to && (!next || next.from + HEEDED >= from)) out.push(law)
+  const rulesByLane = new Map<string, Law[]>()
+  for (const rule of laws) rulesByLane.set(rule.lane, [...(rulesByLane.get(rule.lane) ?? []), rule])
+  /** The rules that work between two times may follow: those in force then, and those replaced just before. */
+  function rulesInForce(lane: string, from: number, to: number): Law[] {
+    const rules = rulesByLane.get(lane) ?? []
+    const inForce: Law[] = []
+    for (const [index, rule] of rules.entries()) {
+      const next = rules[index + 1]
+      if (rule.from <= to && (!next || next.from + REPLACED_RULE_GRACE_MS >= from)) inForce.push(rule)
     }
-    return out
+    return inForce
   }
-  function heeds(lane: string, group: string, from: number, to: number): boolean {
-    const list = lawsOf(lane, from, to)
-    if (list.length === 0) return true
-    for (const law of list) if (law.group === group) return true
+  function isGroupAllowed(lane: string, group: string, from: number, to: number): boolean {
+    const rules = rulesInForce(lane, from, to)
+    if (rules.length === 0) return true
+    for (const rule of rules) if (rule.group === group) return true
     return false
   }
-  function breach(rule: string, what: string): void {
+  function addBreach(rule: string, what: string): void {
     breaches.push({ rule, what })
   }
-  // ranBy: every run of each tag, over all instances. kept: how often the surviving line holds each tag.
-  const ranBy = new Map<string, { epoch: number; at: number; name: string; group: string }[]>()
-  const kept = new Map<string, number>()
-  const lines = new Map<string, InstanceRecord>()
-  const took = new Map<string, { epoch: number; at: number; base: number }[]>()
-  for (const r of records) {
-    for (const one of r.ran) {
-      const list = ranBy.get(one.tag) ?? []
-      // An instance that was killed may hand its record in twice, before and after.
-      if (list.some(isSame)) continue
-      list.push({ epoch: one.epoch, at: one.at, name: r.name, group: r.group })
-      ranBy.set(one.tag, list)
-      function isSame(x: { at: number; name: string; epoch: number }): boolean {
-        return x.at === one.at && x.name === r.name && x.epoch === one.epoch
+  /** Every execution of each tag, over all instances. */
+  const runsByTag = new Map<string, { epoch: number; at: number; name: string; group: string }[]>()
+  /** How often each tag is in the surviving log of its group. */
+  const survivingCounts = new Map<string, number>()
+  /** For each group the record with the highest epoch and, within it, the longest log. */
+  const survivingRecords = new Map<string, InstanceRecord>()
+  const promotionsByGroup = new Map<string, { epoch: number; at: number; base: number }[]>()
+  for (const record of records) {
+    for (const executed of record.ran) {
+      const runs = runsByTag.get(executed.tag) ?? []
+      // The record of an instance that was killed may be present twice, from before and after the kill.
+      if (runs.some(isSame)) continue
+      runs.push({ epoch: executed.epoch, at: executed.at, name: record.name, group: record.group })
+      runsByTag.set(executed.tag, runs)
+      function isSame(run: { at: number; name: string; epoch: number }): boolean {
+        return run.at === executed.at && run.name === record.name && run.epoch === executed.epoch
       }
     }
-    took.set(r.group, [...(took.get(r.group) ?? []), ...r.took])
-    const old = lines.get(r.group)
-    if (!old || lastEpoch(r) > lastEpoch(old) || (lastEpoch(r) === lastEpoch(old) && r.log.length > old.log.length))
-      lines.set(r.group, r)
-    if (r.lateWork > 0) breach('leaving', `${r.name} got ${r.lateWork} new pieces of work over 7 s after its notice`)
-    if (r.most > r.limit) breach('connections', `${r.name} had ${r.most} connections of ${r.limit}`)
-    if (r.wrongSettings > 0)
-      breach('settings', `${r.name} saw ${r.wrongSettings} statements under settings of another session`)
+    promotionsByGroup.set(record.group, [...(promotionsByGroup.get(record.group) ?? []), ...record.took])
+    const best = survivingRecords.get(record.group)
+    if (
+      !best ||
+      lastEpoch(record) > lastEpoch(best) ||
+      (lastEpoch(record) === lastEpoch(best) && record.log.length > best.log.length)
+    )
+      survivingRecords.set(record.group, record)
+    if (record.lateWork > 0)
+      addBreach('leaving', `${record.name} got ${record.lateWork} new pieces of work over 7 s after its notice`)
+    if (record.most > record.limit)
+      addBreach('connections', `${record.name} had ${record.most} connections of ${record.limit}`)
+    if (record.wrongSettings > 0)
+      addBreach('settings', `${record.name} saw ${record.wrongSettings} statements under settings of another session`)
   }
-  function lastEpoch(r: InstanceRecord): number {
-    let e = r.log.length > 0 ? r.log[r.log.length - 1].epoch : 0
-    for (const one of r.took) e = Math.max(e, one.epoch)
-    return e
+  function lastEpoch(record: InstanceRecord): number {
+    let epoch = record.log.length > 0 ? record.log[record.log.length - 1].epoch : 0
+    for (const promotion of record.took) epoch = Math.max(epoch, promotion.epoch)
+    return epoch
   }
-  // by: the lines that hold each tag, as a group's leader may lose what another group copied in time.
-  const by = new Map<string, Set<string>>()
-  for (const r of lines.values()) {
-    const here = new Map<string, number>()
-    for (const e of r.log) for (const [, tag] of e.ops) here.set(tag, (here.get(tag) ?? 0) + 1)
-    for (const [tag, n] of here) {
-      if (n > 1) breach('twice', `${tag} took effect ${n} times in ${r.group}`)
-      kept.set(tag, n)
-      const groups = by.get(tag) ?? new Set<string>()
-      by.set(tag, groups.add(r.group))
+  /** The groups whose surviving log has each tag: a leader may lose a write that another group has copied already. */
+  const groupsByTag = new Map<string, Set<string>>()
+  for (const record of survivingRecords.values()) {
+    const tagCounts = new Map<string, number>()
+    for (const entry of record.log) for (const [, tag] of entry.ops) tagCounts.set(tag, (tagCounts.get(tag) ?? 0) + 1)
+    for (const [tag, count] of tagCounts) {
+      if (count > 1) addBreach('twice', `${tag} took effect ${count} times in ${record.group}`)
+      survivingCounts.set(tag, count)
+      const groups = groupsByTag.get(tag) ?? new Set<string>()
+      groupsByTag.set(tag, groups.add(record.group))
     }
   }
-  for (const [tag, list] of ranBy)
-    if (list.length > 1) breach('resent', `${tag} ran ${list.length} times: ${list.map(showRun).join(', ')}`)
+  for (const [tag, runs] of runsByTag)
+    if (runs.length > 1) addBreach('resent', `${tag} ran ${runs.length} times: ${runs.map(showRun).join(', ')}`)
 
   const checked = { writes: 0, reads: 0, done: 0, promised: 0 }
-  const byKey = new Map<string, Event[]>()
-  for (const e of events) {
-    if (e.wrong) breach('foreign', `${e.kind} of session ${e.session} was given rows or settings that are not its own`)
-    if (e.tag === undefined) continue
+  const doneWritesByKey = new Map<string, Event[]>()
+  for (const event of events) {
+    if (event.wrong)
+      addBreach('foreign', `${event.kind} of session ${event.session} was given rows or settings that are not its own`)
+    if (event.tag === undefined) continue
     checked.writes++
-    const runs = ranBy.get(e.tag) ?? []
-    if (e.outcome === 'done') {
+    const runs = runsByTag.get(event.tag) ?? []
+    if (event.outcome === 'done') {
       checked.done++
-      const list = byKey.get(e.key) ?? []
-      list.push(e)
-      byKey.set(e.key, list)
-      if (runs.length === 0 && !kept.has(e.tag)) {
-        breach('never given', `${e.tag} was told done and no instance ran it`)
+      const doneWrites = doneWritesByKey.get(event.key) ?? []
+      doneWrites.push(event)
+      doneWritesByKey.set(event.key, doneWrites)
+      if (runs.length === 0 && !survivingCounts.has(event.tag)) {
+        addBreach('never given', `${event.tag} was told done and no instance ran it`)
         continue
       }
       for (const run of runs) {
-        if (!heeds(e.lane, run.group, run.at, run.at))
-          breach(
+        if (!isGroupAllowed(event.lane, run.group, run.at, run.at))
+          addBreach(
             'unheeded',
-            `${e.tag} of lane ${e.lane} ran in ${run.group} at ${Math.round(run.at)}, by a rule replaced long before`,
+            `${event.tag} of lane ${event.lane} ran in ${run.group} at ${Math.round(run.at)}, by a rule replaced long before`,
           )
-        for (const next of took.get(run.group) ?? []) {
-          if (next.epoch > run.epoch && run.at > next.at)
-            breach(
+        for (const promotion of promotionsByGroup.get(run.group) ?? []) {
+          if (promotion.epoch > run.epoch && run.at > promotion.at)
+            addBreach(
               'old leader',
-              `${e.tag} ran on ${run.name} in epoch ${run.epoch} at ${Math.round(run.at)}, after epoch ${next.epoch} began at ${Math.round(next.at)}, and was told done`,
+              `${event.tag} ran on ${run.name} in epoch ${run.epoch} at ${Math.round(run.at)}, after epoch ${promotion.epoch} began at ${Math.round(promotion.at)}, and was told done`,
             )
         }
       }
-      if (runs.length > 0 && !by.get(e.tag)?.has(runs[0].group)) lost.add(e.tag)
-    } else if (e.kept === 'nothing') {
+      if (runs.length > 0 && !groupsByTag.get(event.tag)?.has(runs[0].group)) lost.add(event.tag)
+    } else if (event.kept === 'nothing') {
       checked.promised++
-      if (runs.length > 0 || kept.has(e.tag)) breach('promise', `${e.tag} was told that nothing was kept, and it ran`)
-    } else if ((e.outcome === 'failed' || e.outcome === 'refused') && !e.sentCommit && kept.has(e.tag))
-      breach('promise', `${e.tag} took effect though its commit was never sent`)
+      if (runs.length > 0 || survivingCounts.has(event.tag))
+        addBreach('promise', `${event.tag} was told that nothing was kept, and it ran`)
+    } else if (
+      (event.outcome === 'failed' || event.outcome === 'refused') &&
+      !event.sentCommit &&
+      survivingCounts.has(event.tag)
+    )
+      addBreach('promise', `${event.tag} took effect though its commit was never sent`)
   }
-  for (const [lane, list] of byLane) {
-    for (const [k, law] of list.entries()) {
-      if (law.fenced !== true) continue
-      // From the first write that counted on this side to the next law, none may on the other.
-      const until = list[k + 1]?.from ?? Infinity
-      let first = Infinity
-      for (const e of events)
-        if (e.lane === lane && e.tag !== undefined && e.outcome === 'done')
-          for (const run of ranBy.get(e.tag) ?? [])
-            if (run.group === law.group && run.at >= law.from - 1000) first = Math.min(first, run.at)
-      for (const e of events)
-        if (e.lane === lane && e.tag !== undefined && e.outcome === 'done')
-          for (const run of ranBy.get(e.tag) ?? [])
-            if (run.group !== law.group && run.at > first && run.at < until)
-              breach(
+  for (const [lane, rules] of rulesByLane) {
+    for (const [index, rule] of rules.entries()) {
+      if (rule.fenced !== true) continue
+      // From the first acknowledged write in the new group until the next rule, the other group may accept none.
+      const replacedAt = rules[index + 1]?.from ?? Infinity
+      let firstWriteAt = Infinity
+      for (const event of events)
+        if (event.lane === lane && event.tag !== undefined && event.outcome === 'done')
+          for (const run of runsByTag.get(event.tag) ?? [])
+            if (run.group === rule.group && run.at >= rule.from - 1000) firstWriteAt = Math.min(firstWriteAt, run.at)
+      for (const event of events)
+        if (event.lane === lane && event.tag !== undefined && event.outcome === 'done')
+          for (const run of runsByTag.get(event.tag) ?? [])
+            if (run.group !== rule.group && run.at > firstWriteAt && run.at < replacedAt)
+              addBreach(
                 'both sides',
-                `${e.tag} of lane ${lane} ran in ${run.group} at ${Math.round(run.at)} and was told done, after ${law.group} had taken a write at ${Math.round(first)}`,
+                `${event.tag} of lane ${lane} ran in ${run.group} at ${Math.round(run.at)} and was told done, after ${rule.group} had taken a write at ${Math.round(firstWriteAt)}`,
               )
     }
   }
-  for (const e of events) {
-    if (e.list === undefined || e.outcome !== 'done') continue
+  for (const event of events) {
+    if (event.list === undefined || event.outcome !== 'done') continue
     checked.reads++
-    const has = new Set(e.list)
-    if (!heeds(e.lane, e.served, e.start, e.end))
-      breach(
+    const readTags = new Set(event.list)
+    if (!isGroupAllowed(event.lane, event.served, event.start, event.end))
+      addBreach(
         'unheeded',
-        `${e.kind} of lane ${e.lane} at ${Math.round(e.start)} was served by ${e.served}, by a rule replaced long before`,
+        `${event.kind} of lane ${event.lane} at ${Math.round(event.start)} was served by ${event.served}, by a rule replaced long before`,
       )
-    const ruled = lawsOf(e.lane, e.start, e.end)
-    let within = ruled.length > 0 ? 0 : e.within
-    let own = ruled.length > 0 || e.own
-    for (const law of ruled) {
-      within = Math.max(within, law.within)
-      if (!law.own) own = false
+    const rules = rulesInForce(event.lane, event.start, event.end)
+    let within = rules.length > 0 ? 0 : event.within
+    let own = rules.length > 0 || event.own
+    for (const rule of rules) {
+      within = Math.max(within, rule.within)
+      if (!rule.own) own = false
     }
-    for (const w of byKey.get(e.key) ?? []) {
-      if (apart && (ranBy.get(w.tag as string) ?? [])[0]?.group !== e.served) continue
-      // A session's own writes are those of its lane.
-      const mine = own && w.session === e.session && w.end <= e.start && e.kind.startsWith(w.kind)
-      if (!mine && !(w.end < e.start - within)) continue
-      if (!has.has(w.tag as string) && !lost.has(w.tag as string)) {
-        breach(
+    for (const write of doneWritesByKey.get(event.key) ?? []) {
+      if (apart && (runsByTag.get(write.tag as string) ?? [])[0]?.group !== event.served) continue
+      // A session's own writes are those of the same lane.
+      const isOwnWrite =
+        own && write.session === event.session && write.end <= event.start && event.kind.startsWith(write.kind)
+      if (!isOwnWrite && !(write.end < event.start - within)) continue
+      if (!readTags.has(write.tag as string) && !lost.has(write.tag as string)) {
+        addBreach(
           'stale',
-          `${e.kind} of session ${e.session} at ${Math.round(e.start)} missed ${w.tag}, told done at ${Math.round(w.end)} (${mine ? 'its own' : `owed within ${within} ms`})`,
+          `${event.kind} of session ${event.session} at ${Math.round(event.start)} missed ${write.tag}, told done at ${Math.round(write.end)} (${isOwnWrite ? 'its own' : `owed within ${within} ms`})`,
         )
       }
     }
@@ -184,6 +213,7 @@
   return { breaches, lost: [...lost], checked }
 }
 
-function showRun(r: { epoch: number; at: number; name: string }): string {
-  return `${r.name} epoch ${r.epoch} at ${Math.round(r.at)}`
+/** Formats an execution for a breach's description. */
+function showRun(run: { epoch: number; at: number; name: string }): string {
+  return `${run.name} epoch ${run.epoch} at ${Math.round(run.at)}`
 }
