--- a/packages/fleet/src/harm.ts
+++ b/packages/fleet/src/harm.ts
@@ -2,7 +2,9 @@
 import type { Judgement } from './judge.js'
 import type { Shape, SimFleet } from './simfleet.js'
 
-// What scenarios are made of.
+/** Building blocks of fault scenarios. */
+
+/** The result of one scenario run. */
 export type Outcome = {
   name: string
   seed: number
@@ -13,8 +15,10 @@
   notes: Map<string, number>
   fleet: SimFleet
 }
-// long: a run of it takes so much that the tests run it under two seeds.
-// calm: everything that stops does so as planned, so no answer may be dropped and no commit lost.
+/**
+ * A fault scenario. `long`: a run takes so long that the tests use only two seeds. `calm`: everything that stops does
+ * so as planned, so that no answer may be dropped and no commit lost.
+ */
 export type Scenario = {
   name: string
   rule: string
@@ -25,30 +29,35 @@
   harm: (f: SimFleet, notes: Map<string, number>) => Promise<void>
 }
 
-export function indexOf(f: SimFleet, box: { name: string } | undefined): number {
-  for (const [k, b] of f.boxes.entries()) if (b === box) return k
+/** The index of an instance in the fleet, or -1. */
+export function indexOf(fleet: SimFleet, box: { name: string } | undefined): number {
+  for (const [index, candidate] of fleet.boxes.entries()) if (candidate === box) return index
   return -1
 }
-export function wait(f: SimFleet, ms: number): Promise<void> {
-  return f.sim.run(f.sim.now() + ms)
+/** Advances the simulation by `ms`. */
+export function wait(fleet: SimFleet, ms: number): Promise<void> {
+  return fleet.sim.run(fleet.sim.now() + ms)
 }
-export function pick(f: SimFleet, n: number): number {
-  return Math.floor(f.sim.random() * n)
+/** A random integer from 0 to `count` - 1, from the simulation's seeded source. */
+export function pick(fleet: SimFleet, count: number): number {
+  return Math.floor(fleet.sim.random() * count)
 }
-export function leaderIndex(f: SimFleet, group: string): number {
-  // Where none leads just now, whoever comes first stands in.
-  return Math.max(0, indexOf(f, f.leaderOf(group)))
+/** The index of the group's leader. */
+export function leaderIndex(fleet: SimFleet, group: string): number {
+  // Falls back to the first instance where the group has no leader at the moment.
+  return Math.max(0, indexOf(fleet, fleet.leaderOf(group)))
 }
 
-// The newest value of a register that any agent holds.
-export function newestOf(f: SimFleet, key: string): unknown {
+/** The newest value of a register that any running agent holds. */
+export function newestOf(fleet: SimFleet, key: string): unknown {
   let best: { turn: number; body: unknown } | undefined
-  for (const x of f.fronts) {
-    const cell = x.agentProc.state === 'up' ? x.agent?.register(key) : undefined
+  for (const front of fleet.fronts) {
+    const cell = front.agentProc.state === 'up' ? front.agent?.register(key) : undefined
     if (cell && (!best || cell.turn > best.turn)) best = cell
   }
   return best?.body
 }
-export function recordOf(f: SimFleet, group = 'g1'): GroupRecord | undefined {
-  return newestOf(f, `group/${group}`) as GroupRecord | undefined
+/** The newest record of a group that any running agent holds. */
+export function recordOf(fleet: SimFleet, group = 'g1'): GroupRecord | undefined {
+  return newestOf(fleet, `group/${group}`) as GroupRecord | undefined
 }
--- a/packages/fleet/src/instancetypes.ts
+++ b/packages/fleet/src/instancetypes.ts
@@ -1,26 +1,29 @@
 import type { Address } from '@claynotch/base'
 
-// The settings, faults and records of a stand-in instance.
+/** The settings, faults and records of a simulated database instance. */
 
-// src: copied from another group's history, where it stood at that position in that entry's epoch.
+/** A log entry. `src`: copied from another group's log, with its position and epoch there. */
 export type Entry = { epoch: number; ops: [string, string][]; src?: { group: string; epoch: number; position: number } }
 
-// One append that this instance ran as leader. at: its own clock.
+/** An append that this instance executed as leader. `at`: the instance's own clock. */
 export type Ran = { tag: string; epoch: number; position: number; at: number }
 
+/** A promotion of this instance. `base`: the log length at which its epoch began. */
 export type Took = { epoch: number; at: number; base: number }
 
+/** Faults to inject, set by a test or through /fault. */
 export type Faults = {
-  dark: boolean // takes connections and bytes, answers nothing
-  lose: string[] // paths whose next answers are lost after the request ran, one each
-  full: boolean // every write is refused for want of memory
-  deaf: boolean // a follower stops receiving and goes on claiming that it doesn't lag
-  lag: number // ms between fetches of a follower
-  left: boolean // has announced that it leaves
-  uncopied: boolean // copies nothing from its source group any more
-  sick: number // share of statements answered with ELECTION though STATUS looks well
+  dark: boolean // accepts connections and requests but never answers
+  lose: string[] // paths whose next answer is dropped after the request was executed, once per element
+  full: boolean // rejects every write as out of memory
+  deaf: boolean // a follower stops replicating but keeps reporting that it doesn't lag
+  lag: number // ms between a follower's fetches
+  left: boolean // announces that it is leaving
+  uncopied: boolean // stops copying from its source group
+  sick: number // fraction of statements answered with ELECTION while STATUS looks healthy
 }
 
+/** Settings of an instance process. `lag`: replication interval in ms; `connections`: connection limit. */
 export type InstanceSettings = {
   name: string
   group: string
@@ -33,10 +36,11 @@
   lag: number
   data: string
   leaves?: boolean
-  // A leader copies all that this group has, by its leader's log.
+  /** The group whose whole log this instance copies while it leads, fetched from that group's leader. */
   source?: { group: string; peers: Address[] }
 }
 
+/** A running instance. */
 export type Instance = {
   stop: () => Promise<void>
   leave: () => Promise<void>
@@ -47,6 +51,7 @@
   position: () => number
 }
 
+/** What /record returns: the log, executed appends, promotions and counters that the checks use. */
 export type InstanceRecord = {
   name: string
   group: string
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -3,81 +3,90 @@
 import { leaderIndex, newestOf, pick, wait, type Scenario } from './harm.js'
 import { lawOf, smallShape, type Decided, type Shape, type SimFleet } from './simfleet.js'
 
-// Scenarios of lanes: what a configuration does to calls, sessions and transactions that exist already, and moves
-// of lanes from one group to another.
+/**
+ * Lane scenarios: the effect of a configuration change on existing calls, sessions and transactions, and moves of lanes
+ * from one group to another.
+ */
 
 type Lane = Config['lanes'][number]
 
-function laneNow(f: SimFleet, name: string): Lane {
-  return f.shape.config.lanes.find(isIt) as Lane
-  function isIt(l: Lane): boolean {
-    return l.name === name
+function currentLane(fleet: SimFleet, name: string): Lane {
+  return fleet.shape.config.lanes.find(hasName) as Lane
+  function hasName(lane: Lane): boolean {
+    return lane.name === name
   }
 }
-// Sends a lane as it is to be (undefined: dropped), and notes what the lane is from the acceptance on.
-export async function putLane(f: SimFleet, name: string, next: Lane | undefined): Promise<void> {
-  const num = f.decided.length
+/** Changes a lane (undefined: drops it) and records the rule that applies from the acceptance on. */
+export async function putLane(fleet: SimFleet, name: string, next: Lane | undefined): Promise<void> {
+  const changeNumber = fleet.decided.length
   const edits = next ? [{ op: 'put', what: 'lane', value: next }] : [{ op: 'drop', what: 'lane', name }]
-  const sent = f.change(pick(f, f.fronts.length), `lanes${num}`, [{ number: 1, expect: epochNow(f), edits }])
-  await f.sim.until(sent.done, 15000)
-  const told = sent.out()[0]
-  if (told?.decision !== 'accepted')
-    f.watched.push({ rule: 'configuration', what: `a change of lane ${name} was told ${JSON.stringify(told)}` })
+  const sent = fleet.change(pick(fleet, fleet.fronts.length), `lanes${changeNumber}`, [
+    { number: 1, expect: epochNow(fleet), edits },
+  ])
+  await fleet.sim.until(sent.done, 15000)
+  const result = sent.out()[0]
+  if (result?.decision !== 'accepted')
+    fleet.watched.push({ rule: 'configuration', what: `a change of lane ${name} was told ${JSON.stringify(result)}` })
   else
-    f.laws.push(
-      next ? lawOf(next, f.sim.now()) : { lane: name, from: f.sim.now(), group: undefined, within: 0, own: false },
+    fleet.laws.push(
+      next
+        ? lawOf(next, fleet.sim.now())
+        : { lane: name, from: fleet.sim.now(), group: undefined, within: 0, own: false },
     )
 }
-// The epoch last told accepted.
-export function epochNow(f: SimFleet): number {
-  let most = 0
-  for (const d of f.decided) if (d.told.decision === 'accepted') most = Math.max(most, d.told.epoch ?? 0)
-  return most
+/** The highest epoch of an accepted change. */
+export function epochNow(fleet: SimFleet): number {
+  let latestEpoch = 0
+  for (const change of fleet.decided)
+    if (change.told.decision === 'accepted') latestEpoch = Math.max(latestEpoch, change.told.epoch ?? 0)
+  return latestEpoch
 }
 
-// Lanes are moved by a plain change, dropped, put back, tightened, in half of the cases while their group's leader has
-// just died and calls wait for the next.
-async function lanesChanged(f: SimFleet, notes: Map<string, number>): Promise<void> {
+/**
+ * Reassigns lanes by a plain change, drops them, changes their read rule and restores them; in half of the cases while
+ * the leader of group g1 has just died and calls wait for the next one.
+ */
+async function lanesChanged(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
   for (let k = 0; k < 3; k++) {
-    const name = ['book-g1', 'dep-g1', 'cal-g1'][pick(f, 3)]
-    const was = laneNow(f, name)
-    const ways: [string, Lane | undefined][] = [
-      ['moved', { ...was, group: 'g2' }],
+    const name = ['book-g1', 'dep-g1', 'cal-g1'][pick(fleet, 3)]
+    const original = currentLane(fleet, name)
+    const changes: [string, Lane | undefined][] = [
+      ['moved', { ...original, group: 'g2' }],
       ['dropped', undefined],
-      ['tightened', { ...was, reads: 'leader' }],
+      ['tightened', { ...original, reads: 'leader' }],
     ]
-    if (was.reads !== 'leader') ways.push(['own bound', { ...was, reads: { within: 1000, own: true } }])
-    const [way, next] = ways[pick(f, ways.length)]
-    const dead = f.sim.random() < 0.5 ? leaderIndex(f, 'g1') : -1
-    notes.set(`${name} ${way}${dead >= 0 ? ' in a promotion' : ''}`, 1)
-    if (dead >= 0) {
-      f.killBox(dead)
-      await wait(f, 100 + 1500 * f.sim.random())
+    if (original.reads !== 'leader') changes.push(['own bound', { ...original, reads: { within: 1000, own: true } }])
+    const [way, next] = changes[pick(fleet, changes.length)]
+    const deadIndex = fleet.sim.random() < 0.5 ? leaderIndex(fleet, 'g1') : -1
+    notes.set(`${name} ${way}${deadIndex >= 0 ? ' in a promotion' : ''}`, 1)
+    if (deadIndex >= 0) {
+      fleet.killBox(deadIndex)
+      await wait(fleet, 100 + 1500 * fleet.sim.random())
     }
-    await putLane(f, name, next)
-    await wait(f, 7000)
-    if (dead >= 0) f.startBoxAt(dead)
-    await putLane(f, name, was)
-    await wait(f, 2000 + 3000 * f.sim.random())
+    await putLane(fleet, name, next)
+    await wait(fleet, 7000)
+    if (deadIndex >= 0) fleet.startBoxAt(deadIndex)
+    await putLane(fleet, name, original)
+    await wait(fleet, 2000 + 3000 * fleet.sim.random())
   }
 }
-// Two groups, and some transactions that stay open for up to 7 s.
+/** Two groups, and some transactions that stay open for up to 7 s. */
 function twoGroups(): Shape {
-  const s = smallShape(2)
-  for (const lane of s.config.lanes) lane.database = `kiln-${lane.group}`
-  // Room for transactions that hold a connection for seconds, also where all are on one group and one proxy is away.
-  for (const g of s.config.groups) g.connections = 60
+  const shape = smallShape(2)
+  for (const lane of shape.config.lanes) lane.database = `kiln-${lane.group}`
+  // Enough connections for transactions that last seconds, even if all lanes are in one group and one proxy is down.
+  for (const group of shape.config.groups) group.connections = 60
   return {
-    ...s,
+    ...shape,
     requesters: 16,
     connections: 60,
     mixes: [
-      ...s.mixes,
+      ...shape.mixes,
       { kind: 'linger', lane: 'book-g1', group: 'g1', op: 'linger', weight: 1, within: 0, own: false },
     ],
   }
 }
-// Both groups hold everything, each copying from the other.
+/** Both groups hold all data, each copying from the other. */
 function twoSides(): Shape {
   return {
     ...twoGroups(),
@@ -87,12 +96,12 @@
     ],
   }
 }
-function twoCalm(): Shape {
+function twoSidesShortTransactions(): Shape {
   return { ...twoSides(), mixes: smallShape(2).mixes }
 }
-// Without reading transactions, which a follower that lags by seconds ends.
+/** Without read-only transactions, which are aborted where their follower lags by seconds. */
 function twoLagging(): Shape {
-  const looks = {
+  const depositReads = {
     kind: 'deposit look',
     lane: 'dep-g1',
     group: 'g1',
@@ -101,166 +110,173 @@
     within: 2500,
     own: true,
   } as const
-  return { ...twoSides(), mixes: [...smallShape(2).mixes.filter(isShort), looks] }
+  return { ...twoSides(), mixes: [...smallShape(2).mixes.filter(isNotBrowse), depositReads] }
 }
-// The old side gets nothing back from the new one.
-function oneWay(): Shape {
+/** Only g2 copies from g1: after a move to g2, g1 gets none of the writes that g2 accepts. */
+function oneWayCopy(): Shape {
   return { ...twoGroups(), copies: [['g1', 'g2']] }
 }
-function isShort(m: { op: string }): boolean {
-  return m.op !== 'browse'
+function isNotBrowse(mix: { op: string }): boolean {
+  return mix.op !== 'browse'
 }
-// The configuration's register as the agent that has most of it knows it.
-function bodyNow(f: SimFleet): ConfigurationBody | undefined {
-  return newestOf(f, 'configuration') as ConfigurationBody | undefined
+/** The newest value of the configuration register that any agent holds. */
+function currentConfiguration(fleet: SimFleet): ConfigurationBody | undefined {
+  return newestOf(fleet, 'configuration') as ConfigurationBody | undefined
 }
-// Sends one change of edits; what was told.
-async function send(f: SimFleet, stream: string, edits: unknown[]): Promise<Decided> {
-  const sent = f.change(pick(f, f.fronts.length), stream, [
-    { number: f.decided.length + 1, expect: bodyNow(f)?.epoch ?? 0, edits },
+/** Sends a change and returns its decision. */
+async function sendChange(fleet: SimFleet, stream: string, edits: unknown[]): Promise<Decided> {
+  const sent = fleet.change(pick(fleet, fleet.fronts.length), stream, [
+    { number: fleet.decided.length + 1, expect: currentConfiguration(fleet)?.epoch ?? 0, edits },
   ])
-  await f.sim.until(sent.done, 15000)
+  await fleet.sim.until(sent.done, 15000)
   return sent.out()[0] ?? { decision: 'no answer' }
 }
-// Runs a move to its end, with a harm on the way; true where the lanes went over.
+/** Runs a move to its end, with a fault injected at a phase; returns whether the lanes switched. */
 async function moveLanes(
-  f: SimFleet,
+  fleet: SimFleet,
   lanes: string[],
   to: string,
   notes: Map<string, number>,
   harm?: { phase: string; run: () => Promise<void> | void },
 ): Promise<boolean> {
-  const told = await send(f, 'moves', [{ op: 'move', lanes, to }])
-  if (told.decision !== 'accepted') {
-    f.watched.push({ rule: 'move', what: `a move of ${lanes.join()} to ${to} was told ${JSON.stringify(told)}` })
+  const result = await sendChange(fleet, 'moves', [{ op: 'move', lanes, to }])
+  if (result.decision !== 'accepted') {
+    fleet.watched.push({ rule: 'move', what: `a move of ${lanes.join()} to ${to} was told ${JSON.stringify(result)}` })
     return false
   }
-  const id = told.epoch ?? 0
-  const from = f.sim.now()
-  let stopped = 0
-  let done = false
-  // Time of the last look at which the move wasn't over.
-  let last = f.sim.now()
-  function move(): Move | undefined {
-    for (const m of bodyNow(f)?.moves ?? []) if (m.id === id) return m
+  const id = result.epoch ?? 0
+  const from = fleet.sim.now()
+  let drainStartedAt = 0
+  let isHarmStarted = false
+  /** When the move was last seen in progress. */
+  let lastSeenAt = fleet.sim.now()
+  function currentMove(): Move | undefined {
+    for (const move of currentConfiguration(fleet)?.moves ?? []) if (move.id === id) return move
     return undefined
   }
-  function over(): boolean {
-    const m = move()
-    if (m) last = f.sim.now()
-    if (m && m.phase === 'drain' && stopped === 0) stopped = f.sim.now()
-    if (m && harm && !done && m.phase === harm.phase) {
-      done = true
+  function hasMoveEnded(): boolean {
+    const move = currentMove()
+    if (move) lastSeenAt = fleet.sim.now()
+    if (move && move.phase === 'drain' && drainStartedAt === 0) drainStartedAt = fleet.sim.now()
+    if (move && harm && !isHarmStarted && move.phase === harm.phase) {
+      isHarmStarted = true
       void harm.run()
     }
-    return m === undefined && (bodyNow(f)?.epoch ?? 0) >= id
+    return move === undefined && (currentConfiguration(fleet)?.epoch ?? 0) >= id
   }
-  if (!(await f.sim.until(over, 60000))) {
-    f.watched.push({
+  if (!(await fleet.sim.until(hasMoveEnded, 60000))) {
+    fleet.watched.push({
       rule: 'move',
-      what: `the move of ${lanes.join()} to ${to} has not ended after a minute: ${JSON.stringify(move())}`,
+      what: `the move of ${lanes.join()} to ${to} has not ended after a minute: ${JSON.stringify(currentMove())}`,
     })
     return false
   }
-  let there = false
-  for (const lane of bodyNow(f)?.config?.lanes ?? []) {
+  let isSwitched = false
+  for (const lane of currentConfiguration(fleet)?.config?.lanes ?? []) {
     if (!lanes.includes(lane.name) || lane.group !== to) continue
-    there = true
-    f.laws.push({ ...lawOf(lane, last), fenced: true })
+    isSwitched = true
+    fleet.laws.push({ ...lawOf(lane, lastSeenAt), fenced: true })
   }
-  if (there)
+  if (isSwitched)
     notes.set(
       'ms from the drain to the switch, most',
-      Math.max(notes.get('ms from the drain to the switch, most') ?? 0, Math.round(f.sim.now() - (stopped || from))),
+      Math.max(
+        notes.get('ms from the drain to the switch, most') ?? 0,
+        Math.round(fleet.sim.now() - (drainStartedAt || from)),
+      ),
     )
-  return there
+  return isSwitched
 }
-// A move with everything well, there and back: no answer is dropped, and the lanes' writes stall for a moment only.
-async function moveCalm(f: SimFleet, notes: Map<string, number>): Promise<void> {
+/** Moves lanes there and back without faults: no answer is dropped, and writes stall for at most 1 s. */
+async function moveCalm(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
   const lanes = ['book-g1', 'dep-g1', 'cal-g1']
-  const part = await send(f, 'part', [{ op: 'move', lanes: ['dep-g1'], to: 'g2' }])
-  if (part.decision !== 'refused')
-    f.watched.push({
+  const partialMove = await sendChange(fleet, 'part', [{ op: 'move', lanes: ['dep-g1'], to: 'g2' }])
+  if (partialMove.decision !== 'refused')
+    fleet.watched.push({
       rule: 'move',
-      what: `a lane without its fellows to the same database was told ${JSON.stringify(part)}`,
+      what: `a lane without its fellows to the same database was told ${JSON.stringify(partialMove)}`,
     })
   for (const to of ['g2', 'g1']) {
-    const from = f.sim.now()
-    const did = await moveLanes(f, lanes, to, notes)
-    if (!did) f.watched.push({ rule: 'move', what: `a move to ${to} with nothing wrong was called off` })
-    await wait(f, 2500)
-    let stall = 0
-    let last = from
-    for (const e of f.events) {
-      if (!lanes.includes(e.lane) || e.tag === undefined || e.outcome !== 'done' || e.end < from) continue
-      stall = Math.max(stall, e.end - last)
-      last = Math.max(last, e.end)
+    const from = fleet.sim.now()
+    const isMoved = await moveLanes(fleet, lanes, to, notes)
+    if (!isMoved) fleet.watched.push({ rule: 'move', what: `a move to ${to} with nothing wrong was called off` })
+    await wait(fleet, 2500)
+    let longestStallMs = 0
+    let lastWriteAt = from
+    for (const event of fleet.events) {
+      if (!lanes.includes(event.lane) || event.tag === undefined || event.outcome !== 'done' || event.end < from)
+        continue
+      longestStallMs = Math.max(longestStallMs, event.end - lastWriteAt)
+      lastWriteAt = Math.max(lastWriteAt, event.end)
     }
     notes.set(
       'ms without a write done, most',
-      Math.max(notes.get('ms without a write done, most') ?? 0, Math.round(stall)),
+      Math.max(notes.get('ms without a write done, most') ?? 0, Math.round(longestStallMs)),
     )
-    if (stall > 1000)
-      f.watched.push({ rule: 'move', what: `no write of ${lanes.join()} was done for ${Math.round(stall)} ms` })
+    if (longestStallMs > 1000)
+      fleet.watched.push({
+        rule: 'move',
+        what: `no write of ${lanes.join()} was done for ${Math.round(longestStallMs)} ms`,
+      })
   }
-  await wait(f, 2000)
+  await wait(fleet, 2000)
 }
-// The same with one follower of each group lagging, so that a session's own writes are not everywhere at the switch.
-async function moveLagging(f: SimFleet, notes: Map<string, number>): Promise<void> {
-  for (const g of ['g1', 'g2']) {
-    for (const b of f.boxes) {
-      if (b.group !== g || b.instance?.role() !== 'follower') continue
-      b.instance.faults.lag = 2000
+/** The same with one lagging follower in each group, so that it lacks a session's own writes at the switch. */
+async function moveLagging(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
+  for (const group of ['g1', 'g2']) {
+    for (const box of fleet.boxes) {
+      if (box.group !== group || box.instance?.role() !== 'follower') continue
+      box.instance.faults.lag = 2000
       break
     }
   }
-  await moveCalm(f, notes)
+  await moveCalm(fleet, notes)
 }
-// A move with one thing going wrong at one of its phases; it is finished or called off, whatever it was.
-async function moveHarmed(f: SimFleet, notes: Map<string, number>): Promise<void> {
+/** Injects one fault at one phase of a move; the move must complete or be cancelled, whatever the fault. */
+async function moveHarmed(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
   const phases = ['copy', 'ease', 'drain', 'quiet', 'held']
-  const harms = harmsOf(f)
-  await moveUnder(f, notes, phases[pick(f, phases.length)], harms[pick(f, harms.length)])
+  const harms = harmsOf(fleet)
+  await moveWithHarm(fleet, notes, phases[pick(fleet, phases.length)], harms[pick(fleet, harms.length)])
 }
-// A proxy applies the last phase before the switch and then hears nothing of the switch.
-async function moveDeaf(f: SimFleet, notes: Map<string, number>): Promise<void> {
-  await moveUnder(f, notes, 'held', harmsOf(f).find(isIt)!)
+/** A proxy applies the last phase before the switch, and is partitioned so that it doesn't learn of the switch. */
+async function moveDeaf(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
+  await moveWithHarm(fleet, notes, 'held', harmsOf(fleet).find(isIt)!)
   function isIt(h: { name: string }): boolean {
     return h.name === 'proxyDeaf'
   }
 }
-async function moveUnder(
-  f: SimFleet,
+async function moveWithHarm(
+  fleet: SimFleet,
   notes: Map<string, number>,
   phase: string,
   harm: () => Promise<void> | void,
 ): Promise<void> {
   notes.set(`${harm.name} in ${phase}`, 1)
   const lanes = ['book-g1', 'dep-g1', 'cal-g1']
-  const did = await moveLanes(f, lanes, 'g2', notes, { phase, run: harm })
-  notes.set(did ? 'went over' : 'called off', 1)
-  await wait(f, 9000)
-  f.sim.heal()
-  for (const b of f.boxes) if (b.instance) b.instance.faults.uncopied = false
-  for (const [k, b] of f.boxes.entries()) if (b.proc.state === 'dead') f.startBoxAt(k)
-  await wait(f, 4000)
+  const isMoved = await moveLanes(fleet, lanes, 'g2', notes, { phase, run: harm })
+  notes.set(isMoved ? 'went over' : 'called off', 1)
+  await wait(fleet, 9000)
+  fleet.sim.heal()
+  for (const box of fleet.boxes) if (box.instance) box.instance.faults.uncopied = false
+  for (const [index, box] of fleet.boxes.entries()) if (box.proc.state === 'dead') fleet.startBoxAt(index)
+  await wait(fleet, 4000)
 }
 function harmsOf(f: SimFleet): (() => Promise<void> | void)[] {
-  function holder(): number {
-    const id = bodyNow(f)?.moves?.[0]?.id ?? 0
-    const live: string[] = []
-    for (const x of f.fronts) live.push(x.node)
-    const name = dutyHolderOf(`move/${id}`, live)
-    return f.fronts.findIndex(isIt)
-    function isIt(x: { node: string }): boolean {
-      return x.node === name
+  function holderIndex(): number {
+    const id = currentConfiguration(f)?.moves?.[0]?.id ?? 0
+    const liveNodes: string[] = []
+    for (const front of f.fronts) liveNodes.push(front.node)
+    const name = dutyHolderOf(`move/${id}`, liveNodes)
+    return f.fronts.findIndex(hasName)
+    function hasName(front: { node: string }): boolean {
+      return front.node === name
     }
   }
   function holderDies(): void {
-    f.sim.kill(f.fronts[holder()].agentProc)
+    f.sim.kill(f.fronts[holderIndex()].agentProc)
   }
   function holderSleeps(): void {
-    const { agentProc } = f.fronts[holder()]
+    const { agentProc } = f.fronts[holderIndex()]
     f.sim.freeze(agentProc)
     f.sim.at(1500 + 6000 * f.sim.random(), thaw)
     function thaw(): void {
@@ -273,14 +289,15 @@
   function targetDies(): void {
     f.killBox(leaderIndex(f, 'g2'))
   }
-  // A proxy that hears nothing more, with its requesters and both groups in reach.
+  /** Partitions a proxy from the cores and other nodes; its clients and both groups stay reachable. */
   function proxyDeaf(): void {
-    const n = pick(f, f.fronts.length)
-    // Some have just applied the phase, and hear nothing after it.
+    const frontIndex = pick(f, f.fronts.length)
+    // The delay of up to 30 ms lets some proxies apply the phase before the partition.
     f.sim.at(30 * f.sim.random(), cut)
     function cut(): void {
-      for (const c of f.cores) f.sim.cut(f.fronts[n].machine, c.machine)
-      for (const x of f.fronts) if (x !== f.fronts[n]) f.sim.cut(f.fronts[n].machine, x.machine)
+      for (const core of f.cores) f.sim.cut(f.fronts[frontIndex].machine, core.machine)
+      for (const front of f.fronts)
+        if (front !== f.fronts[frontIndex]) f.sim.cut(f.fronts[frontIndex].machine, front.machine)
     }
   }
   function proxySleeps(): void {
@@ -300,15 +317,15 @@
     }
   }
   function copyStops(): void {
-    for (const b of f.boxes) if (b.group === 'g2' && b.instance) b.instance.faults.uncopied = true
+    for (const box of f.boxes) if (box.group === 'g2' && box.instance) box.instance.faults.uncopied = true
   }
   async function calledOff(): Promise<void> {
-    await send(f, 'off', [{ op: 'calloff', lane: 'dep-g1' }])
+    await sendChange(f, 'off', [{ op: 'calloff', lane: 'dep-g1' }])
   }
   function coresLost(): void {
-    for (const k of [0, 1]) f.sim.kill(f.cores[k].proc)
+    for (const index of [0, 1]) f.sim.kill(f.cores[index].proc)
   }
-  // The source's leader answers late, so that writes are out when the lanes are shut.
+  /** The source's leader answers late, so that writes are in flight when the lanes are closed. */
   function sourceSlow(): void {
     const box = f.boxes[leaderIndex(f, 'g1')]
     f.sim.freeze(box.proc)
@@ -331,7 +348,7 @@
     sourceSlow,
   ]
 }
-function twoApart(): Shape {
+function twoSeparateGroups(): Shape {
   return { ...twoGroups(), apart: true }
 }
 
@@ -340,7 +357,7 @@
     name: 'lanes-changed',
     long: true,
     rule: 'no call, session or transaction goes by a rule replaced over 3 s ago',
-    shape: twoApart,
+    shape: twoSeparateGroups,
     harm: lanesChanged,
   },
   {
@@ -348,7 +365,7 @@
     long: true,
     calm: true,
     rule: 'a move of lanes drops no answer and misses no write',
-    shape: twoCalm,
+    shape: twoSidesShortTransactions,
     harm: moveCalm,
   },
   {
@@ -363,7 +380,7 @@
     name: 'move-deaf',
     long: true,
     rule: 'no read of the old side once the new one took a write',
-    shape: oneWay,
+    shape: oneWayCopy,
     harm: moveDeaf,
   },
   {
--- a/packages/fleet/src/local.ts
+++ b/packages/fleet/src/local.ts
@@ -10,7 +10,9 @@
 import type { Profile } from './profile.js'
 import { runRequester, type Event } from './requester.js'
 
-// A whole fleet on one machine, as processes of its own kind each, with stand-in instances and requesters.
+/** Runs a whole fleet on one machine, one process per member, with simulated database instances and clients. */
+
+/** `kill`: kills a leader and replaces another. `scale`: factor on the profile's rate. `keep`: keeps the data. */
 export type LocalOptions = {
   profile: Profile
   seconds: number
@@ -20,55 +22,62 @@
   scale: number
   out: (line: string) => void
 }
+/** The checks' result, the printed report and its data. */
 export type LocalReport = { judgement: Judgement; text: string; json: unknown }
 
 type Child = { name: string; proc: ChildProcess; args: string[] }
 
-function freePort(): Promise<number> {
-  function start(ok: (p: number) => void): void {
-    const s = createServer()
-    function up(): void {
-      const { port } = s.address() as AddressInfo
-      function closed(): void {
-        ok(port)
+/** Asks the operating system for a free port of the loopback interface. */
+function findFreePort(): Promise<number> {
+  function listen(resolve: (p: number) => void): void {
+    const server = createServer()
+    function onListening(): void {
+      const { port } = server.address() as AddressInfo
+      function onClosed(): void {
+        resolve(port)
       }
-      s.close(closed)
+      server.close(onClosed)
     }
-    s.listen(0, '127.0.0.1', up)
+    server.listen(0, '127.0.0.1', onListening)
   }
-  return new Promise(start)
+  return new Promise(listen)
 }
 
+/** A loopback address with a free port. */
 export async function freeAddr(): Promise<Address> {
-  return `127.0.0.1:${await freePort()}`
+  return `127.0.0.1:${await findFreePort()}`
 }
 
 const mainPath = fileURLToPath(new URL('./main.js', import.meta.url))
 const claynotchPath = fileURLToPath(new URL('../../claynotch/dist/main.js', import.meta.url))
 
-function silent(): World {
-  function sink(): void {}
-  return realWorld(logTo(sink))
+/** The real clock, network and disk, without log output. */
+function silentWorld(): World {
+  function discard(): void {}
+  return realWorld(logTo(discard))
 }
 
-export async function runLocal(opt: LocalOptions): Promise<LocalReport> {
-  const { profile } = opt
-  const world = silent()
-  const data = opt.data ?? join(tmpdir(), `claynotch-fleet-${process.pid}`)
+/** Starts the fleet, runs the profile's traffic, checks all results and stops every process. */
+export async function runLocal(options: LocalOptions): Promise<LocalReport> {
+  const { profile } = options
+  const world = silentWorld()
+  const data = options.data ?? join(tmpdir(), `claynotch-fleet-${process.pid}`)
   mkdirSync(data, { recursive: true })
   const children = new Map<string, Child>()
   const stop = makeFlag()
   const used = new Set<number>()
 
-  async function addr(): Promise<Address> {
+  /** A free address that this run hasn't used yet: the system may offer a port twice before it is bound. */
+  async function newAddr(): Promise<Address> {
     for (;;) {
-      const port = await freePort()
+      const port = await findFreePort()
       if (used.has(port)) continue
       used.add(port)
       return `127.0.0.1:${port}`
     }
   }
-  function start(name: string, path: string, args: string[]): void {
+  /** Starts a process whose output goes to its log file in the data directory. */
+  function startChild(name: string, path: string, args: string[]): void {
     const log = openSync(join(data, `${name}.log`), 'a')
     const proc = spawn(process.execPath, [path, ...args], {
       stdio: ['ignore', log, log],
@@ -76,85 +85,88 @@
     })
     children.set(name, { name, proc, args: [path, ...args] })
   }
-  function settings(name: string, body: unknown): string {
+  function writeSettings(name: string, body: unknown): string {
     const path = join(data, `${name}.json`)
     writeFileSync(path, JSON.stringify(body))
     return path
   }
-  async function until(what: () => Promise<boolean>, limit: number, name: string): Promise<number> {
-    const from = world.now()
-    while (!(await what())) {
-      if (world.now() - from > limit) throw new Error(`${name} did not come true in ${limit} ms; logs are in ${data}`)
+  /** Polls until the condition holds and returns the time waited in ms; throws after `limitMs`. */
+  async function waitUntil(condition: () => Promise<boolean>, limitMs: number, name: string): Promise<number> {
+    const startedAt = world.now()
+    while (!(await condition())) {
+      if (world.now() - startedAt > limitMs)
+        throw new Error(`${name} not reached within ${limitMs} ms; logs are in ${data}`)
       await pause(world, 25)
     }
-    return world.now() - from
+    return world.now() - startedAt
   }
-  async function get(at: Address, path: string): Promise<unknown> {
-    const got = await requestOnce(world, at, 'GET', path, undefined, 2000)
-    return got.ok && got.val.status === 200 ? got.val.body : undefined
+  async function get(target: Address, path: string): Promise<unknown> {
+    const response = await requestOnce(world, target, 'GET', path, undefined, 2000)
+    return response.ok && response.val.status === 200 ? response.val.body : undefined
   }
-  async function isReady(at: Address): Promise<boolean> {
-    return (await get(at, '/ready')) !== undefined
+  async function isReady(target: Address): Promise<boolean> {
+    return (await get(target, '/ready')) !== undefined
   }
   function stopAll(): void {
-    for (const c of children.values()) c.proc.kill('SIGKILL')
+    for (const child of children.values()) child.proc.kill('SIGKILL')
   }
   process.on('exit', stopAll)
 
   try {
     // --- cores ---
     const cores: { id: string; addr: Address; http: Address }[] = []
-    for (let k = 0; k < profile.cores; k++) cores.push({ id: `core${k + 1}`, addr: await addr(), http: await addr() })
-    const set: { id: string; addr: Address }[] = []
-    for (const c of cores) set.push({ id: c.id, addr: c.addr })
-    for (const c of cores)
-      start(c.id, claynotchPath, [
+    for (let k = 0; k < profile.cores; k++)
+      cores.push({ id: `core${k + 1}`, addr: await newAddr(), http: await newAddr() })
+    const coreSet: { id: string; addr: Address }[] = []
+    for (const core of cores) coreSet.push({ id: core.id, addr: core.addr })
+    for (const core of cores)
+      startChild(core.id, claynotchPath, [
         'core',
         '--settings',
-        settings(c.id, { id: c.id, cores: set, data: join(data, c.id), http: c.http }),
+        writeSettings(core.id, { id: core.id, cores: coreSet, data: join(data, core.id), http: core.http }),
       ])
     const seeds = [cores[0].http, cores[1].http, cores[2].http]
     // --- fronts and platform ---
-    const platform = await addr()
+    const platform = await newAddr()
     const fronts: { node: string; http: Address; listen: Address; admin: Address }[] = []
     for (let k = 0; k < profile.fronts; k++) {
-      const f = { node: `front${k + 1}`, http: await addr(), listen: await addr(), admin: await addr() }
-      const link = await addr()
-      fronts.push(f)
-      start(`${f.node}-agent`, claynotchPath, [
+      const front = { node: `front${k + 1}`, http: await newAddr(), listen: await newAddr(), admin: await newAddr() }
+      const link = await newAddr()
+      fronts.push(front)
+      startChild(`${front.node}-agent`, claynotchPath, [
         'agent',
         '--settings',
-        settings(`${f.node}-agent`, {
-          node: f.node,
+        writeSettings(`${front.node}-agent`, {
+          node: front.node,
           area: profile.areas[k % profile.areas.length],
           link,
-          peer: await addr(),
-          http: f.http,
+          peer: await newAddr(),
+          http: front.http,
           seeds,
           platform,
         }),
       ])
-      start(`${f.node}-proxy`, claynotchPath, [
+      startChild(`${front.node}-proxy`, claynotchPath, [
         'proxy',
         '--settings',
-        settings(`${f.node}-proxy`, { listen: f.listen, admin: f.admin, agent: link }),
+        writeSettings(`${front.node}-proxy`, { listen: front.listen, admin: front.admin, agent: link }),
       ])
     }
     // --- instances ---
-    const boxes: { name: string; group: string; addr: Address; path: string }[] = []
+    const instances: { name: string; group: string; addr: Address; path: string }[] = []
     for (const group of profile.groups) {
       const addrs: Address[] = []
-      for (let k = 0; k < profile.instances; k++) addrs.push(await addr())
+      for (let k = 0; k < profile.instances; k++) addrs.push(await newAddr())
       for (let k = 0; k < profile.instances; k++) {
         const name = `${group}${k + 1}`
         const peers: Address[] = []
-        for (const a of addrs) if (a !== addrs[k]) peers.push(a)
+        for (const other of addrs) if (other !== addrs[k]) peers.push(other)
         const agents = [
           fronts[k % fronts.length].http,
           fronts[(k + 3) % fronts.length].http,
           fronts[(k + 5) % fronts.length].http,
         ]
-        const path = settings(name, {
+        const path = writeSettings(name, {
           name,
           group,
           area: profile.areas[k % profile.areas.length],
@@ -166,29 +178,29 @@
           lag: 50,
           data: join(data, name),
         })
-        boxes.push({ name, group, addr: addrs[k], path })
-        start(name, mainPath, ['instance', '--settings', path])
+        instances.push({ name, group, addr: addrs[k], path })
+        startChild(name, mainPath, ['instance', '--settings', path])
       }
     }
-    const platformMap: { name: string; addr: Address }[] = []
-    for (const b of boxes) platformMap.push({ name: b.name, addr: b.addr })
-    start('platform', mainPath, [
+    const platformInstances: { name: string; addr: Address }[] = []
+    for (const instance of instances) platformInstances.push({ name: instance.name, addr: instance.addr })
+    startChild('platform', mainPath, [
       'platform',
       '--settings',
-      settings('platform', { addr: platform, instances: platformMap }),
+      writeSettings('platform', { addr: platform, instances: platformInstances }),
     ])
 
-    async function coresServe(): Promise<boolean> {
-      for (const c of cores) if (!(await isReady(c.http))) return false
-      for (const f of fronts) if (!(await isReady(f.http))) return false
+    async function areCoresReady(): Promise<boolean> {
+      for (const core of cores) if (!(await isReady(core.http))) return false
+      for (const front of fronts) if (!(await isReady(front.http))) return false
       return true
     }
-    const founded = await until(coresServe, 30000, 'the founding')
-    opt.out(`cores founded and every agent holds a term after ${Math.round(founded)} ms`)
+    const foundedMs = await waitUntil(areCoresReady, 30000, 'the founding')
+    options.out(`cores founded and every agent holds a term after ${Math.round(foundedMs)} ms`)
 
     // --- configuration ---
     const sentAt = world.now()
-    const made = await requestOnce(
+    const response = await requestOnce(
       world,
       fronts[0].http,
       'POST',
@@ -196,109 +208,125 @@
       { number: 1, expect: 0, whole: profile.config },
       15000,
     )
-    const decision = made.ok
-      ? ((typeof made.val.body === 'string' ? JSON.parse(made.val.body) : made.val.body) as { decision: string })
+    const decision = response.ok
+      ? ((typeof response.val.body === 'string' ? JSON.parse(response.val.body) : response.val.body) as {
+          decision: string
+        })
       : { decision: 'none' }
     if (decision.decision !== 'accepted')
       throw new Error(`the configuration was not accepted: ${JSON.stringify(decision)}`)
     const acceptedMs = world.now() - sentAt
-    async function proxiesServe(): Promise<boolean> {
-      for (const f of fronts) if (!(await isReady(f.admin))) return false
+    async function areProxiesReady(): Promise<boolean> {
+      for (const front of fronts) if (!(await isReady(front.admin))) return false
       return true
     }
-    const applied = await until(proxiesServe, 10000, 'the configuration at each proxy')
-    async function groupsLead(): Promise<boolean> {
+    const appliedMs = await waitUntil(areProxiesReady, 10000, 'the configuration at each proxy')
+    async function haveGroupsLeaders(): Promise<boolean> {
       const groups = (await get(fronts[1].http, '/groups')) as { record: { phase?: string } | null }[] | undefined
       if (!groups || groups.length < profile.groups.length) return false
-      for (const g of groups) if (g.record?.phase !== 'steady') return false
+      for (const group of groups) if (group.record?.phase !== 'steady') return false
       return true
     }
-    const led = await until(groupsLead, 15000, 'a leader in each group')
-    opt.out(
-      `configuration accepted after ${Math.round(acceptedMs)} ms, every proxy ready ${Math.round(applied)} ms later, leaders known after another ${Math.round(led)} ms`,
+    const ledMs = await waitUntil(haveGroupsLeaders, 15000, 'a leader in each group')
+    options.out(
+      `configuration accepted after ${Math.round(acceptedMs)} ms, every proxy ready ${Math.round(appliedMs)} ms later, leaders known after another ${Math.round(ledMs)} ms`,
     )
 
     // --- traffic ---
     const events: Event[] = []
-    function note(e: Event): void {
-      events.push(e)
+    function recordEvent(event: Event): void {
+      events.push(event)
     }
     function never(): boolean {
       return false
     }
     const nodes: Address[] = []
-    for (const f of fronts) nodes.push(f.listen)
+    for (const front of fronts) nodes.push(front.listen)
     const sessions = profile.sessions
-    // Open loop enough: think time is set so that all sessions together make the profile's rate.
-    const think = (sessions / (profile.rate * opt.scale)) * 1000
-    const runs: Promise<void>[] = []
+    // Close to an open loop: the think time is set so that all sessions together generate the profile's rate.
+    const thinkMs = (sessions / (profile.rate * options.scale)) * 1000
+    const requesterRuns: Promise<void>[] = []
     for (let k = 0; k < sessions; k++)
-      runs.push(
+      requesterRuns.push(
         runRequester(
           world,
-          { id: k, nodes, mixes: profile.mixes, think, keys: 400, again: false, until: never, note },
+          {
+            id: k,
+            nodes,
+            mixes: profile.mixes,
+            think: thinkMs,
+            keys: 400,
+            again: false,
+            until: never,
+            note: recordEvent,
+          },
           stop,
         ),
       )
-    const from = world.now()
-    const moves: string[] = []
+    const trafficStartedAt = world.now()
+    const promotionLines: string[] = []
     async function leaderOf(group: string): Promise<{ name: string; epoch: number } | undefined> {
       const groups = (await get(fronts[1].http, '/groups')) as
         { name: string; record: { leader?: string; epoch: number; phase: string } | null }[] | undefined
-      for (const g of groups ?? [])
-        if (g.name === group && g.record?.leader !== undefined && g.record.phase === 'steady')
-          return { name: g.record.leader, epoch: g.record.epoch }
+      for (const entry of groups ?? [])
+        if (entry.name === group && entry.record?.leader !== undefined && entry.record.phase === 'steady')
+          return { name: entry.record.leader, epoch: entry.record.epoch }
       return undefined
     }
-    if (opt.kill) {
-      await pause(world, (opt.seconds * 1000) / 3)
+    if (options.kill) {
+      await pause(world, (options.seconds * 1000) / 3)
       const group = profile.groups[0]
       const old = await leaderOf(group)
       if (!old) throw new Error('no leader to kill')
       const killedAt = world.now()
       children.get(old.name)?.proc.kill('SIGKILL')
-      opt.out(`killed ${old.name}, leader of ${group} in epoch ${old.epoch}`)
+      options.out(`killed ${old.name}, leader of ${group} in epoch ${old.epoch}`)
       let next: { name: string; epoch: number } | undefined
-      async function replaced(): Promise<boolean> {
+      async function hasNewLeader(): Promise<boolean> {
         next = await leaderOf(group)
         return next !== undefined && next.epoch > old!.epoch
       }
-      await until(replaced, 20000, 'a new leader')
-      moves.push(
+      await waitUntil(hasNewLeader, 20000, 'a new leader')
+      promotionLines.push(
         `${group}: ${old.name} killed, ${next!.name} led in epoch ${next!.epoch} after ${Math.round(world.now() - killedAt)} ms`,
       )
-      function firstWrite(): number {
-        for (const e of events)
-          if (e.group === group && e.tag !== undefined && e.outcome === 'done' && e.end > killedAt + 300)
-            return e.end - killedAt
+      function firstWriteMs(): number {
+        for (const event of events)
+          if (
+            event.group === group &&
+            event.tag !== undefined &&
+            event.outcome === 'done' &&
+            event.end > killedAt + 300
+          )
+            return event.end - killedAt
         return NaN
       }
       await pause(world, 1500)
-      moves.push(`${group}: first write done ${Math.round(firstWrite())} ms after the kill`)
-      for (const m of moves) opt.out(m)
-      const box = boxes.find(isOld)
-      function isOld(b: { name: string }): boolean {
-        return b.name === old!.name
+      promotionLines.push(`${group}: first write done ${Math.round(firstWriteMs())} ms after the kill`)
+      for (const line of promotionLines) options.out(line)
+      const oldInstance = instances.find(isOldLeader)
+      function isOldLeader(instance: { name: string }): boolean {
+        return instance.name === old!.name
       }
-      if (box) start(box.name, mainPath, ['instance', '--settings', box.path])
+      if (oldInstance) startChild(oldInstance.name, mainPath, ['instance', '--settings', oldInstance.path])
       // A planned replacement of another group, under load.
-      const other = profile.groups[1]
-      const was = await leaderOf(other)
+      const otherGroup = profile.groups[1]
+      const plannedOld = await leaderOf(otherGroup)
       const askedAt = world.now()
-      await requestOnce(world, fronts[fronts.length - 1].http, 'POST', `/groups/${other}/replacement`, {}, 5000)
-      async function moved(): Promise<boolean> {
-        next = await leaderOf(other)
-        return next !== undefined && next.epoch > was!.epoch
+      await requestOnce(world, fronts[fronts.length - 1].http, 'POST', `/groups/${otherGroup}/replacement`, {}, 5000)
+      async function hasPlannedLeader(): Promise<boolean> {
+        next = await leaderOf(otherGroup)
+        return next !== undefined && next.epoch > plannedOld!.epoch
       }
-      await until(moved, 20000, 'the planned replacement')
-      moves.push(
-        `${other}: ${was!.name} replaced as planned by ${next!.name} after ${Math.round(world.now() - askedAt)} ms`,
+      await waitUntil(hasPlannedLeader, 20000, 'the planned replacement')
+      promotionLines.push(
+        `${otherGroup}: ${plannedOld!.name} replaced as planned by ${next!.name} after ${Math.round(world.now() - askedAt)} ms`,
       )
-      opt.out(moves[moves.length - 1])
+      options.out(promotionLines[promotionLines.length - 1])
     }
-    // A small change in the middle of the run, timed to the last member's acknowledgement.
+    // A small configuration change during the run, timed until the last member has acknowledged it.
     const changeAt = world.now()
-    const change = await requestOnce(
+    const changeResponse = await requestOnce(
       world,
       fronts[fronts.length - 1].http,
       'POST',
@@ -316,109 +344,120 @@
       },
       15000,
     )
-    const changed = world.now() - changeAt
-    async function acked(): Promise<boolean> {
+    const acceptedAfterMs = world.now() - changeAt
+    async function isAcknowledgedByAll(): Promise<boolean> {
       const members = (await get(fronts[1].http, '/members')) as { node: string; behind: unknown[] }[] | undefined
       if (!members || members.length < fronts.length) return false
-      for (const m of members) if (m.behind.length > 0) return false
+      for (const member of members) if (member.behind.length > 0) return false
       return true
     }
-    const ackMs = change.ok ? await until(acked, 10000, 'every member on the new configuration') : NaN
-    const left = opt.seconds * 1000 - (world.now() - from)
-    if (left > 0) await pause(world, left)
+    const ackMs = changeResponse.ok
+      ? await waitUntil(isAcknowledgedByAll, 10000, 'every member on the new configuration')
+      : NaN
+    const remainingMs = options.seconds * 1000 - (world.now() - trafficStartedAt)
+    if (remainingMs > 0) await pause(world, remainingMs)
     stop.fire()
-    await Promise.all(runs)
-    const spent = world.now() - from
+    await Promise.all(requesterRuns)
+    const trafficMs = world.now() - trafficStartedAt
     await pause(world, 1500)
 
     // --- what the instances recorded, and the metrics ---
     const records: InstanceRecord[] = []
-    for (const b of boxes) {
-      const got = (await requestOnce(world, b.addr, 'GET', '/record', undefined, 20000)).unwrap()
-      records.push(got.body as InstanceRecord)
+    for (const instance of instances) {
+      const recordResponse = (await requestOnce(world, instance.addr, 'GET', '/record', undefined, 20000)).unwrap()
+      records.push(recordResponse.body as InstanceRecord)
     }
-    const sums = new Map<string, number>()
-    for (const f of fronts) {
-      const text = (await get(f.admin, '/metrics')) as string | undefined
+    const metricSums = new Map<string, number>()
+    for (const front of fronts) {
+      const text = (await get(front.admin, '/metrics')) as string | undefined
       for (const line of (text ?? '').split('\n')) {
-        const m = /^(claynotch_(?:retry|error|unknown|breaker|refused|calls)[^{ ]*)(\{[^}]*\})? (\S+)$/.exec(line)
-        if (!m || m[1] === 'claynotch_calls_total') continue
-        const key = m[1] + (m[2] ?? '').replace(/group="[^"]*",?/, '')
-        sums.set(key, (sums.get(key) ?? 0) + Number(m[3]))
+        const match = /^(claynotch_(?:retry|error|unknown|breaker|refused|calls)[^{ ]*)(\{[^}]*\})? (\S+)$/.exec(line)
+        if (!match || match[1] === 'claynotch_calls_total') continue
+        const key = match[1] + (match[2] ?? '').replace(/group="[^"]*",?/, '')
+        metricSums.set(key, (metricSums.get(key) ?? 0) + Number(match[3]))
       }
     }
     const judgement = judge(events, records)
     const counts = new Map<string, number>()
-    const times = new Map<string, number[]>()
-    for (const e of events) {
-      const key = `${e.kind}: ${e.outcome}${e.class ? ` ${e.class}` : ''}`
+    const timesByKind = new Map<string, number[]>()
+    for (const event of events) {
+      const key = `${event.kind}: ${event.outcome}${event.class ? ` ${event.class}` : ''}`
       counts.set(key, (counts.get(key) ?? 0) + 1)
-      if (e.outcome === 'done') times.set(e.kind, [...(times.get(e.kind) ?? []), e.end - e.start])
+      if (event.outcome === 'done')
+        timesByKind.set(event.kind, [...(timesByKind.get(event.kind) ?? []), event.end - event.start])
     }
     const lines: string[] = []
     lines.push(
-      `profile ${profile.name}: ${profile.fronts} proxies with agents, ${profile.cores} cores, ${boxes.length} instances, ${sessions} sessions, ${Math.round(spent / 1000)} s`,
+      `profile ${profile.name}: ${profile.fronts} proxies with agents, ${profile.cores} cores, ${instances.length} instances, ${sessions} sessions, ${Math.round(trafficMs / 1000)} s`,
     )
-    lines.push(`operations: ${events.length} (${Math.round((events.length / spent) * 1000)} a second)`)
+    lines.push(`operations: ${events.length} (${Math.round((events.length / trafficMs) * 1000)} a second)`)
     for (const [k, n] of [...counts].sort()) lines.push(`  ${k}: ${n}`)
     lines.push('times of done operations in ms (noisy: one machine carries all):')
-    for (const [k, list] of times) {
-      list.sort(byNumber)
+    for (const [k, durations] of timesByKind) {
+      durations.sort(byNumber)
       lines.push(
-        `  ${k}: median ${list[Math.floor(list.length / 2)].toFixed(1)}, 99 % ${list[Math.floor(list.length * 0.99)].toFixed(1)}, most ${list[list.length - 1].toFixed(0)}`,
+        `  ${k}: median ${durations[Math.floor(durations.length / 2)].toFixed(1)}, 99 % ${durations[Math.floor(durations.length * 0.99)].toFixed(1)}, most ${durations[durations.length - 1].toFixed(0)}`,
       )
     }
-    lines.push(...moves)
+    lines.push(...promotionLines)
     lines.push(
-      `configuration: accepted in ${Math.round(changed)} ms, acknowledged by every member ${Math.round(ackMs)} ms later`,
+      `configuration: accepted in ${Math.round(acceptedAfterMs)} ms, acknowledged by every member ${Math.round(ackMs)} ms later`,
     )
     lines.push('retry metrics, summed over proxies:')
-    for (const [k, n] of [...sums].sort()) lines.push(`  ${k}: ${n}`)
-    let most = 0
-    for (const r of records) most = Math.max(most, r.most)
-    lines.push(`most connections at one instance: ${most} of ${profile.connections}`)
+    for (const [k, n] of [...metricSums].sort()) lines.push(`  ${k}: ${n}`)
+    let maxConnections = 0
+    for (const record of records) maxConnections = Math.max(maxConnections, record.most)
+    lines.push(`most connections at one instance: ${maxConnections} of ${profile.connections}`)
     lines.push(
       `checked: ${judgement.checked.writes} writes (${judgement.checked.done} told done, ${judgement.checked.promised} promised nothing kept), ${judgement.checked.reads} reads`,
     )
     lines.push(`acknowledged commits lost with a killed leader's unreplicated tail: ${judgement.lost.length}`)
     lines.push(`breaches of the never-rules: ${judgement.breaches.length}`)
-    for (const b of judgement.breaches.slice(0, 20)) lines.push(`  ${b.rule}: ${b.what}`)
-    // The fleet is stopped as an operator would, and each process must end with 0.
-    const ends: Promise<string | undefined>[] = []
-    for (const c of children.values()) if (/^(core|front)/.test(c.name)) ends.push(endOf(c))
-    const bad: string[] = []
-    for (const e of await Promise.all(ends)) if (e !== undefined) bad.push(e)
+    for (const breach of judgement.breaches.slice(0, 20)) lines.push(`  ${breach.rule}: ${breach.what}`)
+    // Stops the daemons with SIGTERM, as an operator would; each must exit with status 0.
+    const stops: Promise<string | undefined>[] = []
+    for (const child of children.values()) if (/^(core|front)/.test(child.name)) stops.push(stopAndCheck(child))
+    const failedStops: string[] = []
+    for (const failedStop of await Promise.all(stops)) if (failedStop !== undefined) failedStops.push(failedStop)
     lines.push(
-      bad.length === 0 ? 'every daemon ended with 0 at SIGTERM' : `daemons that did not end with 0: ${bad.join(', ')}`,
+      failedStops.length === 0
+        ? 'every daemon ended with 0 at SIGTERM'
+        : `daemons that did not end with 0: ${failedStops.join(', ')}`,
     )
-    if (bad.length > 0) judgement.breaches.push({ rule: 'planned stop', what: bad.join(', ') })
+    if (failedStops.length > 0) judgement.breaches.push({ rule: 'planned stop', what: failedStops.join(', ') })
     const text = lines.join('\n')
-    return { judgement, text, json: { counts: [...counts], metrics: [...sums], moves, judgement } }
+    return {
+      judgement,
+      text,
+      json: { counts: [...counts], metrics: [...metricSums], moves: promotionLines, judgement },
+    }
   } finally {
     stop.fire()
     stopAll()
     process.removeListener('exit', stopAll)
-    if (!opt.keep) rmSync(data, { recursive: true, force: true })
+    if (!options.keep) rmSync(data, { recursive: true, force: true })
   }
 }
 function byNumber(a: number, b: number): number {
   return a - b
 }
-function endOf(c: Child): Promise<string | undefined> {
-  function start(ok: (why: string | undefined) => void): void {
-    function over(code: number | null, signal: string | null): void {
+/** Sends SIGTERM; returns a description of the failure unless the process exits with status 0 within 12 s. */
+function stopAndCheck(child: Child): Promise<string | undefined> {
+  function terminate(resolve: (why: string | undefined) => void): void {
+    function onExit(code: number | null, signal: string | null): void {
       clearTimeout(timer)
-      ok(code === 0 ? undefined : `${c.name} (${code ?? signal})`)
+      resolve(code === 0 ? undefined : `${child.name} (${code ?? signal})`)
     }
-    function late(): void {
-      ok(`${c.name} (still running)`)
+    function onTimeout(): void {
+      resolve(`${child.name} (still running)`)
     }
-    const timer = setTimeout(late, 12000)
-    if (c.proc.exitCode !== null || c.proc.signalCode !== null) over(c.proc.exitCode, c.proc.signalCode)
+    const timer = setTimeout(onTimeout, 12000)
+    if (child.proc.exitCode !== null || child.proc.signalCode !== null)
+      onExit(child.proc.exitCode, child.proc.signalCode)
     else {
-      c.proc.on('exit', over)
-      c.proc.kill('SIGTERM')
+      child.proc.on('exit', onExit)
+      child.proc.kill('SIGTERM')
     }
   }
-  return new Promise(start)
+  return new Promise(terminate)
 }
--- a/packages/fleet/src/profile.ts
+++ b/packages/fleet/src/profile.ts
@@ -1,7 +1,9 @@
 import type { Config } from '@claynotch/operator'
 import type { Mix } from './requester.js'
 
-// The two deployments of the brief, as fleet profiles.
+/** Fleet profiles of the two reference deployments: size, workload and configuration. */
+
+/** A deployment. `instances`: per group; `rate`: operations a second over all sessions. */
 export type Profile = {
   name: string
   areas: string[]
@@ -16,40 +18,44 @@
   config: Config
 }
 
+/** Every lane template once for each group. */
 function lanesOf(
   groups: string[],
   names: { name: string; reads: Config['lanes'][number]['reads'] }[],
 ): Config['lanes'] {
-  const out: Config['lanes'] = []
-  for (const g of groups)
-    for (const n of names) out.push({ name: `${n.name}-${g}`, database: n.name, group: g, reads: n.reads })
-  return out
+  const lanes: Config['lanes'] = []
+  for (const group of groups)
+    for (const lane of names)
+      lanes.push({ name: `${lane.name}-${group}`, database: lane.name, group: group, reads: lane.reads })
+  return lanes
 }
+/** Every operation once for each group, its weight divided among the groups. */
 function mixesOf(
   groups: string[],
-  list: { kind: string; lane: string; op: Mix['op']; weight: number; within: number; own: boolean }[],
+  templates: { kind: string; lane: string; op: Mix['op']; weight: number; within: number; own: boolean }[],
 ): Mix[] {
-  const out: Mix[] = []
-  for (const g of groups)
-    for (const m of list)
-      out.push({
-        kind: m.kind,
-        lane: `${m.lane}-${g}`,
-        group: g,
-        op: m.op,
-        weight: m.weight / groups.length,
-        within: m.within,
-        own: m.own,
+  const groupMixes: Mix[] = []
+  for (const group of groups)
+    for (const mix of templates)
+      groupMixes.push({
+        kind: mix.kind,
+        lane: `${mix.lane}-${group}`,
+        group: group,
+        op: mix.op,
+        weight: mix.weight / groups.length,
+        within: mix.within,
+        own: mix.own,
       })
-  return out
+  return groupMixes
 }
+/** Groups with the same connection limit each. */
 function groupsOf(names: string[], connections: number): Config['groups'] {
-  const out: Config['groups'] = []
-  for (const name of names) out.push({ name, connections })
-  return out
+  const groups: Config['groups'] = []
+  for (const name of names) groups.push({ name, connections })
+  return groups
 }
 
-// Margin for the judge: the clock of a read runs from before it was sent.
+/** The checks count a read's staleness from before it was sent, which gives them a margin to the lane's bound. */
 export function kamini(): Profile {
   const groups = ['north', 'south', 'east']
   return {
@@ -108,6 +114,7 @@
   }
 }
 
+/** The profile of that name. */
 export function profileOf(name: string): Profile | undefined {
   return name === 'kamini' ? kamini() : name === 'peach-state' ? peachState() : undefined
 }
--- a/packages/fleet/src/service-rate.ts
+++ b/packages/fleet/src/service-rate.ts
@@ -1,38 +1,40 @@
 /**
- * How much service the requesters of a simulated fleet get, apart from the time that they spend at rest by their own will.
+ * The rate of service that the clients of a simulated fleet get, corrected for the time that they pause by their own
+ * choice.
  *
- * A requester in the middle of a long transaction rests between its statements; it asks for nothing then, so neither
- * that time nor the looks of such a transaction say anything about the service.
+ * A client in a long transaction pauses between its statements. It asks for nothing then, so neither that time nor the
+ * reads within such a transaction say anything about the service.
  */
 
-/** A stretch of the simulator's time, in ms. */
+/** An interval of simulated time, in ms. */
 export type TimeSpan = { from: number; to: number }
 
-/** What the rate is worked out from. */
+/** The data from which the rate is computed. */
 export type ServiceHistory = {
-  /** Ends of operations that were answered with success, in ms; looks inside of a transaction are none. */
+  /** End times of successful operations, in ms; reads within a transaction don't count as operations. */
   doneAt: number[]
-  /** Start of each requester, in ms. */
+  /** Start time of each client, in ms. */
   requesterStarts: number[]
-  /** Pauses that requesters made inside of their transactions. */
+  /** Pauses of clients within their transactions. */
   rests: TimeSpan[]
 }
 
 const MS_PER_SECOND = 1000
 
+/** Length of the overlap of two intervals. */
 function overlapMs(a: TimeSpan, b: TimeSpan): number {
   return Math.max(0, Math.min(a.to, b.to) - Math.max(a.from, b.from))
 }
 
 /**
- * Operations done a second, as many as there would be if no requester rested inside of a transaction.
- * 0 where all of them rest throughout: nothing is shown then.
+ * Operations completed per second, scaled up to what they would be if no client paused within a transaction. 0 if all
+ * clients pause throughout, as such a window shows nothing.
  */
 export function serviceRate(history: ServiceHistory, window: TimeSpan): number {
   let done = 0
-  for (const at of history.doneAt) if (at >= window.from && at < window.to) done++
+  for (const doneTime of history.doneAt) if (doneTime >= window.from && doneTime < window.to) done++
   let requesterMs = 0
-  for (const from of history.requesterStarts) requesterMs += overlapMs({ from, to: Infinity }, window)
+  for (const start of history.requesterStarts) requesterMs += overlapMs({ from: start, to: Infinity }, window)
   let restMs = 0
   for (const rest of history.rests) restMs += overlapMs(rest, window)
   const askingMs = requesterMs - restMs
