--- a/packages/fleet/src/instance.ts
+++ b/packages/fleet/src/instance.ts
@@ -13,14 +13,30 @@
   serveHttp,
   type World,
 } from '@claynotch/base'
-import type { Entry, Faults, Instance, InstanceRecord, InstanceSettings, Ran, Took } from './instancetypes.js'
+import type {
+  Entry,
+  Faults,
+  Instance,
+  InstanceRecord,
+  InstanceSettings,
+  ExecutedAppend,
+  PromotionRecord,
+} from './instancetypes.js'
 
 /**
  * A simulated database instance for tests: a table of lists, written by 'append' and read by 'list'. It speaks the
  * instance protocol of docs/wire.md, replicates asynchronously, records all that it ran and injects faults on request.
  */
 
-export type { Entry, Faults, Instance, InstanceRecord, InstanceSettings, Ran, Took } from './instancetypes.js'
+export type {
+  Entry,
+  Faults,
+  Instance,
+  InstanceRecord,
+  InstanceSettings,
+  ExecutedAppend as Ran,
+  PromotionRecord as Took,
+} from './instancetypes.js'
 
 /** The state that a database keeps for each client connection: settings, prepared statements and transaction. */
 type ConnectionState = {
@@ -32,8 +48,8 @@
 /** A record of the data file. `k` is the record type; `cut` truncates the log to `at` entries. */
 type StoredRecord =
   | { k: 'role'; role: 'leader' | 'follower'; epoch: number; base: number }
-  | { k: 'log'; entries: Entry[]; ran?: Ran[] }
-  | { k: 'took'; took: Took }
+  | { k: 'log'; entries: Entry[]; ran?: ExecutedAppend[] }
+  | { k: 'took'; took: PromotionRecord }
   | { k: 'cut'; at: number }
 
 /** Starts an instance: restores its state from the data file, serves requests, replicates and announces itself. */
@@ -60,12 +76,12 @@
   let lateWork = 0
   let wrongSettings = 0
   let leaveAcknowledgedAt: number | undefined
-  const executedAppends: Ran[] = []
-  const promotions: Took[] = []
+  const executedAppends: ExecutedAppend[] = []
+  const promotions: PromotionRecord[] = []
   const sessions = new Map<object, ConnectionState>()
   const saveQueue = makeSerialQueue()
   let unsavedEntries: Entry[] = []
-  let unsavedAppends: Ran[] = []
+  let unsavedAppends: ExecutedAppend[] = []
 
   /** Appends an entry to the log and applies its operations to the table. */
   function applyEntry(entry: Entry): void {
--- a/packages/fleet/src/instancetypes.ts
+++ b/packages/fleet/src/instancetypes.ts
@@ -6,10 +6,10 @@
 export type Entry = { epoch: number; ops: [string, string][]; src?: { group: string; epoch: number; position: number } }
 
 /** An append that this instance executed as leader. `at`: the instance's own clock. */
-export type Ran = { tag: string; epoch: number; position: number; at: number }
+export type ExecutedAppend = { tag: string; epoch: number; position: number; at: number }
 
 /** A promotion of this instance. `base`: the log length at which its epoch began. */
-export type Took = { epoch: number; at: number; base: number }
+export type PromotionRecord = { epoch: number; at: number; base: number }
 
 /** Faults to inject, set by a test or through /fault. */
 export type Faults = {
@@ -56,8 +56,8 @@
   name: string
   group: string
   log: Entry[]
-  ran: Ran[]
-  took: Took[]
+  ran: ExecutedAppend[]
+  took: PromotionRecord[]
   most: number
   limit: number
   lateWork: number
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -17,11 +17,11 @@
   }
 }
 /** Changes a lane (undefined: drops it) and records the rule that applies from the acceptance on. */
-export async function putLane(fleet: SimFleet, name: string, next: Lane | undefined): Promise<void> {
+export async function changeLane(fleet: SimFleet, name: string, next: Lane | undefined): Promise<void> {
   const changeNumber = fleet.decided.length
   const edits = next ? [{ op: 'put', what: 'lane', value: next }] : [{ op: 'drop', what: 'lane', name }]
   const sent = fleet.change(pick(fleet, fleet.fronts.length), `lanes${changeNumber}`, [
-    { number: 1, expect: epochNow(fleet), edits },
+    { number: 1, expect: latestAcceptedEpoch(fleet), edits },
   ])
   await fleet.sim.until(sent.done, 15000)
   const result = sent.out()[0]
@@ -35,7 +35,7 @@
     )
 }
 /** The highest epoch of an accepted change. */
-export function epochNow(fleet: SimFleet): number {
+export function latestAcceptedEpoch(fleet: SimFleet): number {
   let latestEpoch = 0
   for (const change of fleet.decided)
     if (change.told.decision === 'accepted') latestEpoch = Math.max(latestEpoch, change.told.epoch ?? 0)
@@ -63,10 +63,10 @@
       fleet.killBox(deadIndex)
       await wait(fleet, 100 + 1500 * fleet.sim.random())
     }
-    await putLane(fleet, name, next)
+    await changeLane(fleet, name, next)
     await wait(fleet, 7000)
     if (deadIndex >= 0) fleet.startBoxAt(deadIndex)
-    await putLane(fleet, name, original)
+    await changeLane(fleet, name, original)
     await wait(fleet, 2000 + 3000 * fleet.sim.random())
   }
 }
