--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -20,14 +20,14 @@
 } from '@claynotch/base'
 import { startFailover, startRouteMoves } from '@claynotch/failover'
 import { makeOperatorApi, type Credential, type Edit } from '@claynotch/operator'
-import { startPeers, type Summary } from '@claynotch/peer'
+import { startSummaryExchange, type Summary } from '@claynotch/peer'
 import type { QuotaAnswer, QuotaQuestion } from '@claynotch/quota'
 import {
   CoreSet,
   CORESET_KEY,
   hasDeparted,
   makeProposer,
-  type Committed,
+  type RegisterOutcome,
   type HeldValue,
   type MemberDescription,
   type ProxyReport,
@@ -140,7 +140,7 @@
   function linkTo(core: string): PersistentLink | undefined {
     return links.get(core)?.link
   }
-  function readCommitted(key: string): Promise<Committed> {
+  function readCommitted(key: string): Promise<RegisterOutcome> {
     return proposer.read(key, 0)
   }
   function registerUpdated(key: string, value: RegisterValue): void {
@@ -294,10 +294,10 @@
     return !proxy.isLinked() && world.now() > proxy.fedUntil()
   }
   function heardSummaries(): Summary[] {
-    return peers.hints()
+    return peers.currentSummaries()
   }
   function instanceFailing(): void {
-    peers.ring()
+    peers.sendNow()
     failover.notify()
   }
   function summaryHeard(summary: Summary): void {
@@ -375,7 +375,7 @@
     }
     serveQuotas(startQuotaHolders(world, quotaView, stop, registerChanged, metrics))
   }
-  const peers = await startPeers(world, settings.peer, stop, membership.peers, summarySource, metrics, summaryHeard)
+  const peers = await startSummaryExchange(world, settings.peer, stop, membership.peers, summarySource, metrics, summaryHeard)
 
   // --- control service, operators and background loops ---
 
--- a/packages/agent/src/connection-share.ts
+++ b/packages/agent/src/connection-share.ts
@@ -10,7 +10,7 @@
 } from '@claynotch/base'
 import { CONFIG_KEY, type Config } from '@claynotch/operator'
 import {
-  shareOf,
+  slotIndexOf,
   SHARES_KEY,
   type ConnectionShare,
   type ConnectionShares,
@@ -52,7 +52,7 @@
   const { place, isReady, size, live } = claim
   const places = [...old]
   while (places.length < size) places.push(null)
-  const own = shareOf(places, node)
+  const own = slotIndexOf(places, node)
   if (own >= 0 && own < size) {
     if (places[own]?.ready || !isReady || own !== place) return undefined
     places[own] = { node, ready: true }
@@ -91,7 +91,7 @@
   function isHeeded(places: ConnectionShare[], members: Member[]): boolean {
     const version = view.registers.value(CONFIG_KEY)?.turn ?? 0
     for (const member of members)
-      if (shareOf(places, member.node) >= 0 && versionApplied(member) < version) return false
+      if (slotIndexOf(places, member.node) >= 0 && versionApplied(member) < version) return false
     return true
   }
   async function claim(places: ConnectionShare[], size: number): Promise<void> {
@@ -119,7 +119,7 @@
     if (size === undefined || size === 'live' || !view.hasLease()) return
     const value = view.registers.value(SHARES_KEY)
     const places = placesOf(value)
-    const own = shareOf(places, view.node)
+    const own = slotIndexOf(places, view.node)
     if (own < 0 || own >= size) return await claim(places, size)
     isMissing = false
     if (!places[own]?.ready) await awaitTakeover(own, size, value?.turn ?? 0)
--- a/packages/agent/src/core-set-duty.ts
+++ b/packages/agent/src/core-set-duty.ts
@@ -24,7 +24,7 @@
   votersOf,
   type CoreMember,
   type Proposer,
-  type Committed,
+  type RegisterOutcome,
   type CoreState,
   type RegisterValue,
 } from '@claynotch/register'
@@ -77,7 +77,7 @@
     return states
   }
   /** Replaces the set by the next one; changes nothing if the expected set is no longer the last one. */
-  async function propose(expected: CoreSet, next: CoreSet): Promise<Committed> {
+  async function propose(expected: CoreSet, next: CoreSet): Promise<RegisterOutcome> {
     function replaceIfCurrent(current: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       const currentSet = current ? readAs(CoreSet, current.body) : undefined
       const epoch = currentSet?.ok ? currentSet.val.epoch : 0
@@ -174,7 +174,7 @@
     }
     const answering = new Set<string>()
     const keys = new Set<string>()
-    for (const { id, val } of await gatherQuorum(world, asks, quorum, hasKeys, ROUND_TIMEOUT_MS)) {
+    for (const { id, answer: val } of await gatherQuorum(world, asks, quorum, hasKeys, ROUND_TIMEOUT_MS)) {
       if (!hasKeys(val)) continue
       answering.add(id)
       for (const key of val.keys) keys.add(key)
--- a/packages/agent/src/lease-renewal.ts
+++ b/packages/agent/src/lease-renewal.ts
@@ -58,11 +58,11 @@
 }
 function acceptingVoters(answers: VoterAnswer<RenewalAnswer>[]): Set<string> {
   const accepting = new Set<string>()
-  for (const { id, val } of answers) if (isOk(val)) accepting.add(id)
+  for (const { id, answer: val } of answers) if (isOk(val)) accepting.add(id)
   return accepting
 }
 function reportsReplacement(answer: VoterAnswer<RenewalAnswer>): boolean {
-  return answer.val?.replaced === true
+  return answer.answer?.replaced === true
 }
 
 export function makeLeaseRenewal(
--- a/packages/agent/src/member-sources.ts
+++ b/packages/agent/src/member-sources.ts
@@ -1,5 +1,5 @@
 import { MEMBER_SOURCE_SILENCE_MS, type World } from '@claynotch/base'
-import { spread } from './spread.js'
+import { spreadHash } from './spread.js'
 
 /** A core that may be chosen. heard: local time (ms) of its last answer, or of the opening of its link if later. */
 export type MemberSourceCandidate = { id: string; isUp: boolean; heard: number }
@@ -29,7 +29,7 @@
   }
   function byPreference(a: MemberSourceCandidate, b: MemberSourceCandidate): number {
     const eligibility = Number(isEligible(b)) - Number(isEligible(a))
-    return eligibility !== 0 ? eligibility : spread(node, a.id) - spread(node, b.id)
+    return eligibility !== 0 ? eligibility : spreadHash(node, a.id) - spreadHash(node, b.id)
   }
   function choose(candidates: MemberSourceCandidate[]): string[] {
     const next = new Set<string>()
--- a/packages/agent/src/membership.ts
+++ b/packages/agent/src/membership.ts
@@ -101,7 +101,7 @@
     for (const [id, { link }] of links.all()) asks.push({ id, got: readMembersFrom(link, quorum.epoch) })
     const answering = new Set<string>()
     const answers: MembersAnswer[] = []
-    for (const { id, val } of await gatherQuorum(world, asks, quorum, hasAnswered, LEASE_RENEWAL_TIMEOUT_MS)) {
+    for (const { id, answer: val } of await gatherQuorum(world, asks, quorum, hasAnswered, LEASE_RENEWAL_TIMEOUT_MS)) {
       if (!val) continue
       answering.add(id)
       answers.push(val)
--- a/packages/agent/src/proxy-link.ts
+++ b/packages/agent/src/proxy-link.ts
@@ -6,7 +6,7 @@
   isFedToProxies,
   ProxyReport,
   type AgentFeed,
-  type FedEntry,
+  type FeedEntry,
   type InstanceStatus,
   type RegisterValue,
 } from '@claynotch/register'
@@ -99,8 +99,8 @@
     if (world.now() <= fedUntil) return
     for (const [key, { value }] of view.registers()) events.applied(key, value.turn)
   }
-  function entriesFor(to: LinkedProxy): FedEntry[] {
-    const out: FedEntry[] = []
+  function entriesFor(to: LinkedProxy): FeedEntry[] {
+    const out: FeedEntry[] = []
     for (const [key, { value, currentUntil }] of view.registers()) {
       if (!isFedToProxies(key)) continue
       const until = Math.min(currentUntil, view.leaseExpiresAt())
--- a/packages/agent/src/quota-holder.ts
+++ b/packages/agent/src/quota-holder.ts
@@ -232,7 +232,7 @@
     metrics.set('claynotch_quota_holder', [['slot', String(slot)]], held.has(slot) ? 1 : 0)
   }
   function judgeReady(slot: number, one: HeldSlot): void {
-    if (one.isReady || !one.takeover.isOver()) return
+    if (one.isReady || !one.takeover.isComplete()) return
     one.isReady = true
     world.log.info('quota-slot-ready', { slot, term: one.term, ms: Math.round(world.now() - one.since) })
   }
@@ -243,7 +243,7 @@
     function isMissing(name: string): boolean {
       return !listed.has(name)
     }
-    one.takeover.listed(proxies)
+    one.takeover.nodesListed(proxies)
     const missing = one.ledger.nodes().filter(isMissing)
     if (missing.length === 0 && !one.takeover.needsRead(proxies)) return
     const { got, beganAt } = await read()
@@ -264,7 +264,7 @@
   /** The reserve is lent while tenants need it: granted once the register says so, and given back before it says otherwise. */
   async function tendReserve(slot: number, one: HeldSlot): Promise<void> {
     const config = view.config()
-    if (!config || !one.takeover.isOver() || !mayAnswer(slot, one) || !isConfigurationCurrent()) return
+    if (!config || !one.takeover.isComplete() || !mayAnswer(slot, one) || !isConfigurationCurrent()) return
     const limits = quotaLimits(config, view.tolerance)
     function plain(tenant: string): number | undefined {
       return withoutReserve(limits(tenant))
@@ -274,7 +274,7 @@
       const limit = plain(tenant)
       return limit === undefined ? undefined : limit * share
     }
-    one.needsReserve = one.ledger.needs(nearlyPlain)
+    one.needsReserve = one.ledger.needsMoreThan(nearlyPlain)
     // A lowered limit may leave more out than the limit less the reserve, until allowances have shrunk.
     const isMoreOut = one.ledger.exceeds(plain)
     if ((one.needsReserve || isMoreOut) && !one.isReserveLent) {
@@ -341,7 +341,7 @@
     lines: QuotaLine[],
     limits: (tenant: string) => number | undefined,
   ): QuotaGrant[] {
-    const isOver = one.takeover.isOver()
+    const isOver = one.takeover.isComplete()
     const isWhole = !isOver || (one.isReserveLent && one.needsReserve)
     function limitOf(tenant: string): number | undefined {
       return isWhole ? limits(tenant) : withoutReserve(limits(tenant))
@@ -359,10 +359,10 @@
     if (asker !== question.node || !isConfigurationCurrent()) return REFUSED
     for (const [tenant] of question.lines) if (quotaSlotOf(tenant) !== question.slot) return REFUSED
     one.takeover.heard(question.node, question.life)
-    if (!one.takeover.isAlone()) return REFUSED
+    if (!one.takeover.isSoleHolder()) return REFUSED
     const proxy = { ...question, heardAt: one.takeover.heardAt(question.node) }
     const grants = reportTo(one, proxy, question.lines, quotaLimits(config, view.tolerance))
-    one.takeover.told(question.node)
+    one.takeover.answered(question.node)
     count(question, grants)
     return { ok: true, grants: newsOf(question.lines, grants) }
   }
@@ -371,7 +371,7 @@
     if (!one || term !== one.term || !mayAnswer(slot, one)) return REFUSED
     const out: QuotaGrant[] = []
     for (const { name } of view.config()?.tenants ?? [])
-      if (quotaSlotOf(name) === slot) out.push([name, one.ledger.liability(name)])
+      if (quotaSlotOf(name) === slot) out.push([name, one.ledger.outstanding(name)])
     return { ok: true, uses: out }
   }
   void loop(world, 'quota-holder', LEASE_RENEWAL_INTERVAL_MS, stop, look, changed)
--- a/packages/agent/src/quota-takeover.ts
+++ b/packages/agent/src/quota-takeover.ts
@@ -27,18 +27,18 @@
  * - isOver: whatever was granted under earlier terms is known, or can't be used and has left every window. It stays so.
  */
 export type Takeover = {
-  isAlone: () => boolean
+  isSoleHolder: () => boolean
   /** A complete read that was begun then shows that the holder before has no lease. */
   predecessorAbsent: (beganAt: number) => void
-  isOver: () => boolean
+  isComplete: () => boolean
   /** The proxy of that life, on that node, asked; whether it was answered or not. */
   heard: (node: string, life: string) => void
   /** Since when no earlier life of the node's proxy can have used anything that isn't known. */
   heardAt: (node: string) => number
   /** What it holds is known, as it was answered. */
-  told: (node: string) => void
+  answered: (node: string) => void
   /** Nodes with a proxy as renewals tell of them, which may be late. */
-  listed: (nodes: ReadonlySet<string>) => void
+  nodesListed: (nodes: ReadonlySet<string>) => void
   /** Nodes with a proxy as a complete read shows them that was begun then. */
   read: (nodes: ReadonlySet<string>, beganAt: number) => void
   /** A complete read would bring it further, given what is listed. */
@@ -114,5 +114,5 @@
     for (const [node, { hasTold }] of owing) if (!hasTold && !listed.has(node)) return true
     return false
   }
-  return { isAlone, predecessorAbsent, isOver, heard, heardAt, told, listed: expect, read, needsRead }
+  return { isSoleHolder: isAlone, predecessorAbsent, isComplete: isOver, heard, heardAt, answered: told, nodesListed: expect, read, needsRead }
 }
--- a/packages/agent/src/register-cache.ts
+++ b/packages/agent/src/register-cache.ts
@@ -2,13 +2,13 @@
 import {
   compareBallots,
   GetAnswer,
-  valueOf,
+  resolveValue,
   type Ballot,
   type HeldValue,
   type RegisterSummary,
   type RegisterPush,
   type Quorum,
-  type Committed,
+  type RegisterOutcome,
   type RegisterValue,
 } from '@claynotch/register'
 
@@ -34,7 +34,7 @@
   /** The link to one core; undefined if the core is not in the set. */
   link: (id: string) => PersistentLink | undefined
   /** Runs a whole round that settles the register's committed value. */
-  readCommitted: (key: string) => Promise<Committed>
+  readCommitted: (key: string) => Promise<RegisterOutcome>
   /** A value newer than the known one was learnt. */
   onNewer: (key: string, value: RegisterValue) => void
   /** An update is missing from the cache. */
@@ -152,7 +152,7 @@
     const response = await view.link(id)?.ask({ t: 'get', epoch: view.epoch(), key, ...have }, ROUND_TIMEOUT_MS)
     const answer = readAs(GetAnswer, response)
     if (answer.err || compareBallots(answer.val.ballot, ballot) !== 0) return false
-    const value = valueOf(answer.val, local)
+    const value = resolveValue(answer.val, local)
     if (value) learn(key, value, ballot)
     return value !== undefined
   }
@@ -160,7 +160,7 @@
     const local = held(push.key)
     // What this node already knows is the same value or a later one.
     if (local && compareBallots(local.ballot, push.ballot) >= 0) return
-    const value = valueOf(push, local)
+    const value = resolveValue(push, local)
     if (value) learn(push.key, value, push.ballot)
     // The push is a delta to a value that isn't known here.
     else await fetchValue(id, push.key, push.ballot)
--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -11,7 +11,7 @@
 import { compareBallots, type Ballot, type RegisterSummary } from '@claynotch/register'
 import type { CoreLinks } from './core-links.js'
 import type { Membership } from './membership.js'
-import { spread } from './spread.js'
+import { spreadHash } from './spread.js'
 
 /**
  * A core as a source of pushes. heard: local time (ms) of its last answer; lines: the register summaries it reported.
@@ -79,7 +79,7 @@
   /** Preferred sources first: those of the own area, then in an order that differs from node to node. */
   function byPreference(a: SubscriptionSource, b: SubscriptionSource): number {
     const areaOrder = Number(b.area === area) - Number(a.area === area)
-    return areaOrder !== 0 ? areaOrder : spread(node, a.id) - spread(node, b.id)
+    return areaOrder !== 0 ? areaOrder : spreadHash(node, a.id) - spreadHash(node, b.id)
   }
   function preferredSource(sources: SubscriptionSource[]): SubscriptionSource | undefined {
     const eligible = sources.filter(isEligible)
--- a/packages/agent/src/summary-source.ts
+++ b/packages/agent/src/summary-source.ts
@@ -6,10 +6,10 @@
   type World,
 } from '@claynotch/base'
 import { dutyHolderOf, type InstanceObservations } from '@claynotch/failover'
-import type { Saying, Summary } from '@claynotch/peer'
+import type { OwnSummary, Summary } from '@claynotch/peer'
 import { groupKey, type GroupRecord, type ProxyReport } from '@claynotch/register'
 import type { InstanceTable } from './instance-table.js'
-import { spread } from './spread.js'
+import { spreadHash } from './spread.js'
 
 // What this node tells others in its summaries, and what theirs tell it of instances.
 
@@ -30,7 +30,7 @@
   summaries: () => Summary[]
 }
 
-export type SummarySource = Saying & {
+export type SummarySource = OwnSummary & {
   /** What the nodes that have a proxy told last, this one among them. */
   observations: () => InstanceObservations[]
   /** Whether a summary names an instance that its node didn't name as failing before. */
@@ -101,7 +101,7 @@
    * leader's good answers as often in a fleet of any size; what fails is told by all.
    */
   function isWitness(holder: string): boolean {
-    return spread(view.node, holder) / 2 ** 32 < WITNESS_COUNT / view.proxyCount()
+    return spreadHash(view.node, holder) / 2 ** 32 < WITNESS_COUNT / view.proxyCount()
   }
   /** What others need to know: of those that the records name. */
   function ofLeaders(ages: Ages): Ages {
@@ -154,5 +154,5 @@
     for (const name of now) if (!before?.has(name)) return true
     return false
   }
-  return { all, seenFor, observations, isNewFailure }
+  return { commonSummary: all, observationsFor: seenFor, observations, isNewFailure }
 }
--- a/packages/agent/src/voter-rotation.ts
+++ b/packages/agent/src/voter-rotation.ts
@@ -1,6 +1,6 @@
 import { VOTER_RECENCY_MS, type World } from '@claynotch/base'
 import type { Quorum } from '@claynotch/register'
-import { spread } from './spread.js'
+import { spreadHash } from './spread.js'
 
 /**
  * A voter that a renewal may ask. heard: local time (ms) of its last answer, or of the opening of its link if later.
@@ -30,7 +30,7 @@
     return candidate.isUp && world.now() - candidate.heard <= VOTER_RECENCY_MS
   }
   function bySpread(a: VoterCandidate, b: VoterCandidate): number {
-    return spread(node, a.id) - spread(node, b.id)
+    return spreadHash(node, a.id) - spreadHash(node, b.id)
   }
   function choose(candidates: VoterCandidate[], quorum: Quorum): Set<string> {
     round++
--- a/packages/failover/src/promotion.ts
+++ b/packages/failover/src/promotion.ts
@@ -9,7 +9,7 @@
 } from '@claynotch/base'
 import { comparePositions, type LogPosition } from '@claynotch/instance'
 import type { PromotionResult } from '@claynotch/host'
-import { departedOf, groupKey, type GroupRecord } from '@claynotch/register'
+import { departedFieldOf, groupKey, type GroupRecord } from '@claynotch/register'
 import { haveAllProxiesStopped, leaderEpochOf } from './failover-view.js'
 import type { GroupContext } from './group-context.js'
 import type { ProbedInstance, ProbeTarget } from './group-instances.js'
@@ -81,7 +81,7 @@
     planned,
     ...(oldLeader !== undefined ? { old: oldLeader } : {}),
     ...(context.instances.isSynchronous() ? { replicas: replicasWithOldLeader(record, context.instances.list()) } : {}),
-    ...departedOf(record),
+    ...departedFieldOf(record),
   }
   return (await write(version, next)) === true
 }
@@ -302,7 +302,7 @@
     addr: leader.addr,
     ...(term === undefined ? {} : { term }),
     ...(note ? { note } : {}),
-    ...departedOf(record),
+    ...departedFieldOf(record),
     ...(instances.isSynchronous() ? { replicas: replicasOf(record, instances.list(), leader.name) } : {}),
   })
   return isWritten === true
--- a/packages/fleet/src/areas.ts
+++ b/packages/fleet/src/areas.ts
@@ -10,14 +10,14 @@
   const at = f.shape.areas.indexOf(area)
   const out: Machine[] = [f.cores[at].machine]
   for (const [k, x] of f.fronts.entries()) if (k % f.shape.areas.length === at) out.push(x.machine)
-  for (const [k, b] of f.boxes.entries()) if (k % f.shape.areas.length === at) out.push(b.machine)
+  for (const [k, b] of f.instanceHosts.entries()) if (k % f.shape.areas.length === at) out.push(b.machine)
   return out
 }
 // Half of the time the group's leader is put into the area first.
 async function placeLeader(f: SimFleet, area: string, notes: Map<string, number>): Promise<void> {
   const inside = f.sim.random() < 0.5
   notes.set(inside ? 'leader inside' : 'leader anywhere', 1)
-  const to = f.boxes.find(isThere)
+  const to = f.instanceHosts.find(isThere)
   function isThere(b: { machine: Machine; group: string }): boolean {
     return b.group === 'g1' && machinesOf(f, area).includes(b.machine)
   }
@@ -36,7 +36,7 @@
   if (power) {
     for (const x of f.fronts) if (gone.includes(x.machine)) for (const p of [x.agentProc, x.proxyProc]) f.sim.kill(p)
     for (const c of f.cores) if (gone.includes(c.machine)) f.sim.kill(c.proc)
-    for (const [k, b] of f.boxes.entries()) if (gone.includes(b.machine)) f.killBox(k)
+    for (const [k, b] of f.instanceHosts.entries()) if (gone.includes(b.machine)) f.killInstance(k)
   }
   const from = f.sim.now()
   function served(): boolean {
@@ -45,7 +45,7 @@
     return false
   }
   if (!(await f.sim.until(served, 12000)))
-    f.watched.push({ rule: 'service', what: `no write was done in 12 s after area ${area} was lost` })
+    f.watchBreaches.push({ rule: 'service', what: `no write was done in 12 s after area ${area} was lost` })
   notes.set('ms until a write was done', Math.round(f.sim.now() - from))
   await wait(f, 10000)
   for (const m of gone) m.dark = false
@@ -56,7 +56,7 @@
   await placeLeader(f, area, notes)
   const inside = machinesOf(f, area)
   const rest: Machine[] = []
-  for (const x of [...f.fronts, ...f.cores, ...f.boxes]) if (!inside.includes(x.machine)) rest.push(x.machine)
+  for (const x of [...f.fronts, ...f.cores, ...f.instanceHosts]) if (!inside.includes(x.machine)) rest.push(x.machine)
   const oneWay = f.sim.random() < 0.3
   for (const a of inside) for (const b of rest) f.sim.cut(a, b, !oneWay)
   await wait(f, 6000 + 6000 * f.sim.random())
@@ -96,7 +96,7 @@
   notes.set('of calls', f.events.length - skip)
   notes.set('false moves', f.promotions.length - before)
   if (f.promotions.length > before)
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'false move',
       what: `${f.promotions.length - before} leaders were replaced while ${what} was slow and every leader well`,
     })
@@ -109,17 +109,17 @@
   // Where no follower can take over, a leader that leaves would go on for as long as it is let.
   const alone = one === lead && f.sim.random() < 0.6
   // Most of these are in a long read at any moment, so they are no measure of the service.
-  f.crowdIn([...f.shape.mixes, watchMix], WATCHERS, 100, { isUnmeasured: true })
+  f.addRequesters([...f.shape.mixes, watchMix], WATCHERS, 100, { isUnmeasured: true })
   if (alone) {
     notes.set('nobody can take over', 1)
-    for (const b of f.boxes) if (b !== f.boxes[one] && b.instance) b.instance.faults.deaf = true
+    for (const b of f.instanceHosts) if (b !== f.instanceHosts[one] && b.instance) b.instance.faults.deaf = true
   }
   // One machine's proxy goes on, and with it the transactions that are open there: some read in one for a minute, at the
   // follower of that machine's area, as reads stay near.
   const kept = one === lead ? pick(f, f.fronts.length) : one
-  f.crowdIn(longWatch, LONG_WATCHERS, 100, { nodes: [f.fronts[kept].listen], isUnmeasured: true })
+  f.addRequesters(longWatch, LONG_WATCHERS, 100, { nodes: [f.fronts[kept].listen], isUnmeasured: true })
   await wait(f, 2000)
-  void f.boxes[one].instance?.leave()
+  void f.instanceHosts[one].instance?.leave()
   await wait(f, 500 + 1500 * f.sim.random())
   for (const [k, x] of f.fronts.entries()) {
     if (k === kept) continue
@@ -134,12 +134,12 @@
   }
   f.addFront()
   await wait(f, 10000)
-  for (const b of f.boxes) if (b.instance) b.instance.faults.deaf = false
+  for (const b of f.instanceHosts) if (b.instance) b.instance.faults.deaf = false
   // Nobody reads in a long transaction at a leader that hands over: then the follower that they read at leaves as well.
   if (one === lead) {
     await wait(f, 3000)
-    const follower = f.boxes.findIndex(isOtherFollower)
-    void f.boxes[follower].instance?.leave()
+    const follower = f.instanceHosts.findIndex(isOtherFollower)
+    void f.instanceHosts[follower].instance?.leave()
     await wait(f, 10000)
   }
   function isOtherFollower(box: Box, index: number): boolean {
@@ -164,10 +164,10 @@
 // A follower stops receiving while the leader dies and the agent that holds the duty is being restarted.
 async function threeAtOnce(f: SimFleet): Promise<void> {
   const lead = leaderIndex(f, 'g1')
-  const deaf = f.boxes[(lead + 1) % 3]
+  const deaf = f.instanceHosts[(lead + 1) % 3]
   if (deaf.instance) deaf.instance.faults.deaf = true
   await wait(f, 500 + 2500 * f.sim.random())
-  f.killBox(lead)
+  f.killInstance(lead)
   await wait(f, 3500 * f.sim.random())
   const holder = recordOf(f)?.holder
   for (const [k, x] of f.fronts.entries()) {
@@ -183,7 +183,7 @@
 // A planned replacement whose target fails at some point of it.
 async function targetFails(f: SimFleet, notes: Map<string, number>): Promise<void> {
   const lead = leaderIndex(f, 'g1')
-  const to = f.boxes[(lead + 1 + pick(f, 2)) % 3]
+  const to = f.instanceHosts[(lead + 1 + pick(f, 2)) % 3]
   const phase = ['drain', 'stop', 'promote'][pick(f, 3)]
   const epoch = recordOf(f)?.epoch ?? 0
   f.ask(0, '/groups/g1/replacement', 'POST', { to: to.name })
@@ -193,12 +193,12 @@
   }
   await f.sim.until(there, 10000)
   notes.set(`the target fails in ${recordOf(f)?.phase}`, 1)
-  if (f.sim.random() < 0.5) f.killBox(indexOf(f, to))
+  if (f.sim.random() < 0.5) f.killInstance(indexOf(f, to))
   else to.machine.dark = true
   await wait(f, 18000)
   const rec = recordOf(f)
   if (rec?.phase !== 'steady')
-    f.watched.push({ rule: 'unfinished', what: `18 s after the target failed the record is ${JSON.stringify(rec)}` })
+    f.watchBreaches.push({ rule: 'unfinished', what: `18 s after the target failed the record is ${JSON.stringify(rec)}` })
 }
 // A share of all datagrams is lost and of all chunks delayed, for the whole run.
 async function lossyDay(f: SimFleet, notes: Map<string, number>): Promise<void> {
@@ -207,7 +207,7 @@
   await wait(f, 25000)
   notes.set('false moves', f.promotions.length - before)
   if (f.promotions.length > before)
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'false move',
       what: `${f.promotions.length - before} leaders were replaced under loss alone`,
     })
--- a/packages/fleet/src/control/census.ts
+++ b/packages/fleet/src/control/census.ts
@@ -27,7 +27,7 @@
 
 /** Whether its lease stands now, by the clock of its own machine. */
 function stands(h: Holder, now: number): boolean {
-  return h.proc.state !== 'dead' && h.termUntil > now + h.machine.skew
+  return h.proc.state !== 'dead' && h.termUntil > now + h.machine.clockSkewMs
 }
 /** Who holds a lease now; not who was told to stop, as its lease may be given up already. */
 function holdersOf(fleet: ControlFleet): Holder[] {
@@ -80,7 +80,7 @@
       return got.ok && got.val.ok && got.val.sure ? got.val : undefined
     }
     while (!over()) {
-      fleet.latest()
+      fleet.latestCoreSet()
       for (const set of lastSets(fleet)) {
         // Only leases that stood before the question and stand after the answers.
         const holders = holdersOf(fleet)
--- a/packages/fleet/src/control/faults.ts
+++ b/packages/fleet/src/control/faults.ts
@@ -5,7 +5,7 @@
  * are a quorum of every set that may decide. Faults that end by themselves come in any number at once.
  */
 import type { Action } from './actions.js'
-import type { Box, ControlFleet } from './fleet.js'
+import type { CoreHost, ControlFleet } from './fleet.js'
 
 /** Milliseconds of clock that a core machine may be ahead after one step; less than a lease's slack. */
 const CLOCK_STEP_MOST = 90
@@ -24,12 +24,12 @@
   function later(long: number, run: () => void): void {
     sim.at(long, run)
   }
-  function boxOf(num: number): Box {
-    const list = fleet.present()
+  function boxOf(num: number): CoreHost {
+    const list = fleet.presentHosts()
     return list[num % list.length]
   }
   /** A restart after its time, where nothing else happened to the process meanwhile. */
-  function startLater(box: Box, long: number): void {
+  function startLater(box: CoreHost, long: number): void {
     const was = box.proc
     function again(): void {
       if (box.proc === was) fleet.start(box)
@@ -75,7 +75,7 @@
         cut(box, action.others, action.way, long)
     }
   }
-  function freeze(box: Box, long: number): void {
+  function freeze(box: CoreHost, long: number): void {
     const { proc } = box
     if (!proc || !box.up) return
     sim.freeze(proc)
@@ -84,31 +84,31 @@
     }
     later(long, thaw)
   }
-  function slow(box: Box, long: number): void {
+  function slow(box: CoreHost, long: number): void {
     box.machine.slow = SLOW
     function end(): void {
       box.machine.slow = 1
     }
     later(long, end)
   }
-  function stall(box: Box, long: number): void {
-    box.machine.stalled = true
+  function stall(box: CoreHost, long: number): void {
+    box.machine.isDiskStalled = true
     function end(): void {
-      box.machine.stalled = false
+      box.machine.isDiskStalled = false
     }
     later(long, end)
   }
   /** No write succeeds; the core is to find by itself that there is room again. */
-  function full(box: Box, long: number): void {
+  function full(box: CoreHost, long: number): void {
     box.machine.full = true
     function end(): void {
       box.machine.full = false
     }
     later(long, end)
   }
-  function cut(box: Box, others: number, way: 'in' | 'out' | 'both', long: number): void {
+  function cut(box: CoreHost, others: number, way: 'in' | 'out' | 'both', long: number): void {
     const list = [front.machine]
-    for (const b of fleet.present()) list.push(b.machine)
+    for (const b of fleet.presentHosts()) list.push(b.machine)
     const cuts: [typeof box.machine, typeof box.machine][] = []
     for (const [k, other] of list.entries()) {
       if (other === box.machine || ((others >> k) & 1) === 0) continue
@@ -122,23 +122,23 @@
     later(long, heal)
   }
   function blackout(long: number): void {
-    const down: Box[] = []
-    for (const b of fleet.present()) {
+    const down: CoreHost[] = []
+    for (const b of fleet.presentHosts()) {
       if (!b.up) continue
       fleet.kill(b, { dark: true })
       down.push(b)
     }
     for (const b of down) startLater(b, long)
   }
-  function stepClock(box: Box, step: number): void {
+  function stepClock(box: CoreHost, step: number): void {
     if (sim.now() - box.stepped < CLOCK_STEP_PAUSE) return
     box.stepped = sim.now()
-    box.machine.skew += Math.min(step, CLOCK_STEP_MOST)
+    box.machine.clockSkewMs += Math.min(step, CLOCK_STEP_MOST)
   }
   function frontFault(kind: 'kill' | 'freeze' | 'clock', long: number): void {
     if (!front.up) return
     const { proc } = front
-    if (kind === 'clock') front.machine.skew += long
+    if (kind === 'clock') front.machine.clockSkewMs += long
     else if (kind === 'freeze') {
       sim.freeze(proc)
       function thaw(): void {
@@ -153,13 +153,13 @@
       later(long, again)
     }
   }
-  function remove(box: Box): void {
-    if (fleet.present().length <= 3 || !fleet.bears([box])) {
+  function remove(box: CoreHost): void {
+    if (fleet.presentHosts().length <= 3 || !fleet.bears([box])) {
       skipped++
       return
     }
     fleet.kill(box, { dark: true })
-    box.gone = true
+    box.isRemoved = true
   }
   function apply(action: Action): void {
     switch (action.kind) {
@@ -196,10 +196,10 @@
   function endAll(): void {
     sim.heal()
     sim.loss(0)
-    for (const b of fleet.present()) {
+    for (const b of fleet.presentHosts()) {
       b.machine.slow = 1
       b.machine.full = false
-      b.machine.stalled = false
+      b.machine.isDiskStalled = false
       if (b.proc?.state === 'frozen') sim.thaw(b.proc)
       if (b.ending) fleet.kill(b)
       fleet.start(b)
--- a/packages/fleet/src/control/fleet.ts
+++ b/packages/fleet/src/control/fleet.ts
@@ -27,7 +27,7 @@
  * One core machine. `up`: its process runs, or is frozen; `ending`: it was told to stop; `gone`: removed for good;
  * `memory`: it holds what it promised and accepted, as of when it was last seen voting, and its disk has been kept since.
  */
-export type Box = {
+export type CoreHost = {
   name: string
   ip: string
   machine: Machine
@@ -35,7 +35,7 @@
   run: CoreMachine | undefined
   up: boolean
   ending: boolean
-  gone: boolean
+  isRemoved: boolean
   memory: boolean
   stepped: number
 }
@@ -48,28 +48,28 @@
 /** The machines of one run. `sets`: every core set seen, by epoch; `broken`: what was seen that must never be. */
 export type ControlFleet = {
   sim: Sim
-  boxes: Box[]
+  hosts: CoreHost[]
   front: Front
   sets: Map<number, CoreSet>
   broken: (what: string) => void
-  add: (first: boolean) => Box
-  start: (box: Box) => void
-  kill: (box: Box, how?: { dark?: boolean; disk?: 'lost' }) => void
-  terminate: (box: Box) => void
+  add: (first: boolean) => CoreHost
+  start: (box: CoreHost) => void
+  kill: (box: CoreHost, how?: { dark?: boolean; disk?: 'lost' }) => void
+  terminate: (box: CoreHost) => void
   /** Every life whose process is not dead. */
   lives: () => Life[]
   startFront: (first: boolean) => void
   killFront: () => void
   /** Looks at every core set; returns the latest. */
-  latest: () => CoreSet
+  latestCoreSet: () => CoreSet
   /** One single set, all of whose machines that are not removed vote. */
   settled: () => boolean
   /** Settled, and every machine that is there votes, or as many as may. */
-  whole: () => boolean
+  isFullyVoting: () => boolean
   /** Whether the set could still serve if these boxes never came back with their disks. */
-  bears: (lost: Box[]) => boolean
+  bears: (lost: CoreHost[]) => boolean
   /** Boxes that are not removed, and the http addresses of those. */
-  present: () => Box[]
+  presentHosts: () => CoreHost[]
 }
 
 /** What a box answers to operators. */
@@ -86,7 +86,7 @@
   const got = await desk.change(ask.path.slice('/order/'.length), change.val)
   return got.decision === 'unclear' ? { status: 503, body: null } : { status: 200, body: got }
 }
-function hasBox(set: CoreSet, box: Box): boolean {
+function hasBox(set: CoreSet, box: CoreHost): boolean {
   for (const c of votersOf(set)) if (c.id === box.ip) return true
   return false
 }
@@ -99,17 +99,17 @@
 const edges: AgentAdapters = { ...defaultAdapters, control }
 
 /** The http address of a box. */
-export function httpOf(box: Box): Address {
+export function httpAddressOf(box: CoreHost): Address {
   return `${box.ip}:8000`
 }
 
 /** Makes the fleet; `founders` boxes are the seeds of the very first start. */
 export function makeControlFleet(seed: number, founders: number, broken: (what: string) => void): ControlFleet {
   const sim = makeSim(seed, { keepLines: process.env['MODEL_TRACE'] !== undefined })
-  const boxes: Box[] = []
+  const boxes: CoreHost[] = []
   const sets = new Map<number, CoreSet>()
   const texts = new Map<number, string>()
-  const lastSeen = new Map<Box, CoreSet>()
+  const lastSeen = new Map<CoreHost, CoreSet>()
   let living: Life[] = []
 
   function firstSeeds(): Address[] {
@@ -118,17 +118,17 @@
     return out
   }
   /** Three processes that are there, as whoever starts a machine would name them; not the machine itself. */
-  function someSeeds(but: Box | undefined): Address[] {
+  function someSeeds(but: CoreHost | undefined): Address[] {
     const list = boxes.filter(isOther)
-    function isOther(b: Box): boolean {
-      return b !== but && !b.gone
+    function isOther(b: CoreHost): boolean {
+      return b !== but && !b.isRemoved
     }
     const out: Address[] = []
     while (out.length < 3 && list.length > 0)
-      out.push(httpOf(list.splice(Math.floor(sim.random() * list.length), 1)[0]))
+      out.push(httpAddressOf(list.splice(Math.floor(sim.random() * list.length), 1)[0]))
     return out
   }
-  function begin(box: Box, seeds: Address[], first: boolean): void {
+  function begin(box: CoreHost, seeds: Address[], first: boolean): void {
     async function run(world: World): Promise<void> {
       const got = await startCoreMachine(
         world,
@@ -137,7 +137,7 @@
           area: 'a',
           link: `${box.ip}:7000`,
           peer: `${box.ip}:7002`,
-          http: httpOf(box),
+          http: httpAddressOf(box),
           seeds,
           first,
           data: '/d',
@@ -157,10 +157,10 @@
     const mine = sim.spawn(box.machine, box.name, run)
     box.proc = mine
   }
-  function add(first: boolean): Box {
+  function add(first: boolean): CoreHost {
     const num = boxes.length + 1
     const ip = `10.0.1.${num}`
-    const box: Box = {
+    const box: CoreHost = {
       name: `core${num}`,
       ip,
       machine: sim.machine(`core${num}`, ip),
@@ -168,7 +168,7 @@
       run: undefined,
       up: false,
       ending: false,
-      gone: false,
+      isRemoved: false,
       memory: false,
       stepped: -Infinity,
     }
@@ -176,10 +176,10 @@
     begin(box, first ? firstSeeds() : someSeeds(box), first)
     return box
   }
-  function start(box: Box): void {
-    if (!box.up && !box.gone) begin(box, someSeeds(box), false)
+  function start(box: CoreHost): void {
+    if (!box.up && !box.isRemoved) begin(box, someSeeds(box), false)
   }
-  function kill(box: Box, how: { dark?: boolean; disk?: 'lost' } = {}): void {
+  function kill(box: CoreHost, how: { dark?: boolean; disk?: 'lost' } = {}): void {
     look(box)
     if (how.dark) box.machine.dark = true
     if (box.proc) sim.kill(box.proc)
@@ -189,7 +189,7 @@
     box.machine.files.clear()
     box.memory = false
   }
-  function terminate(box: Box): void {
+  function terminate(box: CoreHost): void {
     box.ending = true
     void box.run?.stop()
     const was = box.proc
@@ -250,7 +250,7 @@
       sets.set(set.epoch, set)
     } else if (old !== text) broken(`two core sets of epoch ${set.epoch}: ${old}, and ${text} at ${where}`)
   }
-  function look(box: Box): void {
+  function look(box: CoreHost): void {
     const core = box.run?.core
     if (!core) return
     const set = core.coreSet()
@@ -271,7 +271,7 @@
     for (const set of sets.values()) if (set.epoch > out.epoch) out = set
     return out
   }
-  function votes(box: Box, epoch: number): boolean {
+  function votes(box: CoreHost, epoch: number): boolean {
     return box.run?.core.serving() === true && box.run.core.coreSet().epoch === epoch
   }
   function settled(): boolean {
@@ -287,7 +287,7 @@
     let outside = 0
     let removed = 0
     for (const b of present()) if (!hasBox(set, b)) outside++
-    for (const b of boxes) if (b.gone && hasBox(set, b)) removed++
+    for (const b of boxes) if (b.isRemoved && hasBox(set, b)) removed++
     return outside === 0 || (set.cores.length >= MAX_VOTERS && removed === 0)
   }
   /** The latest set that is known, and every later one that a core has accepted, chosen or not. */
@@ -301,13 +301,13 @@
     return out
   }
   /** A newcomer that a set names by the storage it has votes as soon as it hears of it. */
-  function isNewcomer(box: Box, set: CoreSet): boolean {
+  function isNewcomer(box: CoreHost, set: CoreSet): boolean {
     const token = box.run?.core.place().token
     if (token === undefined) return false
     for (const c of votersOf(set)) if (c.id === box.ip && c.token === token) return true
     return false
   }
-  function bears(lost: Box[]): boolean {
+  function bears(lost: CoreHost[]): boolean {
     for (const set of mayDecide()) {
       const ids = new Set<string>()
       for (const b of present()) if (!lost.includes(b) && (b.memory || isNewcomer(b, set))) ids.add(b.ip)
@@ -315,15 +315,15 @@
     }
     return true
   }
-  function present(): Box[] {
+  function present(): CoreHost[] {
     return boxes.filter(isHere)
-    function isHere(b: Box): boolean {
-      return !b.gone
+    function isHere(b: CoreHost): boolean {
+      return !b.isRemoved
     }
   }
   return {
     sim,
-    boxes,
+    hosts: boxes,
     front,
     sets,
     broken,
@@ -333,11 +333,11 @@
     terminate,
     startFront,
     killFront,
-    latest,
+    latestCoreSet: latest,
     settled,
-    whole,
+    isFullyVoting: whole,
     lives,
     bears,
-    present,
+    presentHosts: present,
   }
 }
--- a/packages/fleet/src/control/operators.ts
+++ b/packages/fleet/src/control/operators.ts
@@ -4,7 +4,7 @@
  */
 import { requestOnce, pause, type World } from '@claynotch/base'
 import type { ConfigurationBody, Change, Decision } from '@claynotch/operator'
-import { httpOf, type Box, type ControlFleet } from './fleet.js'
+import { httpAddressOf, type CoreHost, type ControlFleet } from './fleet.js'
 import type { Model, Order } from './model.js'
 
 /** Milliseconds that an operator waits for one answer. */
@@ -18,8 +18,8 @@
   /** Sends to the boxes from this one on until one answers clearly; undefined: none did. */
   send: (order: Order, from: number) => Promise<Decision | undefined>
   /** Sends once to one box. */
-  sendOnce: (order: Order, at: Box) => Promise<Decision | undefined>
-  read: (at: Box) => Promise<ConfigurationBody | undefined>
+  sendOnce: (order: Order, at: CoreHost) => Promise<Decision | undefined>
+  read: (at: CoreHost) => Promise<ConfigurationBody | undefined>
 }
 
 /** pad: bytes of each document beside its name. */
@@ -36,9 +36,9 @@
     const whole = { proxies: 'live', groups: [{ name: 'group0', connections: 50 }], lanes: [], label }
     return { number: 1, expect: order.expect, epoch: order.epoch, whole }
   }
-  async function sendOnce(order: Order, at: Box): Promise<Decision | undefined> {
+  async function sendOnce(order: Order, at: CoreHost): Promise<Decision | undefined> {
     if (!world) return undefined
-    const got = await requestOnce(world, httpOf(at), 'POST', `/order/${order.name}`, changeOf(order), ANSWER_WAIT)
+    const got = await requestOnce(world, httpAddressOf(at), 'POST', `/order/${order.name}`, changeOf(order), ANSWER_WAIT)
     const decision = got.ok && got.val.status === 200 ? (got.val.body as Decision) : undefined
     if (got.ok && got.val.status !== 200 && got.val.status !== 503)
       fleet.broken(`${order.name}: status ${got.val.status} from ${at.name}`)
@@ -47,17 +47,17 @@
   }
   async function send(order: Order, from: number): Promise<Decision | undefined> {
     for (let k = 0; k < ATTEMPTS; k++) {
-      const list = fleet.present()
+      const list = fleet.presentHosts()
       const got = await sendOnce(order, list[(from + k) % list.length])
       if (got) return got
       if (world) await pause(world, ATTEMPT_PAUSE)
     }
     return undefined
   }
-  async function read(at: Box): Promise<ConfigurationBody | undefined> {
+  async function read(at: CoreHost): Promise<ConfigurationBody | undefined> {
     if (!world) return undefined
     const before = model.acknowledged()
-    const got = await requestOnce(world, httpOf(at), 'GET', '/read', undefined, ANSWER_WAIT)
+    const got = await requestOnce(world, httpAddressOf(at), 'GET', '/read', undefined, ANSWER_WAIT)
     if (!got.ok || got.val.status !== 200) return undefined
     const body = got.val.body as ConfigurationBody
     model.saw(body, `a read at ${at.name}`)
--- a/packages/fleet/src/control/power-loss.ts
+++ b/packages/fleet/src/control/power-loss.ts
@@ -3,7 +3,7 @@
  * core machines without a vote too, loses power at the same instant. Whatever is needed afterwards must be on the disks.
  */
 import { makeRun, type Run, type Verdict } from './run.js'
-import type { Box } from './fleet.js'
+import type { CoreHost } from './fleet.js'
 
 /** What is under way when the power goes. */
 export const MOMENTS = ['change', 'race', 'replacement', 'refill'] as const
@@ -32,10 +32,10 @@
 export type PowerLossReport = { moment: Moment; cores: number; lostDisks: number; verdict: Verdict }
 
 /** Boxes that lose their disks: as many as the deployment allows, and no more than the present set bears. */
-function drawLost(run: Run, most: number): Box[] {
+function drawLost(run: Run, most: number): CoreHost[] {
   const { fleet } = run
-  const list = fleet.present()
-  const lost: Box[] = []
+  const list = fleet.presentHosts()
+  const lost: CoreHost[] = []
   while (lost.length < most && list.length > 0) {
     const [box] = list.splice(Math.floor(fleet.sim.random() * list.length), 1)
     if (fleet.bears([...lost, box])) lost.push(box)
@@ -44,7 +44,7 @@
 }
 
 function begin(run: Run, moment: Moment): void {
-  const machine = Math.floor(run.fleet.sim.random() * run.fleet.present().length)
+  const machine = Math.floor(run.fleet.sim.random() * run.fleet.presentHosts().length)
   if (moment === 'replacement') {
     run.faults.apply({ wait: 0, kind: 'remove', machine })
     run.faults.apply({ wait: 0, kind: 'add' })
@@ -52,10 +52,10 @@
 }
 
 /** Everything goes dark at this instant, and comes back machine by machine, in any order. */
-function losePower(run: Run, lost: Box[]): void {
+function losePower(run: Run, lost: CoreHost[]): void {
   const { fleet } = run
   const { sim } = fleet
-  for (const box of fleet.present()) {
+  for (const box of fleet.presentHosts()) {
     fleet.kill(box, { dark: true, ...(lost.includes(box) ? { disk: 'lost' as const } : {}) })
     function again(): void {
       fleet.start(box)
@@ -76,16 +76,16 @@
   const { fleet } = run
   const { sim } = fleet
   let lostDisks = 0
-  if (await run.found()) {
-    if (!(await sim.until(fleet.whole, GROWTH_LIMIT_MS))) fleet.broken(`the set did not grow: ${run.states()}`)
+  if (await run.foundCluster()) {
+    if (!(await sim.until(fleet.isFullyVoting, GROWTH_LIMIT_MS))) fleet.broken(`the set did not grow: ${run.describeState()}`)
     for (let k = 0; k < CHANGES_BEFORE; k++) {
-      void run.order(0, k)
+      void run.sendOrder(0, k)
       await run.idle()
     }
     begin(run, moment)
     if (moment === 'replacement' || moment === 'refill') await sim.run(sim.now() + MOST_LEAD_MS * sim.random())
-    if (moment === 'race') void run.race(0, 1, 1)
-    else void run.order(0, Math.floor(sim.random() * cores))
+    if (moment === 'race') void run.sendRacingOrders(0, 1, 1)
+    else void run.sendOrder(0, Math.floor(sim.random() * cores))
     await sim.run(sim.now() + LEAST_WAIT_MS + (MOST_WAIT_MS - LEAST_WAIT_MS) * sim.random())
     const lost = drawLost(run, disks)
     lostDisks = lost.length
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -20,7 +20,7 @@
 
 /** What one run came to. `progress`: milliseconds until a change was taken after the faults; `whole`: until all voted. */
 export type Verdict = {
-  broken: string[]
+  violations: string[]
   orders: number
   accepted: number
   refused: number
@@ -41,15 +41,15 @@
   faults: Faults
   operators: Operator[]
   broken: string[]
-  found: () => Promise<boolean>
+  foundCluster: () => Promise<boolean>
   /** Sends one order on the newest epoch that is known, or on one that was passed; again: repeats after its answer. */
-  order: (operator: number, machine: number, how?: { stale?: boolean; gap?: number; again?: number }) => Promise<void>
+  sendOrder: (operator: number, machine: number, how?: { stale?: boolean; gap?: number; again?: number }) => Promise<void>
   /** Two orders of one expected epoch and one name, at once. */
-  race: (machine: number, other: number, gap: number) => Promise<void>
+  sendRacingOrders: (machine: number, other: number, gap: number) => Promise<void>
   /** Until no operator has an order under way. */
   idle: () => Promise<boolean>
   /** The latest set and what each machine is in it, for a message. */
-  states: () => string
+  describeState: () => string
   /** Ends the faults, and judges. */
   finish: () => Promise<Verdict>
 }
@@ -95,7 +95,7 @@
     pending++
     await operators[operator].send(order, machine)
     for (let k = 0; k < again; k++) {
-      const list = fleet.present()
+      const list = fleet.presentHosts()
       await operators[operator].sendOnce(order, list[(machine + k + 1) % list.length])
     }
     pending--
@@ -128,7 +128,7 @@
     let done = false
     async function work(): Promise<void> {
       for (let k = 0; !done && sim.now() - from < PROGRESS_LIMIT; k++) {
-        const list = fleet.present()
+        const list = fleet.presentHosts()
         const body = await operators[0].read(list[k % list.length])
         if (!body) continue
         const one = model.order(body.epoch, body.epoch + 1)
@@ -146,15 +146,15 @@
   }
   async function becomeWhole(): Promise<number> {
     const from = sim.now()
-    if (!(await sim.until(fleet.whole, WHOLE_LIMIT)))
+    if (!(await sim.until(fleet.isFullyVoting, WHOLE_LIMIT)))
       isBroken(`not whole ${WHOLE_LIMIT} ms after the end of the faults: ${states()}`)
     return sim.now() - from
   }
   function states(): string {
-    const out: string[] = [`${Math.round(sim.now())} ms`, JSON.stringify(fleet.latest())]
-    for (const b of fleet.boxes)
+    const out: string[] = [`${Math.round(sim.now())} ms`, JSON.stringify(fleet.latestCoreSet())]
+    for (const b of fleet.hosts)
       out.push(
-        `${b.name} ${b.gone ? 'gone' : (b.run?.core.state() ?? 'down')} ${b.run?.core.coreSet().epoch ?? ''} ${b.proc?.state} ${b.machine.dark}`,
+        `${b.name} ${b.isRemoved ? 'gone' : (b.run?.core.state() ?? 'down')} ${b.run?.core.coreSet().epoch ?? ''} ${b.proc?.state} ${b.machine.dark}`,
       )
     return out.join('; ')
   }
@@ -163,10 +163,10 @@
     let last: ConfigurationBody | undefined
     async function work(): Promise<void> {
       for (const [k, one] of model.orders().slice(-32).entries()) {
-        const list = fleet.present()
+        const list = fleet.presentHosts()
         await operators[1].sendOnce(one, list[k % list.length])
       }
-      for (const b of fleet.present()) last = (await operators[1].read(b)) ?? last
+      for (const b of fleet.presentHosts()) last = (await operators[1].read(b)) ?? last
       done = true
     }
     let done = false
@@ -195,19 +195,19 @@
       unclear += one.unclear
     }
     return {
-      broken,
+      violations: broken,
       orders: model.orders().length,
       accepted,
       refused,
       unclear,
-      sets: fleet.latest().epoch + 1,
+      sets: fleet.latestCoreSet().epoch + 1,
       counts: counts(),
       skipped: faults.skipped(),
       progress: took,
       whole,
-      events: sim.events(),
+      events: sim.eventCount(),
       virtual: sim.now(),
     }
   }
-  return { fleet, model, faults, operators, broken, found, order, race, idle, states, finish }
+  return { fleet, model, faults, operators, broken, foundCluster: found, sendOrder: order, sendRacingOrders: race, idle, describeState: states, finish }
 }
--- a/packages/fleet/src/control/watch.ts
+++ b/packages/fleet/src/control/watch.ts
@@ -44,13 +44,13 @@
   function lookAtLeases(): void {
     const holders = new Map<string, number>()
     for (const life of fleet.lives())
-      if (life.agent.leaseExpiresAt() > sim.now() + life.machine.skew)
+      if (life.agent.leaseExpiresAt() > sim.now() + life.machine.clockSkewMs)
         holders.set(life.node, (holders.get(life.node) ?? 0) + 1)
     for (const [node, count] of holders) if (count > 1) fleet.broken(`${count} lives of ${node} hold leases`)
   }
   function look(): void {
     if (over()) return
-    fleet.latest()
+    fleet.latestCoreSet()
     for (const life of fleet.lives()) lookAt(life.agent, life.node)
     lookAtLeases()
     sim.at(LOOK_BEAT, look)
--- a/packages/fleet/src/control/week.ts
+++ b/packages/fleet/src/control/week.ts
@@ -96,8 +96,8 @@
   async function send(world: World): Promise<void> {
     for (let k = 0; !over(); k++) {
       const from = sim.now()
-      if (k % 4 === 3) await run.race(k, k + 1, 1)
-      else await run.order(0, k, { stale: k % 9 === 8, gap: 1 + (k % 3), again: k % 5 === 0 ? 1 : 0 })
+      if (k % 4 === 3) await run.sendRacingOrders(k, k + 1, 1)
+      else await run.sendOrder(0, k, { stale: k % 9 === 8, gap: 1 + (k % 3), again: k % 5 === 0 ? 1 : 0 })
       took(sim.now() - from)
       await pause(world, ORDER_PAUSE)
     }
@@ -119,17 +119,17 @@
   function took(ms: number): void {
     outage.set(present, Math.max(outage.get(present) ?? 0, ms))
   }
-  if (await run.found()) {
+  if (await run.foundCluster()) {
     startOrders(run, isOver, took)
     for (let k = 0; k < rounds && run.broken.length === 0; k++) {
       const { name, actions } = LOSSES[k % LOSSES.length]
       present = 'nothing'
       await sim.run(sim.now() + QUIET)
-      if (!(await sim.until(fleet.whole, WHOLE_LIMIT)))
-        run.fleet.broken(`not whole before ${name}, loss ${k}: ${run.states()}`)
+      if (!(await sim.until(fleet.isFullyVoting, WHOLE_LIMIT)))
+        run.fleet.broken(`not whole before ${name}, loss ${k}: ${run.describeState()}`)
       present = name
-      const machine = Math.floor(sim.random() * fleet.present().length)
-      const other = Math.floor(sim.random() * fleet.present().length)
+      const machine = Math.floor(sim.random() * fleet.presentHosts().length)
+      const other = Math.floor(sim.random() * fleet.presentHosts().length)
       let length = 0
       for (const action of actions(machine, other)) {
         await sim.run(sim.now() + action.wait)
@@ -141,19 +141,19 @@
     over = true
   }
   let replaced = 0
-  for (const b of fleet.boxes) if (b.gone) replaced++
+  for (const b of fleet.hosts) if (b.isRemoved) replaced++
   return { verdict: await run.finish(), losses: rounds, replaced, outage }
 }
 
 /** A report in lines. */
-export function weekText(seed: number, got: WeekReport): string {
+export function formatWeekReport(seed: number, got: WeekReport): string {
   const { verdict, losses, replaced, outage } = got
   const lines = [
     `seed ${seed}: ${losses} losses, ${replaced} machines replaced, ${verdict.orders} orders (${verdict.accepted} accepted, ` +
       `${verdict.refused} refused, ${verdict.unclear} answers unclear), ${verdict.sets} core sets, ${verdict.counts} leases looked for, ` +
-      `${Math.round(verdict.virtual / 1000)} s of virtual time, ${verdict.broken.length} contradictions`,
+      `${Math.round(verdict.virtual / 1000)} s of virtual time, ${verdict.violations.length} contradictions`,
   ]
   for (const [name, ms] of outage) lines.push(`  longest order, ${name}: ${Math.round(ms)} ms`)
-  for (const what of verdict.broken) lines.push(`  BROKEN ${what}`)
+  for (const what of verdict.violations) lines.push(`  BROKEN ${what}`)
   return lines.join('\n')
 }
--- a/packages/fleet/src/controlmodel.ts
+++ b/packages/fleet/src/controlmodel.ts
@@ -8,22 +8,22 @@
 export { FAULTS, WAYS, type Action, type FaultKind, type Schedule, type Way } from './control/actions.js'
 export { SCOPES, schedulesOf } from './control/scope.js'
 export { makeSums, type Sums } from './control/sums.js'
-export { runWeek, weekText, type WeekReport } from './control/week.js'
+export { runWeek, formatWeekReport as weekText, type WeekReport } from './control/week.js'
 export { makeRun, PROGRESS_LIMIT, WHOLE_LIMIT, type Run, type Verdict } from './control/run.js'
 
 function begin(run: Run, action: Action, operator: number): void {
-  if (action.kind === 'order') void run.order(operator, action.machine, action)
-  else if (action.kind === 'race') void run.race(action.machine, action.other, action.gap)
+  if (action.kind === 'order') void run.sendOrder(operator, action.machine, action)
+  else if (action.kind === 'race') void run.sendRacingOrders(action.machine, action.other, action.gap)
   else run.faults.apply(action)
 }
 
 /** Plays it from its founding to the last judgement. */
-export async function play(schedule: Schedule): Promise<Verdict> {
+export async function playSchedule(schedule: Schedule): Promise<Verdict> {
   const run = makeRun(schedule.seed, schedule.seeds, schedule.spares, schedule.pad)
   const { sim } = run.fleet
-  if (await run.found()) {
+  if (await run.foundCluster()) {
     for (let k = 0; k < schedule.before; k++) {
-      void run.order(0, k)
+      void run.sendOrder(0, k)
       await run.idle()
     }
     for (const [k, action] of schedule.actions.entries()) {
--- a/packages/fleet/src/days.ts
+++ b/packages/fleet/src/days.ts
@@ -21,7 +21,7 @@
     await f.sim.until(sent.done, 15000)
     const told = sent.out()[0]
     if (told.decision !== (way === 0 ? 'accepted' : 'refused'))
-      f.watched.push({ rule: 'configuration', what: `${stream}#${line.number} was told ${JSON.stringify(told)}` })
+      f.watchBreaches.push({ rule: 'configuration', what: `${stream}#${line.number} was told ${JSON.stringify(told)}` })
     if (told.decision !== 'accepted') continue
     epoch = told.epoch ?? 0
     firsts.push({ stream, line, epoch })
@@ -45,7 +45,7 @@
     f.sim.kill(f.cores[k].proc)
     f.startCoreAt(k)
     if (!(await f.sim.until(serves, 20000)))
-      f.watched.push({ rule: 'repair', what: `${f.cores[k].id} was not refilled in 20 s` })
+      f.watchBreaches.push({ rule: 'repair', what: `${f.cores[k].id} was not refilled in 20 s` })
   }
   for (let k = 0; k < 12; k++) {
     const one = firsts[pick(f, firsts.length)]
@@ -53,14 +53,14 @@
     await f.sim.until(sent.done, 15000)
     const told = sent.out()[0]
     if (told.decision !== 'accepted' || told.epoch !== one.epoch)
-      f.watched.push({
+      f.watchBreaches.push({
         rule: 'configuration',
         what: `the repeat of a change of ${one.stream} accepted as ${one.epoch} was told ${JSON.stringify(told)}`,
       })
   }
   let size = 0
   for (const c of f.cores) for (const b of c.machine.files.values()) size = Math.max(size, b.length)
-  if (size > 8 * 1024 * 1024) f.watched.push({ rule: 'disk', what: `a core's file is ${size} bytes at day's end` })
+  if (size > 8 * 1024 * 1024) f.watchBreaches.push({ rule: 'disk', what: `a core's file is ${size} bytes at day's end` })
 }
 
 export const days: Scenario[] = [
--- a/packages/fleet/src/detection.ts
+++ b/packages/fleet/src/detection.ts
@@ -23,7 +23,7 @@
 }
 
 async function crash(seed: number, suspect: number, loss: number): Promise<number> {
-  const f = makeSimFleet(seed, { ...smallShape(), suspect })
+  const f = makeSimFleet(seed, { ...smallShape(), suspicionTimeoutMs: suspect })
   if (!(await f.begin())) return NaN
   f.sim.loss(loss)
   await f.sim.run(f.sim.now() + 3000 + 1000 * f.sim.random())
@@ -41,7 +41,7 @@
 
 // A leader that stops for 0.2 to 1.6 s every few seconds, as for a collector or a slow disk; every move is false.
 async function pauses(seed: number, suspect: number, loss: number): Promise<number> {
-  const f = makeSimFleet(seed, { ...smallShape(), suspect })
+  const f = makeSimFleet(seed, { ...smallShape(), suspicionTimeoutMs: suspect })
   if (!(await f.begin())) return NaN
   f.sim.loss(loss)
   const end = f.sim.now() + CALM
--- a/packages/fleet/src/harm.ts
+++ b/packages/fleet/src/harm.ts
@@ -31,7 +31,7 @@
 
 /** The index of an instance in the fleet, or -1. */
 export function indexOf(fleet: SimFleet, box: { name: string } | undefined): number {
-  for (const [index, candidate] of fleet.boxes.entries()) if (candidate === box) return index
+  for (const [index, candidate] of fleet.instanceHosts.entries()) if (candidate === box) return index
   return -1
 }
 /** Advances the simulation by `ms`. */
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -18,7 +18,7 @@
 }
 /** Changes a lane (undefined: drops it) and records the rule that applies from the acceptance on. */
 export async function changeLane(fleet: SimFleet, name: string, next: Lane | undefined): Promise<void> {
-  const changeNumber = fleet.decided.length
+  const changeNumber = fleet.operatorDecisions.length
   const edits = next ? [{ op: 'put', what: 'lane', value: next }] : [{ op: 'drop', what: 'lane', name }]
   const sent = fleet.change(pick(fleet, fleet.fronts.length), `lanes${changeNumber}`, [
     { number: 1, expect: latestAcceptedEpoch(fleet), edits },
@@ -26,7 +26,10 @@
   await fleet.sim.until(sent.done, 15000)
   const result = sent.out()[0]
   if (result?.decision !== 'accepted')
-    fleet.watched.push({ rule: 'configuration', what: `a change of lane ${name} was told ${JSON.stringify(result)}` })
+    fleet.watchBreaches.push({
+      rule: 'configuration',
+      what: `a change of lane ${name} was told ${JSON.stringify(result)}`,
+    })
   else
     fleet.laws.push(
       next
@@ -37,7 +40,7 @@
 /** The highest epoch of an accepted change. */
 export function latestAcceptedEpoch(fleet: SimFleet): number {
   let latestEpoch = 0
-  for (const change of fleet.decided)
+  for (const change of fleet.operatorDecisions)
     if (change.told.decision === 'accepted') latestEpoch = Math.max(latestEpoch, change.told.epoch ?? 0)
   return latestEpoch
 }
@@ -60,12 +63,12 @@
     const deadIndex = fleet.sim.random() < 0.5 ? leaderIndex(fleet, 'g1') : -1
     notes.set(`${name} ${way}${deadIndex >= 0 ? ' in a promotion' : ''}`, 1)
     if (deadIndex >= 0) {
-      fleet.killBox(deadIndex)
+      fleet.killInstance(deadIndex)
       await wait(fleet, 100 + 1500 * fleet.sim.random())
     }
     await changeLane(fleet, name, next)
     await wait(fleet, 7000)
-    if (deadIndex >= 0) fleet.startBoxAt(deadIndex)
+    if (deadIndex >= 0) fleet.startInstanceAt(deadIndex)
     await changeLane(fleet, name, original)
     await wait(fleet, 2000 + 3000 * fleet.sim.random())
   }
@@ -126,7 +129,7 @@
 /** Sends a change and returns its decision. */
 async function sendChange(fleet: SimFleet, stream: string, edits: unknown[]): Promise<Decided> {
   const sent = fleet.change(pick(fleet, fleet.fronts.length), stream, [
-    { number: fleet.decided.length + 1, expect: currentConfiguration(fleet)?.epoch ?? 0, edits },
+    { number: fleet.operatorDecisions.length + 1, expect: currentConfiguration(fleet)?.epoch ?? 0, edits },
   ])
   await fleet.sim.until(sent.done, 15000)
   return sent.out()[0] ?? { decision: 'no answer' }
@@ -141,7 +144,10 @@
 ): Promise<boolean> {
   const result = await sendChange(fleet, 'moves', [{ op: 'move', lanes, to }])
   if (result.decision !== 'accepted') {
-    fleet.watched.push({ rule: 'move', what: `a move of ${lanes.join()} to ${to} was told ${JSON.stringify(result)}` })
+    fleet.watchBreaches.push({
+      rule: 'move',
+      what: `a move of ${lanes.join()} to ${to} was told ${JSON.stringify(result)}`,
+    })
     return false
   }
   const id = result.epoch ?? 0
@@ -165,7 +171,7 @@
     return move === undefined && (currentConfiguration(fleet)?.epoch ?? 0) >= id
   }
   if (!(await fleet.sim.until(hasMoveEnded, 60000))) {
-    fleet.watched.push({
+    fleet.watchBreaches.push({
       rule: 'move',
       what: `the move of ${lanes.join()} to ${to} has not ended after a minute: ${JSON.stringify(currentMove())}`,
     })
@@ -192,14 +198,14 @@
   const lanes = ['book-g1', 'dep-g1', 'cal-g1']
   const partialMove = await sendChange(fleet, 'part', [{ op: 'move', lanes: ['dep-g1'], to: 'g2' }])
   if (partialMove.decision !== 'refused')
-    fleet.watched.push({
+    fleet.watchBreaches.push({
       rule: 'move',
       what: `a lane without its fellows to the same database was told ${JSON.stringify(partialMove)}`,
     })
   for (const to of ['g2', 'g1']) {
     const from = fleet.sim.now()
     const isMoved = await moveLanes(fleet, lanes, to, notes)
-    if (!isMoved) fleet.watched.push({ rule: 'move', what: `a move to ${to} with nothing wrong was called off` })
+    if (!isMoved) fleet.watchBreaches.push({ rule: 'move', what: `a move to ${to} with nothing wrong was called off` })
     await wait(fleet, 2500)
     let longestStallMs = 0
     let lastWriteAt = from
@@ -214,7 +220,7 @@
       Math.max(notes.get('ms without a write done, most') ?? 0, Math.round(longestStallMs)),
     )
     if (longestStallMs > 1000)
-      fleet.watched.push({
+      fleet.watchBreaches.push({
         rule: 'move',
         what: `no write of ${lanes.join()} was done for ${Math.round(longestStallMs)} ms`,
       })
@@ -224,7 +230,7 @@
 /** The same with one lagging follower in each group, so that it lacks a session's own writes at the switch. */
 async function moveLagging(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
   for (const group of ['g1', 'g2']) {
-    for (const box of fleet.boxes) {
+    for (const box of fleet.instanceHosts) {
       if (box.group !== group || box.instance?.role() !== 'follower') continue
       box.instance.faults.lag = 2000
       break
@@ -257,8 +263,8 @@
   notes.set(isMoved ? 'went over' : 'called off', 1)
   await wait(fleet, 9000)
   fleet.sim.heal()
-  for (const box of fleet.boxes) if (box.instance) box.instance.faults.uncopied = false
-  for (const [index, box] of fleet.boxes.entries()) if (box.proc.state === 'dead') fleet.startBoxAt(index)
+  for (const box of fleet.instanceHosts) if (box.instance) box.instance.faults.uncopied = false
+  for (const [index, box] of fleet.instanceHosts.entries()) if (box.proc.state === 'dead') fleet.startInstanceAt(index)
   await wait(fleet, 4000)
 }
 function harmsOf(f: SimFleet): (() => Promise<void> | void)[] {
@@ -284,10 +290,10 @@
     }
   }
   function sourceDies(): void {
-    f.killBox(leaderIndex(f, 'g1'))
+    f.killInstance(leaderIndex(f, 'g1'))
   }
   function targetDies(): void {
-    f.killBox(leaderIndex(f, 'g2'))
+    f.killInstance(leaderIndex(f, 'g2'))
   }
   /** Partitions a proxy from the cores and other nodes; its clients and both groups stay reachable. */
   function proxyDeaf(): void {
@@ -317,7 +323,7 @@
     }
   }
   function copyStops(): void {
-    for (const box of f.boxes) if (box.group === 'g2' && box.instance) box.instance.faults.uncopied = true
+    for (const box of f.instanceHosts) if (box.group === 'g2' && box.instance) box.instance.faults.uncopied = true
   }
   async function calledOff(): Promise<void> {
     await sendChange(f, 'off', [{ op: 'calloff', lane: 'dep-g1' }])
@@ -327,7 +333,7 @@
   }
   /** The source's leader answers late, so that writes are in flight when the lanes are closed. */
   function sourceSlow(): void {
-    const box = f.boxes[leaderIndex(f, 'g1')]
+    const box = f.instanceHosts[leaderIndex(f, 'g1')]
     f.sim.freeze(box.proc)
     f.sim.at(800 + 1500 * f.sim.random(), thaw)
     function thaw(): void {
@@ -349,7 +355,7 @@
   ]
 }
 function twoSeparateGroups(): Shape {
-  return { ...twoGroups(), apart: true }
+  return { ...twoGroups(), separateGroupData: true }
 }
 
 export const lanes: Scenario[] = [
--- a/packages/fleet/src/main.ts
+++ b/packages/fleet/src/main.ts
@@ -30,7 +30,7 @@
   let bad = 0
   for (let seed = Number(args.from); seed <= Number(args.to); seed++) {
     const got = await runWeek(seed, Number(args.losses))
-    if (got.verdict.broken.length > 0) bad++
+    if (got.verdict.violations.length > 0) bad++
     out(weekText(seed, got))
   }
   process.exit(bad === 0 ? 0 : 1)
--- a/packages/fleet/src/scenarios.ts
+++ b/packages/fleet/src/scenarios.ts
@@ -77,7 +77,7 @@
     await harm(f, new Map())
   }
   await Promise.all(runs)
-  f.watched.splice(0, f.watched.length, ...f.watched.filter(isNever))
+  f.watchBreaches.splice(0, f.watchBreaches.length, ...f.watchBreaches.filter(isNever))
 }
 
 // Of what is found while watching, what must never happen whatever else fails.
@@ -163,7 +163,7 @@
   const notes = new Map<string, number>()
   const more: Breach[] = []
   if (began) {
-    f.traffic()
+    f.startTraffic()
     await wait(f, 3000)
     const before = { from: f.sim.now() - 2000, to: f.sim.now() }
     await s.harm(f, notes)
@@ -177,10 +177,10 @@
       if (x.agentProc.state === 'dead') f.startAgentAt(k)
       if (x.proxyProc.state === 'dead') f.startProxyAt(k)
     }
-    for (const [k, b] of f.boxes.entries()) {
+    for (const [k, b] of f.instanceHosts.entries()) {
       b.machine.dark = false
       f.sim.thaw(b.proc)
-      if (b.proc.state === 'dead') f.startBoxAt(k)
+      if (b.proc.state === 'dead') f.startInstanceAt(k)
     }
     const back = f.sim.now()
     await wait(f, 14000)
--- a/packages/fleet/src/scenarios/changes.ts
+++ b/packages/fleet/src/scenarios/changes.ts
@@ -25,7 +25,7 @@
     await f.sim.until(second.done, 15000)
     const told = second.out()[0]
     if (told.decision !== 'accepted' || told.epoch !== k + 2)
-      f.watched.push({ rule: 'configuration', what: `the repeat of again#${k + 1} was told ${JSON.stringify(told)}` })
+      f.watchBreaches.push({ rule: 'configuration', what: `the repeat of again#${k + 1} was told ${JSON.stringify(told)}` })
     await wait(f, 1500)
   }
 }
@@ -43,7 +43,7 @@
     const c = f.change(2, `c${k}`, [{ number: 1, expect: k + 2, edits: [{ op: 'proxies', value: 40 }] }])
     await f.sim.until(c.done, 20000)
     if (c.out()[0].decision === 'accepted')
-      f.watched.push({ rule: 'configuration', what: `c${k} is invalid and was accepted` })
+      f.watchBreaches.push({ rule: 'configuration', what: `c${k} is invalid and was accepted` })
     await wait(f, 800)
   }
 }
--- a/packages/fleet/src/scenarios/cores.ts
+++ b/packages/fleet/src/scenarios/cores.ts
@@ -18,10 +18,10 @@
     ])
     await f.sim.until(sent.done, 8000)
     if (sent.out()[0]?.decision !== 'accepted')
-      f.watched.push({ rule: 'disk', what: `with a core's disk full a change was told ${JSON.stringify(sent.out())}` })
+      f.watchBreaches.push({ rule: 'disk', what: `with a core's disk full a change was told ${JSON.stringify(sent.out())}` })
     await wait(f, 1000)
     if (f.cores[at].core?.serving())
-      f.watched.push({ rule: 'disk', what: `${f.cores[at].id} calls itself serving with a full disk` })
+      f.watchBreaches.push({ rule: 'disk', what: `${f.cores[at].id} calls itself serving with a full disk` })
   }
   await wait(f, 3000)
   for (const at of [0, 1]) {
@@ -30,7 +30,7 @@
     f.startCoreAt(at)
     await wait(f, 1500)
     if (!f.cores[at].core?.serving())
-      f.watched.push({ rule: 'disk', what: `${f.cores[at].id} does not serve again with room on its disk` })
+      f.watchBreaches.push({ rule: 'disk', what: `${f.cores[at].id} does not serve again with room on its disk` })
   }
 }
 
@@ -81,14 +81,14 @@
     f.sim.kill(x.agentProc)
     f.sim.kill(x.proxyProc)
   }
-  for (let k = 0; k < f.boxes.length; k++) f.killBox(k)
+  for (let k = 0; k < f.instanceHosts.length; k++) f.killInstance(k)
   await wait(f, 2000)
   for (let k = 0; k < f.cores.length; k++) f.startCoreAt(k)
   for (let k = 0; k < f.fronts.length; k++) {
     f.startAgentAt(k)
     f.startProxyAt(k)
   }
-  for (let k = 0; k < f.boxes.length; k++) f.startBoxAt(k)
+  for (let k = 0; k < f.instanceHosts.length; k++) f.startInstanceAt(k)
   await wait(f, 12000)
 }
 
@@ -127,7 +127,7 @@
   const whole = await f.sim.until(same, 6000)
   notes.set('ms until the core held all', Math.round(f.sim.now() - from))
   if (!whole)
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'repair',
       what: `6 s after its return ${f.cores[at].id} holds ${turns(at)}, another ${turns((at + 1) % f.cores.length)}`,
     })
--- a/packages/fleet/src/scenarios/fronts.ts
+++ b/packages/fleet/src/scenarios/fronts.ts
@@ -6,7 +6,7 @@
 
 export async function drainDark(f: SimFleet): Promise<void> {
   // A proxy is stopped while its calls hang at a leader that went dark: each still gets its answer, whatever it is.
-  const box = f.boxes[leaderIndex(f, 'g1')]
+  const box = f.instanceHosts[leaderIndex(f, 'g1')]
   box.machine.dark = true
   await wait(f, 100 + 400 * f.sim.random())
   const { proxy, proxyProc } = f.fronts[0]
@@ -23,12 +23,12 @@
   f.sim.kill(proxyProc)
   for (const e of f.events)
     if (e.class === 'BROKE')
-      f.watched.push({
+      f.watchBreaches.push({
         rule: 'dropped answer',
         what: `${e.kind} of session ${e.session} broke ${Math.round(e.end - from)} ms after the stop began`,
       })
   if (f.sim.now() - from > 9000)
-    f.watched.push({ rule: 'planned stop', what: `the proxy took ${Math.round(f.sim.now() - from)} ms to end` })
+    f.watchBreaches.push({ rule: 'planned stop', what: `the proxy took ${Math.round(f.sim.now() - from)} ms to end` })
   box.machine.dark = false
   f.startProxyAt(0)
   await wait(f, 4000)
@@ -46,7 +46,7 @@
       return over
     }
     if (!(await f.sim.until(isOver, 10000)))
-      f.watched.push({ rule: 'planned stop', what: 'a process did not end within 10 s' })
+      f.watchBreaches.push({ rule: 'planned stop', what: 'a process did not end within 10 s' })
   }
   for (const [k, c] of f.cores.entries()) {
     await ended(c.core?.stop())
@@ -74,7 +74,7 @@
   await wait(f, 4000)
   for (const k of late)
     if (f.fronts[k].proxy?.state.hasConnectionShare())
-      f.watched.push({ rule: 'shares', what: `${f.fronts[k].node} holds a share though all were held` })
+      f.watchBreaches.push({ rule: 'shares', what: `${f.fronts[k].node} holds a share though all were held` })
   f.sim.kill(f.fronts[0].agentProc)
   f.sim.kill(f.fronts[0].proxyProc)
   const from = f.sim.now()
@@ -84,7 +84,7 @@
   }
   const did = await f.sim.until(taken, 15000)
   notes.set('ms until a share changed hands', Math.round(f.sim.now() - from))
-  if (!did) f.watched.push({ rule: 'shares', what: 'no machine took the share of one that was gone for 15 s' })
+  if (!did) f.watchBreaches.push({ rule: 'shares', what: 'no machine took the share of one that was gone for 15 s' })
   // With more shares, smaller each, everyone serves.
   const sent = f.change(1, 'shares', [{ number: 1, expect: 1, edits: [{ op: 'proxies', value: 5 }] }])
   await f.sim.until(sent.done, 8000)
@@ -93,7 +93,7 @@
   await wait(f, 9000)
   for (const x of f.fronts)
     if (!x.proxy?.state.hasConnectionShare())
-      f.watched.push({ rule: 'shares', what: `${x.node} holds no share though there are five` })
+      f.watchBreaches.push({ rule: 'shares', what: `${x.node} holds no share though there are five` })
 }
 
 export async function agentRestarts(f: SimFleet): Promise<void> {
@@ -117,7 +117,7 @@
   }
   for (const e of f.events)
     if (e.outcome !== 'done' && e.class !== 'ROLLED_BACK')
-      f.watched.push({
+      f.watchBreaches.push({
         rule: 'interrupted',
         what: `${e.kind} ended ${e.outcome} ${e.class} at ${Math.round(e.end)} while agents restarted`,
       })
@@ -225,14 +225,14 @@
   await wait(f, 2000)
   const from = f.sim.now()
   const alone = kindRate(f, 'quiet', from - 3000, from)
-  f.crowdIn(teamMixes('loud'), 48, 5)
+  f.addRequesters(teamMixes('loud'), 48, 5)
   await wait(f, 6000)
   const beside = kindRate(f, 'quiet', f.sim.now() - 4000, f.sim.now())
   notes.set('quiet team, share of its rate alone', Math.round((100 * beside) / alone) / 100)
   // Two teams of equal share: beside the crowd it has one connection of the two that it has alone, and waits for
   // it behind a call of the crowd's that runs already, as connections aren't taken away from a call.
   if (beside < 0.33 * alone)
-    f.watched.push({ rule: 'starved', what: `the quiet team got ${beside} a second beside the crowd, ${alone} alone` })
+    f.watchBreaches.push({ rule: 'starved', what: `the quiet team got ${beside} a second beside the crowd, ${alone} alone` })
 }
 
 function kindRate(f: SimFleet, kind: string, from: number, to: number): number {
--- a/packages/fleet/src/scenarios/leaders.ts
+++ b/packages/fleet/src/scenarios/leaders.ts
@@ -27,7 +27,7 @@
 export async function leaderCrash(f: SimFleet, notes: Map<string, number>): Promise<void> {
   const at = leaderIndex(f, 'g1')
   const from = f.sim.now()
-  f.killBox(at)
+  f.killInstance(at)
   notes.set('ms until served', await untilServed(f, 30000))
   // The promotion is absorbed: at most one call of each requester hears of it.
   let told = 0
@@ -37,16 +37,16 @@
   const { firsts, again } = triesOf(f)
   notes.set('retries for each first send, fleet', Math.round((1000 * again) / firsts) / 1000)
   if (again > 0.25 * firsts)
-    f.watched.push({ rule: 'retry storm', what: `${again} retries for ${firsts} first sends over all nodes` })
+    f.watchBreaches.push({ rule: 'retry storm', what: `${again} retries for ${firsts} first sends over all nodes` })
   if (told > f.shape.requesters)
-    f.watched.push({ rule: 'absorbed', what: `${told} calls were told UNAVAILABLE during one promotion` })
+    f.watchBreaches.push({ rule: 'absorbed', what: `${told} calls were told UNAVAILABLE during one promotion` })
   await wait(f, 4000)
-  f.startBoxAt(at)
+  f.startInstanceAt(at)
   await wait(f, 6000)
 }
 
 export async function leaderDark(f: SimFleet, notes: Map<string, number>): Promise<void> {
-  const box = f.boxes[leaderIndex(f, 'g1')]
+  const box = f.instanceHosts[leaderIndex(f, 'g1')]
   box.machine.dark = true
   notes.set('ms until served', await untilServed(f, 30000))
   await wait(f, 12000)
@@ -55,7 +55,7 @@
 }
 
 export async function leaderFrozen(f: SimFleet, notes: Map<string, number>): Promise<void> {
-  const box = f.boxes[leaderIndex(f, 'g1')]
+  const box = f.instanceHosts[leaderIndex(f, 'g1')]
   f.sim.freeze(box.proc)
   notes.set('ms until served', await untilServed(f, 30000))
   await wait(f, 9000)
@@ -81,7 +81,7 @@
   const calls = f.promotions.length
   const first = recordOf(f)?.epoch ?? 0
   if (planned) f.ask(0, '/groups/g1/replacement', 'POST', {})
-  else f.killBox(leaderIndex(f, 'g1'))
+  else f.killInstance(leaderIndex(f, 'g1'))
   if (step === 'suspected') await wait(f, 2000 * f.sim.random())
   function there(): boolean {
     const rec = recordOf(f)
@@ -111,7 +111,7 @@
   const rec = recordOf(f)
   const lead = f.leaderOf('g1')
   if (rec?.phase !== 'steady' || rec.epoch <= first || lead?.name !== rec.leader)
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'unfinished',
       what: `15 s after its holder failed (${step}) the record is ${JSON.stringify(rec)}, ${lead?.name} leads`,
     })
@@ -120,10 +120,10 @@
 export async function split(f: SimFleet): Promise<void> {
   // The leader is cut off from all but one front machine, whose agent falls silent a little later: its proxy
   // works on by the term that it was fed, and reaches a leader that nobody else hears.
-  const box = f.boxes[leaderIndex(f, 'g1')]
+  const box = f.instanceHosts[leaderIndex(f, 'g1')]
   const n = pick(f, f.fronts.length)
   // In half of the seeds its followers hear it too, so that nothing but the stop holds the promotion up.
-  if (f.sim.random() < 0.5) for (const b of f.boxes) if (b !== box) f.sim.cut(box.machine, b.machine)
+  if (f.sim.random() < 0.5) for (const b of f.instanceHosts) if (b !== box) f.sim.cut(box.machine, b.machine)
   for (const x of f.fronts) if (x !== f.fronts[n]) f.sim.cut(box.machine, x.machine)
   await wait(f, 1800 + 1200 * f.sim.random())
   f.sim.freeze(f.fronts[n].agentProc)
@@ -146,7 +146,7 @@
   notes.set('commits lost', lost.size)
   notes.set('ms between the first and the last of them', Math.round(span))
   if (span > GUARD + 700)
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'guard',
       what: `commits over ${Math.round(span)} ms were lost since ${Math.round(from)}, with a guard of ${GUARD} ms`,
     })
@@ -155,8 +155,8 @@
 export async function lateDelivery(f: SimFleet): Promise<void> {
   // Writes on their way to a leader are held up by the network; they arrive, run and are answered after
   // another leader took over, while the old one has not heard of it.
-  const box = f.boxes[leaderIndex(f, 'g1')]
-  for (const b of f.boxes) if (b !== box) f.sim.cut(box.machine, b.machine)
+  const box = f.instanceHosts[leaderIndex(f, 'g1')]
+  for (const b of f.instanceHosts) if (b !== box) f.sim.cut(box.machine, b.machine)
   for (const x of f.fronts) f.sim.cut(box.machine, x.machine)
   const before = f.promotions.length
   function moved(): boolean {
@@ -179,7 +179,7 @@
       return recordOf(f)?.phase === 'steady' && recordOf(f)?.leader === 'g12'
     }
     if (!(await f.sim.until(is, limit)))
-      f.watched.push({ rule: 'home', what: `after ${limit} ms the leader is ${recordOf(f)?.leader}, home is g12's` })
+      f.watchBreaches.push({ rule: 'home', what: `after ${limit} ms the leader is ${recordOf(f)?.leader}, home is g12's` })
     return Math.round(f.sim.now() - from)
   }
   await home(30000)
@@ -188,18 +188,18 @@
   await f.sim.until(sent.done, 8000)
   await wait(f, 3000)
   if (recordOf(f)?.leader !== 'g13')
-    f.watched.push({ rule: 'home', what: `an operator's wish for g13 left ${recordOf(f)?.leader}` })
+    f.watchBreaches.push({ rule: 'home', what: `an operator's wish for g13 left ${recordOf(f)?.leader}` })
   const took = await home(40000)
   notes.set('ms until home again', took)
-  if (took < 15000) f.watched.push({ rule: 'home', what: `it went home after ${took} ms already` })
+  if (took < 15000) f.watchBreaches.push({ rule: 'home', what: `it went home after ${took} ms already` })
   if (f.promotions.length > moves + 2)
-    f.watched.push({ rule: 'home', what: `${f.promotions.length - moves} promotions for one wish and one way home` })
+    f.watchBreaches.push({ rule: 'home', what: `${f.promotions.length - moves} promotions for one wish and one way home` })
 }
 
 export async function sickLeader(f: SimFleet, notes: Map<string, number>): Promise<void> {
   // The leader fails four statements of ten while its STATUS looks well (the breaker opens at five), and requesters ask again at once: retries
   // summed over all nodes stay under a fifth of first sends, beyond the tokens that each node starts with.
-  const box = f.boxes[leaderIndex(f, 'g1')]
+  const box = f.instanceHosts[leaderIndex(f, 'g1')]
   const before = triesOf(f)
   box.instance!.faults.sick = 0.4
   await wait(f, 20000)
@@ -211,7 +211,7 @@
   notes.set('retries for each first send, fleet', Math.round((1000 * again) / firsts) / 1000)
   const most = 0.2 * firsts + RETRY_TOKENS * f.fronts.length
   if (again > most)
-    f.watched.push({
+    f.watchBreaches.push({
       rule: 'retry storm',
       what: `${again} retries for ${firsts} first sends over all nodes, ${Math.round(most)} at most`,
     })
--- a/packages/fleet/src/scenarios/network.ts
+++ b/packages/fleet/src/scenarios/network.ts
@@ -5,7 +5,7 @@
 
 export async function cuts(f: SimFleet): Promise<void> {
   for (let k = 0; k < 6; k++) {
-    const list = [...f.fronts, ...f.cores, ...f.boxes]
+    const list = [...f.fronts, ...f.cores, ...f.instanceHosts]
     const a = list[pick(f, list.length)].machine
     const b = list[pick(f, list.length)].machine
     f.sim.cut(a, b, f.sim.random() < 0.5)
@@ -23,14 +23,14 @@
 export async function lossy(f: SimFleet): Promise<void> {
   f.sim.loss(0.1)
   await wait(f, 4000)
-  f.killBox(leaderIndex(f, 'g1'))
+  f.killInstance(leaderIndex(f, 'g1'))
   await wait(f, 14000)
   f.sim.loss(0)
 }
 
 export async function resets(f: SimFleet): Promise<void> {
   for (let k = 0; k < 15; k++) {
-    const list = [...f.fronts.map(proxyOf), ...f.boxes.map(procOf)]
+    const list = [...f.fronts.map(proxyOf), ...f.instanceHosts.map(procOf)]
     f.sim.reset(list[pick(f, list.length)])
     await wait(f, 400)
   }
--- a/packages/fleet/src/scenarios/shapes.ts
+++ b/packages/fleet/src/scenarios/shapes.ts
@@ -7,7 +7,7 @@
   return {
     ...s,
     requesters: 24,
-    think: 60,
+    thinkTimeMs: 60,
     keys: 100,
     latency: 8,
     connections: 20,
@@ -21,14 +21,14 @@
   return {
     ...s,
     requesters: 10,
-    think: 90,
+    thinkTimeMs: 90,
     keys: 60,
     config: { ...s.config, groups: [{ name: 'g1', connections: 24, guard: GUARD }] },
   }
 }
 
 export function busy(s: Shape): Shape {
-  return { ...s, requesters: 18, think: 70, keys: 60 }
+  return { ...s, requesters: 18, thinkTimeMs: 70, keys: 60 }
 }
 
 export function far(s: Shape): Shape {
@@ -43,7 +43,7 @@
   return {
     ...s,
     requesters: 6,
-    think: 60,
+    thinkTimeMs: 60,
     keys: 40,
     latency: 8,
     connections: 16,
@@ -67,7 +67,7 @@
   return {
     ...s,
     requesters: 30,
-    think: 60,
+    thinkTimeMs: 60,
     keys: 100,
     latency: 8,
     connections: 16,
--- a/packages/fleet/src/sim.ts
+++ b/packages/fleet/src/sim.ts
@@ -35,9 +35,9 @@
   run: (until: number) => Promise<void>
   until: (what: () => boolean, limit: number) => Promise<boolean>
   lines: string[]
-  events: () => number
+  eventCount: () => number
   // Bytes that each machine sent each other one so far, by the names of both.
-  carried: () => Map<string, Map<string, number>>
+  bytesSent: () => Map<string, Map<string, number>>
 }
 
 // ms. One way between two machines, at the mean, unless told otherwise.
@@ -60,12 +60,12 @@
     const m: Machine = {
       name,
       ip,
-      skew: Math.floor(random() * 1e6),
+      clockSkewMs: Math.floor(random() * 1e6),
       files: new Map(),
       dark: false,
       full: false,
       slow: 1,
-      stalled: false,
+      isDiskStalled: false,
     }
     machines.set(ip, m)
     return m
@@ -76,9 +76,9 @@
       machine: on,
       state: 'up',
       held: [],
-      ends: new Set(),
+      streamEnds: new Set(),
       open: new Set(),
-      inFlight: new Set(),
+      pendingWrites: new Set(),
     }
     function failed(e: unknown): void {
       lines.push(
@@ -88,7 +88,7 @@
     function go(): void {
       start(worlds.make(proc)).catch(failed)
     }
-    clock.plan(0, proc, go)
+    clock.schedule(0, proc, go)
     return proc
   }
   function kill(proc: Proc): void {
@@ -97,13 +97,13 @@
     proc.held = []
     worlds.forget(proc)
     // Its kernel resets what it had open; one that is off the network can't tell anyone.
-    for (const end of proc.ends) {
+    for (const end of proc.streamEnds) {
       end.shut = true
       if (end.peerEnd) network.breakLater(end, end.peerEnd)
     }
-    proc.ends.clear()
+    proc.streamEnds.clear()
     // A write not yet synced may be there, may be torn, may be missing.
-    for (const w of proc.inFlight) {
+    for (const w of proc.pendingWrites) {
       const r = random()
       if (w.whole) {
         if (r < 0.5) w.machine.files.set(w.path, Buffer.from(w.bytes))
@@ -112,7 +112,7 @@
         w.machine.files.set(w.path, Buffer.concat([w.machine.files.get(w.path) ?? Buffer.alloc(0), part]))
       }
     }
-    proc.inFlight.clear()
+    proc.pendingWrites.clear()
   }
   function freeze(proc: Proc): void {
     if (proc.state === 'up') proc.state = 'frozen'
@@ -122,10 +122,10 @@
     proc.state = 'up'
     const held = proc.held
     proc.held = []
-    for (const h of held) clock.plan(0, proc, h.run)
+    for (const h of held) clock.schedule(0, proc, h.run)
   }
   function at(ms: number, run: () => void): void {
-    clock.plan(ms, undefined, run)
+    clock.schedule(ms, undefined, run)
   }
   return {
     now: clock.now,
@@ -143,7 +143,7 @@
     run: driver.run,
     until: driver.until,
     lines,
-    events: driver.events,
-    carried: network.carried,
+    eventCount: driver.events,
+    bytesSent: network.carried,
   }
 }
--- a/packages/fleet/src/simclock.ts
+++ b/packages/fleet/src/simclock.ts
@@ -5,11 +5,11 @@
   now: () => number
   // Virtual time never goes back.
   advance: (to: number) => void
-  plan: (ms: number, proc: Proc | undefined, run: () => void) => void
+  schedule: (ms: number, proc: Proc | undefined, run: () => void) => void
   // The next happening, taken from the queue.
   pop: () => Happening | undefined
   // When the next one is due; undefined: there is none.
-  due: () => number | undefined
+  nextEventAt: () => number | undefined
 }
 
 type Queue = { push: (h: Happening) => void; pop: () => Happening | undefined; first: () => Happening | undefined }
@@ -70,5 +70,5 @@
   function due(): number | undefined {
     return queue.first()?.at
   }
-  return { now: nowTime, advance, plan, pop: queue.pop, due }
+  return { now: nowTime, advance, schedule: plan, pop: queue.pop, nextEventAt: due }
 }
--- a/packages/fleet/src/simdisk.ts
+++ b/packages/fleet/src/simdisk.ts
@@ -9,18 +9,18 @@
 export function makeDisk(clock: Clock, random: () => number, proc: Proc): Disk {
   const { machine } = proc
   function spend(run: () => void, writing?: Writing): Promise<void> {
-    if (writing) proc.inFlight.add(writing)
+    if (writing) proc.pendingWrites.add(writing)
     function start(ok: () => void): void {
       function end(): void {
-        if (machine.stalled) {
-          clock.plan(STALL_LOOK, proc, end)
+        if (machine.isDiskStalled) {
+          clock.schedule(STALL_LOOK, proc, end)
           return
         }
-        if (writing) proc.inFlight.delete(writing)
+        if (writing) proc.pendingWrites.delete(writing)
         run()
         ok()
       }
-      clock.plan((0.5 + random()) * machine.slow, proc, end)
+      clock.schedule((0.5 + random()) * machine.slow, proc, end)
     }
     return new Promise(start)
   }
--- a/packages/fleet/src/simdriver.ts
+++ b/packages/fleet/src/simdriver.ts
@@ -60,7 +60,7 @@
   }
   async function run(until: number): Promise<void> {
     function over(): boolean | undefined {
-      if ((clock.due() ?? Infinity) <= until) return undefined
+      if ((clock.nextEventAt() ?? Infinity) <= until) return undefined
       clock.advance(until)
       return true
     }
@@ -70,7 +70,7 @@
     const end = clock.now() + limit
     function over(): boolean | undefined {
       if (what()) return true
-      return (clock.due() ?? Infinity) > end ? false : undefined
+      return (clock.nextEventAt() ?? Infinity) > end ? false : undefined
     }
     return waitFor(over)
   }
--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -15,11 +15,11 @@
 import { type Event, LOOK_SUFFIX, type Mix, runRequester } from './requester.js'
 import { makeSim } from './sim.js'
 import { serviceRate, type ServiceHistory, type TimeSpan } from './service-rate.js'
-import type { Box, CoreBox, CrowdOptions, Decided, Front, SimFleet } from './simfleettypes.js'
+import type { InstanceHost, CoreHost, CrowdOptions, Decision, FrontHost, SimFleet } from './simfleettypes.js'
 import { watchFleet } from './simwatch.js'
 import { lawOf, type Shape } from './simshape.js'
 
-export type { Box, CoreBox, Decided, Front, SimFleet } from './simfleettypes.js'
+export type { InstanceHost as Box, CoreHost as CoreBox, Decision as Decided, FrontHost as Front, SimFleet } from './simfleettypes.js'
 export { lawOf, smallShape, type Shape } from './simshape.js'
 
 // A whole fleet in the simulator: cores, front machines, instances, the platform and requesters.
@@ -30,11 +30,11 @@
 ): SimFleet {
   const sim = makeSim(seed, { ...opt, ...(shape.latency !== undefined ? { latency: shape.latency } : {}) })
   const events: Event[] = []
-  const fronts: Front[] = []
-  const cores: CoreBox[] = []
-  const boxes: Box[] = []
+  const fronts: FrontHost[] = []
+  const cores: CoreHost[] = []
+  const boxes: InstanceHost[] = []
   const promotions: SimFleet['promotions'] = []
-  const decided: SimFleet['decided'] = []
+  const decided: SimFleet['operatorDecisions'] = []
   const watched: Breach[] = []
   const laws: Law[] = []
   const stop = makeFlag()
@@ -84,7 +84,7 @@
           seeds,
           platform: `${platform.ip}:80`,
           ...(shape.operators ? { operators: shape.operators } : {}),
-          ...(shape.suspect !== undefined ? { suspicionTimeoutMs: shape.suspect } : {}),
+          ...(shape.suspicionTimeoutMs !== undefined ? { suspicionTimeoutMs: shape.suspicionTimeoutMs } : {}),
           build: 'sim',
         },
         opt.agentEdges,
@@ -127,7 +127,7 @@
     const peers: Address[] = []
     for (const o of boxes) if (o.group === b.group && o !== b) peers.push(o.addr)
     const first = boxes.find(isSameGroup) === b
-    function isSameGroup(o: Box): boolean {
+    function isSameGroup(o: InstanceHost): boolean {
       return o.group === b.group
     }
     const agents: Address[] = []
@@ -168,7 +168,7 @@
     async function handle(ask: HttpRequest): Promise<HttpResponse> {
       const body = ask.body as { group: string; instance: string; epoch: number }
       const box = boxes.find(isIt)
-      function isIt(b: Box): boolean {
+      function isIt(b: InstanceHost): boolean {
         return b.name === body.instance
       }
       if (!box) return { status: 404, body: {} }
@@ -196,7 +196,7 @@
       const ip = `10.0.${10 + g}.${k + 1}`
       const machine = sim.machine(`${group}${k + 1}`, ip)
       // One clock for all instances, so that the judge can compare their times with those of requesters.
-      machine.skew = 0
+      machine.clockSkewMs = 0
       boxes.push({
         machine,
         proc: undefined as never,
@@ -208,18 +208,18 @@
       })
     }
   }
-  crowd.skew = 0
+  crowd.clockSkewMs = 0
   for (let k = 0; k < boxes.length; k++) startBoxAt(k)
 
-  function change(front: number, stream: string, lines: unknown[]): { done: () => boolean; out: () => Decided[] } {
+  function change(front: number, stream: string, lines: unknown[]): { done: () => boolean; out: () => Decision[] } {
     let over = false
-    let out: Decided[] = []
+    let out: Decision[] = []
     async function start(world: World): Promise<void> {
       for (const line of lines) {
         const got = await requestOnce(world, fronts[front].http, 'POST', `/streams/${stream}`, line, 12000)
         if (got.err) out = [...out, { decision: 'no answer', why: got.val.why }]
-        else if (typeof got.val.body === 'string') out = [...out, JSON.parse(got.val.body) as Decided]
-        else out = [...out, got.val.body as Decided]
+        else if (typeof got.val.body === 'string') out = [...out, JSON.parse(got.val.body) as Decision]
+        else out = [...out, got.val.body as Decision]
         const { number, expect } = line as { number: number; expect: number }
         decided.push({ stream, number, expect, told: out[out.length - 1], at: sim.now() })
       }
@@ -229,7 +229,7 @@
     function done(): boolean {
       return over
     }
-    function get(): Decided[] {
+    function get(): Decision[] {
       return out
     }
     return { done, out: get }
@@ -285,7 +285,7 @@
     return stop.fired()
   }
   function traffic(): void {
-    crowdIn(shape.mixes, shape.requesters, shape.think)
+    crowdIn(shape.mixes, shape.requesters, shape.thinkTimeMs)
   }
   const history: ServiceHistory = { doneAt: [], requesterStarts: [], rests: [] }
   function serviceRateNow(window: TimeSpan): number {
@@ -340,7 +340,7 @@
     return out
   }
   function judgeNow(): Judgement {
-    const got = judge(events, records(), laws, shape.apart === true)
+    const got = judge(events, records(), laws, shape.separateGroupData === true)
     got.breaches.push(...watched)
     // One winner for each expected epoch; an epoch told twice is told by two winners.
     const winners = new Map<number, string>()
@@ -383,8 +383,8 @@
     }
     return out
   }
-  function leaderOf(group: string): Box | undefined {
-    let best: Box | undefined
+  function leaderOf(group: string): InstanceHost | undefined {
+    let best: InstanceHost | undefined
     for (const b of boxes) {
       if (b.group !== group || !b.instance || b.instance.role() !== 'leader') continue
       if (!best || b.instance.epoch() > (best.instance?.epoch() ?? 0)) best = b
@@ -394,26 +394,26 @@
   return {
     sim,
     shape,
-    decided,
+    operatorDecisions: decided,
     laws,
-    watched,
+    watchBreaches: watched,
     fronts,
     cores,
-    boxes,
+    instanceHosts: boxes,
     events,
     platform,
     promotions,
     startCoreAt,
     startAgentAt,
     startProxyAt,
-    startBoxAt,
-    killBox,
+    startInstanceAt: startBoxAt,
+    killInstance: killBox,
     addFront,
     change,
     ask,
     begin,
-    traffic,
-    crowdIn,
+    startTraffic: traffic,
+    addRequesters: crowdIn,
     serviceRate: serviceRateNow,
     quiet,
     judge: judgeNow,
--- a/packages/fleet/src/simfleettypes.ts
+++ b/packages/fleet/src/simfleettypes.ts
@@ -11,7 +11,7 @@
 
 // What scenarios and tests may have of a simulated fleet.
 
-export type Front = {
+export type FrontHost = {
   machine: Machine
   agentProc: Proc
   proxyProc: Proc
@@ -22,9 +22,9 @@
   listen: Address
 }
 
-export type CoreBox = { machine: Machine; proc: Proc; core: Core | undefined; id: string; http: Address }
+export type CoreHost = { machine: Machine; proc: Proc; core: Core | undefined; id: string; http: Address }
 
-export type Box = {
+export type InstanceHost = {
   machine: Machine
   proc: Proc
   instance: Instance | undefined
@@ -44,26 +44,26 @@
 export type SimFleet = {
   sim: Sim
   shape: Shape
-  fronts: Front[]
-  cores: CoreBox[]
-  boxes: Box[]
+  fronts: FrontHost[]
+  cores: CoreHost[]
+  instanceHosts: InstanceHost[]
   events: Event[]
   platform: Machine
   // Every decision told to an operator, and when.
-  decided: { stream: string; number: number; expect: number; told: Decided; at: number }[]
+  operatorDecisions: { stream: string; number: number; expect: number; told: Decision; at: number }[]
   // What each lane was by accepted changes, in order.
   laws: Law[]
   // What watching the proxies all along has found.
-  watched: Breach[]
+  watchBreaches: Breach[]
   promotions: { group: string; instance: string; epoch: number; at: number }[]
   startCoreAt: (k: number) => void
   startAgentAt: (k: number) => void
   startProxyAt: (k: number) => void
-  startBoxAt: (k: number) => void
-  killBox: (k: number) => void
+  startInstanceAt: (k: number) => void
+  killInstance: (k: number) => void
   addFront: () => number
   // Lines of NDJSON to the operator's edge of one agent; the decisions come back.
-  change: (front: number, stream: string, lines: unknown[]) => { done: () => boolean; out: () => Decided[] }
+  change: (front: number, stream: string, lines: unknown[]) => { done: () => boolean; out: () => Decision[] }
   ask: (
     front: number,
     path: string,
@@ -71,19 +71,19 @@
     body?: unknown,
   ) => { done: () => boolean; body: () => unknown; status: () => number }
   begin: () => Promise<boolean>
-  traffic: () => void
+  startTraffic: () => void
   // More requesters, on mixes of their own.
-  crowdIn: (mixes: Mix[], count: number, think: number, options?: CrowdOptions) => void
+  addRequesters: (mixes: Mix[], count: number, think: number, options?: CrowdOptions) => void
   /** Service that the requesters got, but for those of an unmeasured crowd. */
   serviceRate: (window: TimeSpan) => number
   quiet: () => Promise<void>
   judge: () => Judgement
   readBack: () => Promise<Breach[]>
-  leaderOf: (group: string) => Box | undefined
+  leaderOf: (group: string) => InstanceHost | undefined
   records: () => InstanceRecord[]
 }
 
-export type Decided = {
+export type Decision = {
   number?: number
   decision: string
   epoch?: number
--- a/packages/fleet/src/simnetwork.ts
+++ b/packages/fleet/src/simnetwork.ts
@@ -58,7 +58,7 @@
     function destroy(_e: Error | null, ok: (e: Error | null) => void): void {
       if (!end.shut) {
         end.shut = true
-        proc.ends.delete(end)
+        proc.streamEnds.delete(end)
         if (end.peerEnd) breakLater(end, end.peerEnd)
       }
       ok(null)
@@ -72,7 +72,7 @@
     function same(): End {
       return end
     }
-    proc.ends.add(end)
+    proc.streamEnds.add(end)
     return end
   }
   // One chunk (null: the end) on its way; a stream keeps its order, and waits where the path is cut.
@@ -86,26 +86,26 @@
       if (to.shut) return
       if (isCut(from.proc.machine, to.proc.machine)) {
         from.lastAt = Math.max(from.lastAt, clock.now() + 200)
-        clock.plan(200, to.proc, arrive)
+        clock.schedule(200, to.proc, arrive)
         return
       }
       to.push(chunk)
     }
-    clock.plan(at - clock.now(), to.proc, arrive)
+    clock.schedule(at - clock.now(), to.proc, arrive)
   }
   function breakLater(from: End, to: End): void {
     const at = Math.max(clock.now() + delay(), from.lastAt)
     function arrive(): void {
       if (to.shut) return
       if (isCut(from.proc.machine, to.proc.machine)) {
-        clock.plan(200, to.proc, arrive)
+        clock.schedule(200, to.proc, arrive)
         return
       }
       to.shut = true
-      to.proc.ends.delete(to)
+      to.proc.streamEnds.delete(to)
       to.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
     }
-    clock.plan(at - clock.now(), to.proc, arrive)
+    clock.schedule(at - clock.now(), to.proc, arrive)
   }
   function cut(from: Machine, to: Machine, both = true): void {
     cuts.add(`${from.name}>${to.name}`)
@@ -120,17 +120,17 @@
     cuts.delete(`${to.name}>${from.name}`)
   }
   function reset(proc: Proc): void {
-    for (const end of [...proc.ends]) {
+    for (const end of [...proc.streamEnds]) {
       const other = end.peerEnd
       if (!other) continue
       for (const one of [end, other]) {
         if (one.shut) continue
         one.shut = true
-        one.proc.ends.delete(one)
+        one.proc.streamEnds.delete(one)
         function breakNow(): void {
           one.destroy(Object.assign(new Error('read ECONNRESET'), { code: 'ECONNRESET' }))
         }
-        clock.plan(0, one.proc, breakNow)
+        clock.schedule(0, one.proc, breakNow)
       }
     }
   }
--- a/packages/fleet/src/simparts.ts
+++ b/packages/fleet/src/simparts.ts
@@ -10,9 +10,9 @@
   machine: Machine
   state: 'up' | 'dead' | 'frozen'
   held: Happening[]
-  ends: Set<End>
+  streamEnds: Set<End>
   open: Set<string>
-  inFlight: Set<Writing>
+  pendingWrites: Set<Writing>
 }
 // dark: off the network (and, when its processes are killed with it, without power).
 // full: no write to its disk succeeds. slow: how many times longer its disk takes. stalled: nothing that its disk was asked for
@@ -20,12 +20,12 @@
 export type Machine = {
   name: string
   ip: string
-  skew: number
+  clockSkewMs: number
   files: Map<string, Buffer>
   dark: boolean
   full: boolean
   slow: number
-  stalled: boolean
+  isDiskStalled: boolean
 }
 export type Writing = { machine: Machine; path: string; bytes: Uint8Array; whole: boolean }
 export type End = Duplex & { peerEnd?: End; proc: Proc; shut: boolean; lastAt: number }
--- a/packages/fleet/src/simshape.ts
+++ b/packages/fleet/src/simshape.ts
@@ -16,13 +16,13 @@
   config: Config
   mixes: Mix[]
   requesters: number
-  think: number
+  thinkTimeMs: number
   keys: number
   again?: boolean
   latency?: number
   operators?: Credential[]
-  suspect?: number
-  apart?: boolean
+  suspicionTimeoutMs?: number
+  separateGroupData?: boolean
   copies?: [string, string][]
   // An agent runs on each core machine too, which tells its area.
   coreAgents?: boolean
@@ -66,7 +66,7 @@
     connections: 24,
     lag: 120,
     requesters: 9,
-    think: 150,
+    thinkTimeMs: 150,
     keys: 12,
     mixes,
     config: { proxies: 4, groups: groupList, lanes },
--- a/packages/fleet/src/simwatch.ts
+++ b/packages/fleet/src/simwatch.ts
@@ -1,7 +1,7 @@
 import type { Proxy } from '@claynotch/proxy'
 import type { Breach } from './judge.js'
 import type { Sim } from './sim.js'
-import type { Front, SimFleet } from './simfleettypes.js'
+import type { FrontHost, SimFleet } from './simfleettypes.js'
 import type { Shape } from './simshape.js'
 
 // ms between two looks at the fleet.
@@ -12,8 +12,8 @@
 export function watchFleet(
   sim: Sim,
   shape: Shape,
-  fronts: Front[],
-  decided: SimFleet['decided'],
+  fronts: FrontHost[],
+  decided: SimFleet['operatorDecisions'],
   watched: Breach[],
 ): void {
   const lastEpoch = new Map<Proxy, number>()
--- a/packages/fleet/src/simworld.ts
+++ b/packages/fleet/src/simworld.ts
@@ -53,13 +53,13 @@
         over = true
         fail(new Error('dial timeout'))
       }
-      clock.plan(ms, proc, late)
+      clock.schedule(ms, proc, late)
       const to = machineOf(machine, addr)
       if (!to || network.isCut(machine, to) || network.isCut(to, machine)) return
       function knock(): void {
         const l = listeners.get(spot(machine, addr))
         if (!l || l.proc.state === 'dead') {
-          clock.plan(network.delay(), proc, refuse)
+          clock.schedule(network.delay(), proc, refuse)
           return
         }
         const mine = network.makeEnd(proc)
@@ -77,8 +77,8 @@
           over = true
           ok(mine)
         }
-        clock.plan(0, l.proc, accept)
-        clock.plan(network.delay(), proc, up)
+        clock.schedule(0, l.proc, accept)
+        clock.schedule(network.delay(), proc, up)
       }
       function refuse(): void {
         if (over) return
@@ -86,7 +86,7 @@
         fail(new Error('connect ECONNREFUSED'))
       }
       // The knock is the machine's, not the process's: a frozen one's kernel still takes connections.
-      clock.plan(network.delay(), undefined, knock)
+      clock.schedule(network.delay(), undefined, knock)
     }
     return new Promise(start)
   }
@@ -116,7 +116,7 @@
       function arrive(): void {
         w!.take(copy)
       }
-      clock.plan(network.delay(), w.proc, arrive)
+      clock.schedule(network.delay(), w.proc, arrive)
     }
     function close(): void {
       if (wires.get(at)?.proc === proc) wires.delete(at)
@@ -128,7 +128,7 @@
     function fire(): void {
       if (!off) run()
     }
-    clock.plan(ms, proc, fire)
+    clock.schedule(ms, proc, fire)
     function cancel(): void {
       off = true
     }
@@ -136,7 +136,7 @@
   }
   function make(proc: Proc): World {
     function now(): number {
-      return clock.now() + proc.machine.skew
+      return clock.now() + proc.machine.clockSkewMs
     }
     function later(ms: number, run: () => void): Cancel {
       return laterFor(proc, ms, run)
--- a/packages/fleet/src/steps.ts
+++ b/packages/fleet/src/steps.ts
@@ -22,17 +22,17 @@
     ...s,
     fronts: 5,
     requesters: 15,
-    think: 60,
+    thinkTimeMs: 60,
     config: { ...s.config, groups },
-    ...(suspect === undefined ? {} : { suspect }),
+    ...(suspect === undefined ? {} : { suspicionTimeoutMs: suspect }),
   })
   await f.begin()
-  f.traffic()
+  f.startTraffic()
   await wait(f, 4000 + 1000 * f.sim.random())
   return f
 }
 
-export async function stepsOf(f: SimFleet, harm: () => void): Promise<Steps> {
+export async function measureReplacement(f: SimFleet, harm: () => void): Promise<Steps> {
   const from = f.sim.now()
   const calls = f.promotions.length
   const before = recordOf(f)?.epoch ?? 0
@@ -73,7 +73,7 @@
   ['dark', dark],
 ]
 function crash(f: SimFleet): void {
-  f.killBox(f.boxes.indexOf(f.leaderOf('g1')!))
+  f.killInstance(f.instanceHosts.indexOf(f.leaderOf('g1')!))
 }
 function dark(f: SimFleet): void {
   f.leaderOf('g1')!.machine.dark = true
@@ -85,12 +85,12 @@
   for (let k = 0; k < 10; k++) {
     const box = f.leaderOf('g1')
     if (box) {
-      const at = f.boxes.indexOf(box)
+      const at = f.instanceHosts.indexOf(box)
       if (kind === 'reset') f.sim.reset(box.proc)
       else {
-        f.killBox(at)
+        f.killInstance(at)
         await wait(f, 50 + 350 * f.sim.random())
-        f.startBoxAt(at)
+        f.startInstanceAt(at)
       }
     }
     await wait(f, 4000)
@@ -108,7 +108,7 @@
       function act(): void {
         harm(f)
       }
-      all.push(await stepsOf(f, act))
+      all.push(await measureReplacement(f, act))
     }
     const cells: number[] = []
     for (const key of ['stop', 'promote', 'called', 'steady', 'served'] as const) {
--- a/packages/fleet/src/tablemodel/processes.ts
+++ b/packages/fleet/src/tablemodel/processes.ts
@@ -50,7 +50,7 @@
   const log = logTo(noSink)
 
   function later(ms: number, run: () => void): void {
-    clock.plan(ms, undefined, run)
+    clock.schedule(ms, undefined, run)
   }
   function deliver(process: Process, run: () => void): void {
     if (process.state === 'dead') return
@@ -115,7 +115,7 @@
   }
   async function playUntil(end: number, check: () => void): Promise<void> {
     for (;;) {
-      const due = clock.due()
+      const due = clock.nextEventAt()
       if (due === undefined || due > end) break
       const event = clock.pop()!
       clock.advance(event.at)
--- a/packages/fleet/src/tablemodel/run.ts
+++ b/packages/fleet/src/tablemodel/run.ts
@@ -4,7 +4,7 @@
   makeOrphanWatch,
   makeTableReader,
   makeTableWriter,
-  type Judgement,
+  type ChangeResult,
   type TableReader,
   type TableValue,
 } from '@claynotch/table-cache'
@@ -173,7 +173,7 @@
       const { process } = node
       if (process.state === 'dead') continue
       function hear(): void {
-        node.reader?.hear(value)
+        node.reader?.applyCommitted(value)
       }
       function arrive(): void {
         if (!process.isDeaf) processes.deliver(process, hear)
@@ -220,15 +220,15 @@
       return store.missing(process, version)
     }
     const name = `${process.node}~${process.life}`
-    writers.set(node.index, makeTableWriter(process.world, { name, store: reached, missing }))
+    writers.set(node.index, makeTableWriter(process.world, { name, store: reached, unacknowledgedReaders: missing }))
     const orphans = makeOrphanWatch(process.world, reached)
     const admissions = makeAdmissionWatch(process.world, reached, missing)
     async function watch(): Promise<void> {
       while (process.state !== 'dead') {
         const value = await reached.read()
-        if (value) orphans.see(value)
+        if (value) orphans.observe(value)
         await orphans.clearIfDue()
-        if (value) await admissions.look(value)
+        if (value) await admissions.admitReturned(value)
         await pause(process.world, 100)
       }
     }
@@ -253,10 +253,10 @@
   // --- callers ---
 
   function judgementOf(id: string, kind: ChangeKind) {
-    function judge(table: Changes): Judgement<Changes, 'made' | 'refused'> {
+    function judge(table: Changes): ChangeResult<Changes, 'made' | 'refused'> {
       const verdict = kind === 'change' ? 'made' : 'refused'
       if (kind === 'invalid' || table.includes(id)) return { verdict }
-      return { verdict, table: [...table, id], isNote: kind === 'noted' }
+      return { verdict, table: [...table, id], needsNoLock: kind === 'noted' }
     }
     return judge
   }
--- a/packages/fleet/src/tablemodel/store.ts
+++ b/packages/fleet/src/tablemodel/store.ts
@@ -1,6 +1,6 @@
 import { LEASE_DURATION_MS, pause } from '@claynotch/base'
 import {
-  hasPassed,
+  hasExpired,
   unlockedRecord,
   type TableCommit,
   type TableEdit,
@@ -87,7 +87,7 @@
   function missingNow(version: number): string[] {
     const out: string[] = []
     for (const [node, lease] of leases) {
-      if (hasPassed(localNow() - lease.renewedAt, LEASE_DURATION_MS)) leases.delete(node)
+      if (hasExpired(localNow() - lease.renewedAt, LEASE_DURATION_MS)) leases.delete(node)
       else if (lease.version < version) out.push(node)
     }
     return out
--- a/packages/fleet/src/test/controlguards.test.ts
+++ b/packages/fleet/src/test/controlguards.test.ts
@@ -16,8 +16,8 @@
   type Quorum,
   type Voter,
 } from '@claynotch/register'
-import { httpOf, type Box } from '../control/fleet.js'
-import { makeRun, play, type Action, type Run } from '../controlmodel.js'
+import { httpAddressOf, type CoreHost } from '../control/fleet.js'
+import { makeRun, playSchedule, type Action, type Run } from '../controlmodel.js'
 import { makeSim, type Proc, type Sim } from '../sim.js'
 
 t.setTimeout(600000)
@@ -43,20 +43,20 @@
       { wait: freezeAfter, kind: 'front', fault: 'freeze', long: 2300 },
       { wait: 4000, kind: 'order', machine: 1, stale: false, gap: 1, again: 0 },
     ]
-    const got = await play({ seed: 5, seeds: 3, spares: 2, pad: 0, before: 1, actions })
-    c.strictSame(got.broken, [], `the front frozen after ${freezeAfter} ms`)
+    const got = await playSchedule({ seed: 5, seeds: 3, spares: 2, pad: 0, before: 1, actions })
+    c.strictSame(got.violations, [], `the front frozen after ${freezeAfter} ms`)
   }
 }
 
 // --- whoever knows only an old set asks the seeds again ---
 
 /** A fresh machine in place of this one, which is not there any more. */
-async function replaceOne(run: Run, old: Box): Promise<boolean> {
+async function replaceOne(run: Run, old: CoreHost): Promise<boolean> {
   const { sim } = run.fleet
   await sim.run(sim.now() + 300)
   run.fleet.add(false)
   function isDone(): boolean {
-    const set = run.fleet.latest()
+    const set = run.fleet.latestCoreSet()
     return set.next === undefined && !set.cores.some(isOld)
   }
   function isOld(place: CoreMember): boolean {
@@ -67,14 +67,14 @@
   return true
 }
 /** The machine that is away is replaced first, and then all others that were there, one after the other. */
-async function replaceAll(run: Run, away: Box): Promise<boolean> {
+async function replaceAll(run: Run, away: CoreHost): Promise<boolean> {
   const { fleet } = run
-  const others = fleet.present()
+  const others = fleet.presentHosts()
   if (!(await replaceOne(run, away))) return false
   for (const old of others) {
     if (old === away) continue
     fleet.kill(old, { dark: true })
-    old.gone = true
+    old.isRemoved = true
     if (!(await replaceOne(run, old))) return false
   }
   return true
@@ -87,23 +87,23 @@
   const run = makeRun(3, 3, 2, 0)
   const { fleet } = run
   const { sim } = fleet
-  c.ok(await run.found())
-  c.ok(await sim.until(fleet.whole, 10000), 'all five vote')
-  const away = fleet.boxes[2]
+  c.ok(await run.foundCluster())
+  c.ok(await sim.until(fleet.isFullyVoting, 10000), 'all five vote')
+  const away = fleet.hosts[2]
   fleet.kill(away, { dark: true })
   fleet.front.machine.dark = true
   c.ok(await replaceAll(run, away), 'all others are replaced')
   const seeds: string[] = []
-  for (const box of fleet.present()) if (box !== away) seeds.push(httpOf(box))
+  for (const box of fleet.presentHosts()) if (box !== away) seeds.push(httpAddressOf(box))
   fleet.front.agent?.apply({ seeds, platform: undefined, operators: undefined })
   fleet.front.machine.dark = false
   fleet.start(away)
   function areBack(): boolean {
-    const lease = (fleet.front.agent?.leaseExpiresAt() ?? 0) - fleet.front.machine.skew
-    return lease > sim.now() && fleet.whole()
+    const lease = (fleet.front.agent?.leaseExpiresAt() ?? 0) - fleet.front.machine.clockSkewMs
+    return lease > sim.now() && fleet.isFullyVoting()
   }
-  c.ok(await sim.until(areBack, 30000), `the front holds a lease and the machine votes: ${run.states()}`)
-  c.strictSame((await run.finish()).broken, [])
+  c.ok(await sim.until(areBack, 30000), `the front holds a lease and the machine votes: ${run.describeState()}`)
+  c.strictSame((await run.finish()).violations, [])
 }
 
 // --- the sweep ---
--- a/packages/fleet/src/test/controlmodel.test.ts
+++ b/packages/fleet/src/test/controlmodel.test.ts
@@ -7,7 +7,7 @@
  */
 import fc from 'fast-check'
 import t, { type Test } from 'tap'
-import { makeSums, play, runWeek, SCOPES, schedulesOf, weekText, type Schedule } from '../controlmodel.js'
+import { makeSums, playSchedule, runWeek, SCOPES, schedulesOf, weekText, type Schedule } from '../controlmodel.js'
 import { schedules } from './controldraw.js'
 
 t.setTimeout(3600000)
@@ -25,19 +25,19 @@
 const KEPT: { what: string; schedule: Schedule }[] = []
 
 async function kept(c: Test): Promise<void> {
-  for (const { what, schedule } of KEPT) c.strictSame((await play(schedule)).broken, [], what)
+  for (const { what, schedule } of KEPT) c.strictSame((await playSchedule(schedule)).violations, [], what)
   c.pass(`${KEPT.length} schedules`)
 }
 async function sameTwice(c: Test): Promise<void> {
   const [schedule] = fc.sample(schedules(ACTIONS), { seed: 7, numRuns: 1 })
-  c.strictSame(await play(schedule), await play(schedule))
+  c.strictSame(await playSchedule(schedule), await playSchedule(schedule))
 }
 async function drawn(c: Test): Promise<void> {
   const sums = makeSums()
   async function holds(schedule: Schedule): Promise<void> {
-    const got = await play(schedule)
+    const got = await playSchedule(schedule)
     sums.add(got)
-    if (got.broken.length > 0) throw new Error(got.broken.join('\n'))
+    if (got.violations.length > 0) throw new Error(got.violations.join('\n'))
   }
   const end = await fc.check(fc.asyncProperty(schedules(ACTIONS), holds), {
     numRuns: RUNS,
@@ -55,11 +55,11 @@
     const sums = makeSums()
     let failed = 0
     for (let k = SCOPE_FROM; k < all.length; k += SCOPE_STEP) {
-      const got = await play(all[k])
+      const got = await playSchedule(all[k])
       sums.add(got)
-      if (got.broken.length === 0) continue
+      if (got.violations.length === 0) continue
       failed++
-      if (failed <= 5) c.fail(`${name} ${k}: ${JSON.stringify(all[k])}: ${got.broken.join('\n')}`)
+      if (failed <= 5) c.fail(`${name} ${k}: ${JSON.stringify(all[k])}: ${got.violations.join('\n')}`)
     }
     c.equal(failed, 0, `${name}, of ${all.length}: ${sums.text()}`)
   }
@@ -68,7 +68,7 @@
 /** Changes without a break while every kind of loss comes once. */
 async function week(c: Test): Promise<void> {
   const got = await runWeek(SEED, WEEK_LOSSES)
-  c.strictSame(got.verdict.broken, [], weekText(SEED, got))
+  c.strictSame(got.verdict.violations, [], weekText(SEED, got))
 }
 
 void t.test('schedules that failed once', kept)
--- a/packages/fleet/src/test/cores.test.ts
+++ b/packages/fleet/src/test/cores.test.ts
@@ -102,7 +102,7 @@
     c.ok(await f.sim.until(termed, 5000), `seed ${seed}: the front has a term`)
     let lapses = 0
     function watch(): void {
-      if ((front?.leaseExpiresAt() ?? 0) - desk.skew <= f.sim.now()) lapses++
+      if ((front?.leaseExpiresAt() ?? 0) - desk.clockSkewMs <= f.sim.now()) lapses++
       f.sim.at(100, watch)
     }
     watch()
@@ -340,7 +340,7 @@
           const holders: { node: string; until: number; proc: Proc }[] = []
           for (const [k, b] of f.boxes.entries()) {
             // By the clock that all share, not the machine's own.
-            const until = (b.run?.agent.leaseExpiresAt() ?? 0) - b.machine.skew
+            const until = (b.run?.agent.leaseExpiresAt() ?? 0) - b.machine.clockSkewMs
             if (b.up && !b.ending && until > from) holders.push({ node: `core${k}`, until, proc: b.proc })
           }
           const list = votersOf(set)
--- a/packages/fleet/src/test/cost.test.ts
+++ b/packages/fleet/src/test/cost.test.ts
@@ -26,7 +26,7 @@
 async function notesAndFeeds(c: Test): Promise<void> {
   const f = makeSimFleet(11, smallShape())
   c.ok(await f.begin(), 'the fleet begins')
-  f.traffic()
+  f.startTraffic()
   await f.sim.run(f.sim.now() + 2000)
   const metrics = f.fronts[0].agent!.metrics
   const notes = metrics.get('claynotch_agent_notes_total')
@@ -51,7 +51,7 @@
   const renewalsBy = metrics.get('claynotch_core_words_total', [['word', 'renew']]) - renewals
   c.ok(renewalsBy > f.fronts.length * (CALM_MS / LEASE_RENEWAL_INTERVAL_MS - 3), `${renewalsBy} renewals`)
   c.equal(metrics.get('claynotch_core_tallies_total') - walks, 0, 'no walk while nothing changes')
-  f.killBox(0)
+  f.killInstance(0)
   await f.sim.run(f.sim.now() + 5000)
   c.ok(metrics.get('claynotch_core_tallies_total') > walks, 'one when an instance is not heard any more')
 }
--- a/packages/fleet/src/test/cutoff.test.ts
+++ b/packages/fleet/src/test/cutoff.test.ts
@@ -54,7 +54,7 @@
   const groups = shape.config.groups.map(unsynced)
   const f = makeSimFleet(seed, { ...shape, fronts: 4, config: { ...shape.config, groups } }, { agentEdges: edges })
   if (!(await f.begin())) throw new Error('the fleet did not begin')
-  f.traffic()
+  f.startTraffic()
   await wait(f, 5000)
   function onCall(next: (what: PromotionRequest) => void): void {
     run = next
@@ -85,7 +85,7 @@
       if (way !== 'out') f.sim.cut(core.machine, holder.machine, false)
       if (way !== 'in') f.sim.cut(holder.machine, core.machine, false)
     }
-    f.killBox(f.boxes.indexOf(f.leaderOf('g1')!))
+    f.killInstance(f.instanceHosts.indexOf(f.leaderOf('g1')!))
     await wait(f, 20000)
     f.sim.heal()
     await wait(f, 5000)
@@ -108,7 +108,7 @@
       if (frozen++ === 0) f.sim.freeze(agent)
     }
     onCall(freeze)
-    f.killBox(f.boxes.indexOf(f.leaderOf('g1')!))
+    f.killInstance(f.instanceHosts.indexOf(f.leaderOf('g1')!))
     await wait(f, 20000)
     c.ok(frozen > 0 && called.length > 0, 'a call was on its way')
     c.equal(recordOf(f)?.phase, 'steady', 'another node promoted meanwhile')
--- a/packages/fleet/src/test/deltas.test.ts
+++ b/packages/fleet/src/test/deltas.test.ts
@@ -16,7 +16,7 @@
 } from '@claynotch/base'
 import {
   applyDelta,
-  bytesOf,
+  encodedSizeOf,
   Delta,
   GetAnswer,
   makeDelta,
@@ -25,7 +25,7 @@
   RegisterPush,
   quorumOf,
   startCore,
-  valueOf,
+  resolveValue,
   type Ballot,
   type Core,
   type CoreMember,
@@ -60,7 +60,7 @@
   const got = applyDelta(base, read.val)
   if (got.err) throw new Error(got.val)
   deepStrictEqual(got.val, next)
-  if (bytesOf(delta) >= bytesOf(next)) throw new Error('a delta no smaller than the value')
+  if (encodedSizeOf(delta) >= encodedSizeOf(next)) throw new Error('a delta no smaller than the value')
   deepStrictEqual(makeDelta(base, next), delta)
 }
 
@@ -103,7 +103,7 @@
   for (let k = 0; k < 256; k++) history.push({ epoch: k, stream: `s${k}`, number: 1, named: true })
   const next = [...history.slice(1), { epoch: 256, stream: 's256', number: 1, named: true }]
   const delta = makeDelta({ epoch: 255, history }, { epoch: 256, history: next })
-  c.ok(delta && bytesOf(delta) < 200, `${bytesOf(delta)} bytes for one of 256`)
+  c.ok(delta && encodedSizeOf(delta) < 200, `${encodedSizeOf(delta)} bytes for one of 256`)
   c.equal(makeDelta([1, 2, 3], 'other'), undefined, 'where it is no smaller there is none')
   c.end()
 }
@@ -168,7 +168,7 @@
       c.same(await store.acceptDelta('k', [n, 'p'], [n - 1, 'p'], delta), { ok: true })
     }
     const grown = (machine.files.get('/d')!.length - size) / 49
-    c.ok(grown < bytesOf(wide(1, 0)) / 5, `${Math.round(grown)} bytes a change, the value has ${bytesOf(wide(1, 0))}`)
+    c.ok(grown < encodedSizeOf(wide(1, 0)) / 5, `${Math.round(grown)} bytes a change, the value has ${encodedSizeOf(wide(1, 0))}`)
     const again = makeRegisterStore(world, '/d')
     c.same(await again.open(), [], 'the file is read without a finding')
     c.same(again.entries().get('k'), { promise: [50, 'p'], ballot: [50, 'p'], value: wide(50, 49) })
@@ -504,7 +504,7 @@
     c.ok('value' in subscribed.pushes[0], 'who lacks the base, the value')
     let held: HeldValue | undefined
     for (const p of subscribed.pushes) {
-      const value = valueOf(p, held)
+      const value = resolveValue(p, held)
       if (value) held = { ballot: p.ballot, value }
     }
     c.same(held?.value.body, wide(6, 6).body, 'the deltas make the value')
--- a/packages/fleet/src/test/deltastorms.test.ts
+++ b/packages/fleet/src/test/deltastorms.test.ts
@@ -21,7 +21,7 @@
 }
 function betweenAreas(f: SimFleet): number {
   let out = 0
-  for (const [from, list] of f.sim.carried()) {
+  for (const [from, list] of f.sim.bytesSent()) {
     for (const [to, bytes] of list) {
       const a = areaOf(f, from)
       const b = areaOf(f, to)
@@ -74,7 +74,7 @@
 }
 function epochNow(f: SimFleet): number {
   let out = 0
-  for (const d of f.decided) if (d.told.decision === 'accepted') out = Math.max(out, d.told.epoch ?? 0)
+  for (const d of f.operatorDecisions) if (d.told.decision === 'accepted') out = Math.max(out, d.told.epoch ?? 0)
   return out
 }
 
@@ -110,13 +110,13 @@
   )
   c.ok(spent < 20e6 / 2, `${Math.round(spent)} bytes between areas for 260 changes`)
   c.ok(slowest < 100, `each was in force everywhere, or overtaken, within ${Math.round(slowest)} ms`)
-  c.same(f.watched, [])
+  c.same(f.watchBreaches, [])
   c.same(await unread(f, epoch), [])
 }
 // What the last changes read back as; named ones of before the last 256 are forgotten by design.
 async function unread(f: SimFleet, epoch: number): Promise<unknown[]> {
-  const list = f.decided.splice(0)
-  for (const d of list) if ((d.told.epoch ?? 0) > epoch - 250) f.decided.push(d)
+  const list = f.operatorDecisions.splice(0)
+  for (const d of list) if ((d.told.epoch ?? 0) > epoch - 250) f.operatorDecisions.push(d)
   return await f.readBack()
 }
 
@@ -187,7 +187,7 @@
     return inForceAt(f, epoch)() || inForceAt(f, epoch + 1)()
   }
   c.ok(await f.sim.until(back, 10000), 'all serve by what was chosen')
-  c.same(f.watched, [], 'nobody went back or was late')
+  c.same(f.watchBreaches, [], 'nobody went back or was late')
   c.same(await unread(f, epoch), [], 'nothing is lost')
 }
 
@@ -226,7 +226,7 @@
     await f.sim.run(f.sim.now() + 3000)
     c.ok(slowest > 0 && slowest < 3000, `${kind}: the slowest was in force everywhere after ${Math.round(slowest)} ms`)
   }
-  c.same(f.watched, [], 'nobody went back or was late')
+  c.same(f.watchBreaches, [], 'nobody went back or was late')
 }
 
 // After 2,000 changes a core and an agent are killed and started anew: current within 2 s.
@@ -268,7 +268,7 @@
       `${one.node} works by the newest ${Math.round(f.sim.now() - at)} ms after its start`,
     )
   }
-  c.same(f.watched, [])
+  c.same(f.watchBreaches, [])
 }
 
 // A node that was frozen, or began anew, holds no duty before it knows all that was settled meanwhile.
@@ -290,7 +290,7 @@
       const agent = one.agent
       const may =
         agent !== undefined &&
-        agent.leaseExpiresAt() > f.sim.now() + one.machine.skew &&
+        agent.leaseExpiresAt() > f.sim.now() + one.machine.clockSkewMs &&
         agent.metrics.get('claynotch_agent_current') === 1
       const body = agent?.register('configuration')?.body as { epoch?: number } | undefined
       if (may && body?.epoch !== epoch) early++
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -7,7 +7,7 @@
 import { httpInstanceAdapter, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
 import { recordOf, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
-import { stepsOf } from '../steps.js'
+import { measureReplacement } from '../steps.js'
 
 t.setTimeout(900000)
 
@@ -16,12 +16,12 @@
   // Nobody promises that unreplicated commits are waited for, so the steps show by themselves.
   const groups: Shape['config']['groups'] = []
   for (const g of s.config.groups) groups.push({ ...g, sync: 0 })
-  return { ...s, fronts: 4, requesters: 12, think: 60, config: { ...s.config, groups } }
+  return { ...s, fronts: 4, requesters: 12, thinkTimeMs: 60, config: { ...s.config, groups } }
 }
 async function begun(seed: number, opt: Parameters<typeof makeSimFleet>[2] = {}): Promise<SimFleet> {
   const f = makeSimFleet(seed, shape(), opt)
   if (!(await f.begin())) throw new Error('the fleet did not begin')
-  f.traffic()
+  f.startTraffic()
   await wait(f, 5000)
   return f
 }
@@ -85,9 +85,9 @@
   for (let seed = 1; seed <= 3; seed++) {
     const f = await begun(seed)
     function harm(): void {
-      f.killBox(f.boxes.indexOf(f.leaderOf('g1')!))
+      f.killInstance(f.instanceHosts.indexOf(f.leaderOf('g1')!))
     }
-    const steps = await stepsOf(f, harm)
+    const steps = await measureReplacement(f, harm)
     c.ok(steps.stop <= 700, `refused dials at several nodes stop the group in ${steps.stop} ms`)
     c.ok(steps.steady - steps.stop <= 400, `and it is led again ${steps.steady - steps.stop} ms later`)
   }
@@ -98,7 +98,7 @@
     function harm(): void {
       f.leaderOf('g1')!.machine.dark = true
     }
-    const steps = await stepsOf(f, harm)
+    const steps = await measureReplacement(f, harm)
     c.ok(steps.stop <= 1500, `silence at several nodes stops the group in ${steps.stop} ms`)
     c.ok(steps.steady - steps.stop <= 800, `and it is led again ${steps.steady - steps.stop} ms later`)
   }
@@ -131,12 +131,12 @@
 async function restart(c: Test): Promise<void> {
   const f = await begun(5)
   for (let k = 0; k < 6; k++) {
-    const at = f.boxes.indexOf(f.leaderOf('g1')!)
-    if (k % 2 === 0) f.sim.reset(f.boxes[at].proc)
+    const at = f.instanceHosts.indexOf(f.leaderOf('g1')!)
+    if (k % 2 === 0) f.sim.reset(f.instanceHosts[at].proc)
     else {
-      f.killBox(at)
+      f.killInstance(at)
       await wait(f, 200)
-      f.startBoxAt(at)
+      f.startInstanceAt(at)
     }
     await wait(f, 3000)
   }
@@ -170,7 +170,7 @@
     async function carry(): Promise<void> {
       await pause(world, odd.after)
       let top = 0
-      for (const b of f().boxes) if (b.group === what.group) top = Math.max(top, b.instance?.epoch() ?? 0)
+      for (const b of f().instanceHosts) if (b.group === what.group) top = Math.max(top, b.instance?.epoch() ?? 0)
       await ownAgentEdges.promotion(world, undefined, { ...what, epoch: top + 1 })
     }
     if (end !== 'refused') void carry()
@@ -192,13 +192,13 @@
     }
     f = makeSimFleet(20 + k, shape(), { agentEdges: termed(fleet, odd) })
     await f.begin()
-    f.traffic()
+    f.startTraffic()
     await wait(f, 4000)
     c.equal(recordOf(f)?.term, 1, "the record tells the leader's own number")
-    const at = f.boxes.indexOf(f.leaderOf('g1')!)
-    const old = f.boxes[at].name
+    const at = f.instanceHosts.indexOf(f.leaderOf('g1')!)
+    const old = f.instanceHosts[at].name
     const from = f.sim.now()
-    f.killBox(at)
+    f.killInstance(at)
     await wait(f, 6000)
     const rec = recordOf(f)!
     const lead = f.leaderOf('g1')!
@@ -215,7 +215,7 @@
     for (const e of f.events) if (e.tag !== undefined && e.outcome === 'done' && e.end > f.sim.now() - 2000) served++
     c.ok(served > 0, `writes flow again, ${Math.round(f.sim.now() - from)} ms on`)
     // The old one is back and says that it leads: it is told to follow.
-    f.startBoxAt(at)
+    f.startInstanceAt(at)
     await wait(f, 5000)
     c.ok(odd.demoted.includes(old), 'the old leader was told to step down')
     c.equal(recordOf(f)?.leader, lead.name)
--- a/packages/fleet/src/test/path.test.ts
+++ b/packages/fleet/src/test/path.test.ts
@@ -6,7 +6,7 @@
 async function serves(c: Test): Promise<void> {
   const f = makeSimFleet(1, smallShape())
   c.ok(await f.begin(), 'founded, configured, each proxy serves')
-  f.traffic()
+  f.startTraffic()
   await f.sim.run(f.sim.now() + 8000)
   await f.quiet()
   const got = f.judge()
@@ -20,9 +20,9 @@
 async function runOnce(): Promise<string> {
   const f = makeSimFleet(7, smallShape(), { keepLines: true })
   await f.begin()
-  f.traffic()
+  f.startTraffic()
   await f.sim.run(f.sim.now() + 3000)
-  return `${f.sim.events()} ${f.events.length} ${f.sim.lines.join('\n')}`
+  return `${f.sim.eventCount()} ${f.events.length} ${f.sim.lines.join('\n')}`
 }
 async function repeats(c: Test): Promise<void> {
   c.equal(await runOnce(), await runOnce())
--- a/packages/fleet/src/test/pictures.test.ts
+++ b/packages/fleet/src/test/pictures.test.ts
@@ -192,7 +192,7 @@
   for (const k of f.fronts.keys())
     c.strictSame(await listed(f, k), ['g11', 'g12', 'g13'], `all at front ${k} after the cores restarted in turn`)
   const from = f.sim.now()
-  f.killBox(2)
+  f.killInstance(2)
   await f.sim.run(from + 1500)
   for (const k of f.fronts.keys()) c.equal((await listed(f, k)).length, 3, `not yet forgotten at front ${k}`)
   await f.sim.run(from + 3500 + 1500)
--- a/packages/fleet/src/test/power-loss.test.ts
+++ b/packages/fleet/src/test/power-loss.test.ts
@@ -13,7 +13,7 @@
   const lost = new Map<string, number>()
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
     const { moment, cores, lostDisks, verdict } = await runPowerLoss(seed)
-    c.strictSame(verdict.broken, [], `seed ${seed}: ${cores} cores, ${lostDisks} disks lost, ${moment}`)
+    c.strictSame(verdict.violations, [], `seed ${seed}: ${cores} cores, ${lostDisks} disks lost, ${moment}`)
     lost.set(moment, (lost.get(moment) ?? 0) + lostDisks)
   }
   for (const moment of MOMENTS) c.ok((lost.get(moment) ?? 0) > 0, `${moment}: ${lost.get(moment) ?? 0} disks lost`)
--- a/packages/fleet/src/test/quota-allowances.test.ts
+++ b/packages/fleet/src/test/quota-allowances.test.ts
@@ -80,7 +80,7 @@
       return allowances.reserve(TENANT, WAIT_MS, makeFlag())
     }
     async function spend(limit: number): Promise<number> {
-      for (let sent = 0; sent < limit; sent++) if (!(await reserve())?.sent()) return sent
+      for (let sent = 0; sent < limit; sent++) if (!(await reserve())?.markSent()) return sent
       return limit
     }
     function mostUnderWay(): number {
@@ -137,7 +137,7 @@
   first?.cancel()
   first?.cancel()
   c.equal(await spend(20), 1, 'what was cancelled does not, and once only')
-  c.notOk(first?.sent(), 'a reservation that was cancelled is not sent')
+  c.notOk(first?.markSent(), 'a reservation that was cancelled is not sent')
 }
 async function atOnce(c: Test, { world, answer, spend, reserve, questions }: Bench): Promise<void> {
   answer.allowance = 2
@@ -174,12 +174,12 @@
   c.ok(early)
   lease.until = world.now()
   c.equal(allowances.held(TENANT), 0)
-  c.notOk((await reserve())?.sent(), 'nothing is sent without a lease')
+  c.notOk((await reserve())?.markSent(), 'nothing is sent without a lease')
   await pause(world, 1000)
   answer.allowance = 0
   lease.since = world.now()
   lease.until = Infinity
-  c.notOk(early?.sent(), 'what was reserved under the lease before must not go out')
+  c.notOk(early?.markSent(), 'what was reserved under the lease before must not go out')
   c.equal(await spend(5), 0, 'what it was given then is others’ now')
 }
 async function answeredAcrossLapse(c: Test, { world, answer, reserve, allowances, lease }: Bench): Promise<void> {
--- a/packages/fleet/src/test/quota-fleet.ts
+++ b/packages/fleet/src/test/quota-fleet.ts
@@ -167,7 +167,7 @@
   }
   function tendReserve(held: Holder): void {
     if (!mayGrow(held)) return
-    held.needsReserve = held.ledger.needs(held.needsReserve ? returnLimit : lendLimit)
+    held.needsReserve = held.ledger.needsMoreThan(held.needsReserve ? returnLimit : lendLimit)
     if (held.needsReserve) isReserveKept = false
     else if (!held.ledger.exceeds(plainLimit)) isReserveKept = true
   }
@@ -189,7 +189,7 @@
   /** The node's agent tells that no proxy works there. */
   function tellAbsence(node: ModelNode): void {
     if (node.proxy || isLost(node)) return
-    answer(node, { t: 'quota', life: 'none', askedAt: sim.now() + node.machine.skew, lines: [] }, holder?.term ?? 0)
+    answer(node, { t: 'quota', life: 'none', askedAt: sim.now() + node.machine.clockSkewMs, lines: [] }, holder?.term ?? 0)
   }
 
   // --- messages ---
@@ -270,7 +270,7 @@
     const draw = slowness.value > sim.random() ? sim.random() : 0
     function send(): void {
       if (draw > 0.95) reservation!.cancel()
-      else if (reservation!.sent()) {
+      else if (reservation!.markSent()) {
         sentAt.push(sim.now())
         node.sentAt.push(sim.now())
       }
@@ -314,7 +314,7 @@
     return holder
   }
   function liability(): number {
-    return holder?.ledger.liability(TENANT) ?? 0
+    return holder?.ledger.outstanding(TENANT) ?? 0
   }
 
   for (let k = 0; k < size; k++) {
--- a/packages/fleet/src/test/quota-guards.test.ts
+++ b/packages/fleet/src/test/quota-guards.test.ts
@@ -72,23 +72,23 @@
 function pass(clock: Clock, takeover: Takeover, ms: number, present: Set<string>): void {
   for (let left = ms; left > 0; left -= 100) {
     clock.at += Math.min(100, left)
-    takeover.listed(present)
+    takeover.nodesListed(present)
     if (takeover.needsRead(present)) takeover.read(present, clock.at)
   }
 }
 
 function firstOfAll(c: Test): void {
   const takeover = takeoverAt({ at: 0 }, true)
-  c.ok(takeover.isAlone() && takeover.isOver(), 'nothing is out that it would not know of')
+  c.ok(takeover.isSoleHolder() && takeover.isComplete(), 'nothing is out that it would not know of')
   c.end()
 }
 function oldHolder(c: Test): void {
   const clock = { at: 1000 }
   const takeover = claimed(clock, 'a')
   clock.at += ALONE_MS - 1
-  c.notOk(takeover.isAlone(), 'the one before may still answer')
+  c.notOk(takeover.isSoleHolder(), 'the one before may still answer')
   clock.at += 1
-  c.ok(takeover.isAlone())
+  c.ok(takeover.isSoleHolder())
   c.end()
 }
 /** It may have renewed its lease just before the claim, in a round that some cores had answered before. */
@@ -97,13 +97,13 @@
   const takeover = claimed(clock, 'a')
   clock.at += RENEWALS_MS - 1
   takeover.predecessorAbsent(clock.at)
-  c.notOk(takeover.isAlone(), 'a renewal that was under way at the claim may not have reached all')
+  c.notOk(takeover.isSoleHolder(), 'a renewal that was under way at the claim may not have reached all')
   clock.at += 1
   c.ok(takeover.needsRead(nodes('a')), 'another read shows it')
   takeover.predecessorAbsent(clock.at - 1)
-  c.notOk(takeover.isAlone(), 'a read that was begun before that')
+  c.notOk(takeover.isSoleHolder(), 'a read that was begun before that')
   takeover.predecessorAbsent(clock.at)
-  c.ok(takeover.isAlone())
+  c.ok(takeover.isSoleHolder())
   c.end()
 }
 function oldHolderHasEnded(c: Test): void {
@@ -112,42 +112,42 @@
     return clock.at
   }
   const takeover = makeTakeover(now, clock.at, false, true)
-  c.ok(takeover.isAlone(), 'nobody else can answer')
-  c.notOk(takeover.isOver(), 'what it granted is not known yet')
+  c.ok(takeover.isSoleHolder(), 'nobody else can answer')
+  c.notOk(takeover.isComplete(), 'what it granted is not known yet')
   c.end()
 }
 function oneWindow(c: Test): void {
   const clock = { at: 1000 }
   const takeover = claimed(clock, 'a')
   pass(clock, takeover, ALONE_MS, nodes('a'))
-  takeover.told('a')
+  takeover.answered('a')
   pass(clock, takeover, QUOTA_METER_WINDOW_MS - ALONE_MS - 1, nodes('a'))
-  c.notOk(takeover.isOver(), 'what proxies sent that ended before the claim is in a window yet')
+  c.notOk(takeover.isComplete(), 'what proxies sent that ended before the claim is in a window yet')
   pass(clock, takeover, 100, nodes('a'))
-  c.ok(takeover.isOver())
+  c.ok(takeover.isComplete())
   c.end()
 }
 function untold(c: Test): void {
   const clock = { at: 1000 }
   const takeover = claimed(clock, 'a', 'b')
   pass(clock, takeover, ALONE_MS, nodes('a', 'b'))
-  takeover.told('a')
+  takeover.answered('a')
   pass(clock, takeover, 60000, nodes('a', 'b'))
-  c.notOk(takeover.isOver(), 'b has not told what it holds')
-  takeover.told('b')
-  c.ok(takeover.isOver())
+  c.notOk(takeover.isComplete(), 'b has not told what it holds')
+  takeover.answered('b')
+  c.ok(takeover.isComplete())
   c.end()
 }
 function goneUntold(c: Test): void {
   const clock = { at: 1000 }
   const takeover = claimed(clock, 'a', 'b')
   pass(clock, takeover, ALONE_MS, nodes('a', 'b'))
-  takeover.told('a')
+  takeover.answered('a')
   pass(clock, takeover, 10000, nodes('a', 'b'))
   pass(clock, takeover, QUOTA_METER_WINDOW_MS, nodes('a'))
-  c.notOk(takeover.isOver(), 'what b sent until its end is in a window yet')
+  c.notOk(takeover.isComplete(), 'what b sent until its end is in a window yet')
   pass(clock, takeover, 200, nodes('a'))
-  c.ok(takeover.isOver())
+  c.ok(takeover.isComplete())
   c.end()
 }
 function otherLife(c: Test): void {
@@ -155,11 +155,11 @@
   const takeover = claimed(clock, 'a')
   pass(clock, takeover, ALONE_MS + 1000, nodes('a'))
   takeover.heard('a', 'two')
-  takeover.told('a')
+  takeover.answered('a')
   pass(clock, takeover, QUOTA_METER_WINDOW_MS - 100, nodes('a'))
-  c.notOk(takeover.isOver(), 'what its life before sent is in a window yet')
+  c.notOk(takeover.isComplete(), 'what its life before sent is in a window yet')
   pass(clock, takeover, 200, nodes('a'))
-  c.ok(takeover.isOver())
+  c.ok(takeover.isComplete())
   c.end()
 }
 /** The holder before may have given to it until it ended. */
@@ -168,14 +168,14 @@
   const takeover = claimed(clock, 'a')
   pass(clock, takeover, ALONE_MS - 200, nodes('a'))
   pass(clock, takeover, 400, nodes('a', 'b'))
-  takeover.told('a')
+  takeover.answered('a')
   pass(clock, takeover, 60000, nodes('a', 'b'))
-  c.notOk(takeover.isOver(), 'b came while the one before answered, and has not told')
+  c.notOk(takeover.isComplete(), 'b came while the one before answered, and has not told')
   pass(clock, takeover, 60000, nodes('a', 'b', 'c'))
   takeover.heard('b', 'one')
-  takeover.told('b')
+  takeover.answered('b')
   pass(clock, takeover, QUOTA_METER_WINDOW_MS + 100, nodes('a', 'b', 'c'))
-  c.ok(takeover.isOver(), 'c has what this holder gave it, if anything')
+  c.ok(takeover.isComplete(), 'c has what this holder gave it, if anything')
   c.end()
 }
 
--- a/packages/fleet/src/test/quota-holder-fleet.ts
+++ b/packages/fleet/src/test/quota-holder-fleet.ts
@@ -186,7 +186,7 @@
       async function send(tenant: string): Promise<void> {
         tried.push({ at: sim.now(), tenant, node: front.node })
         const reservation = await allowances.reserve(tenant, 200, stop)
-        if (reservation?.sent()) sent.push({ at: sim.now(), tenant, node: front.node })
+        if (reservation?.markSent()) sent.push({ at: sim.now(), tenant, node: front.node })
       }
       for (;;) {
         await pause(world, TICK_MS)
--- a/packages/fleet/src/test/registers.test.ts
+++ b/packages/fleet/src/test/registers.test.ts
@@ -7,7 +7,7 @@
   type CoreMember,
   type RegisterSummary,
   type RegisterPush,
-  type Committed,
+  type RegisterOutcome,
   type RegisterValue,
 } from '@claynotch/register'
 import { makeSim } from '../sim.js'
@@ -30,7 +30,7 @@
   function link(): undefined {
     return undefined
   }
-  function readCommitted(): Promise<Committed> {
+  function readCommitted(): Promise<RegisterOutcome> {
     return Promise.resolve({ done: false, why: 'nobody is there' })
   }
   function took(_key: string, value: RegisterValue): void {
@@ -83,7 +83,7 @@
       function link(id: string): undefined {
         asked.push(id)
       }
-      function readCommitted(): Promise<Committed> {
+      function readCommitted(): Promise<RegisterOutcome> {
         rounds++
         return Promise.resolve({ done: false, why: 'nobody is there' })
       }
--- a/packages/fleet/src/test/replicated-group.ts
+++ b/packages/fleet/src/test/replicated-group.ts
@@ -6,7 +6,7 @@
 import {
   groupKey,
   ZERO_BALLOT,
-  type Committed,
+  type RegisterOutcome,
   type GroupRecord,
   type InstanceStatus,
   type Member,
@@ -229,10 +229,10 @@
     sim.at(PROMOTION_MS, lead)
     return Promise.resolve({ end: 'done', why: '' })
   }
-  function done(key: string): Promise<Committed> {
+  function done(key: string): Promise<RegisterOutcome> {
     return Promise.resolve({ done: true, value: registers.get(key), ballot: ZERO_BALLOT })
   }
-  function change(key: string, edit: RegisterEdit): Promise<Committed> {
+  function change(key: string, edit: RegisterEdit): Promise<RegisterOutcome> {
     const now = registers.get(key)
     const next = edit(now)
     if (next) registers.set(key, { turn: (now?.turn ?? 0) + 1, ...next })
--- a/packages/fleet/src/test/storage.test.ts
+++ b/packages/fleet/src/test/storage.test.ts
@@ -9,7 +9,7 @@
   type Address,
   type World,
 } from '@claynotch/base'
-import { LeaseRenewalAnswer, type RegisterSummary, type Committed, type RegisterValue } from '@claynotch/register'
+import { LeaseRenewalAnswer, type RegisterSummary, type RegisterOutcome, type RegisterValue } from '@claynotch/register'
 import { idOf, makeClient, makeCoreFleet, type CoreFleet } from '../corefleet.js'
 
 t.setTimeout(600000)
@@ -43,9 +43,9 @@
   await fleet.sim.until(isOver, 30000)
   return out
 }
-function write(fleet: CoreFleet, text: string): Promise<Committed | undefined> {
+function write(fleet: CoreFleet, text: string): Promise<RegisterOutcome | undefined> {
   const set = fleet.latest()
-  async function run(world: World): Promise<Committed> {
+  async function run(world: World): Promise<RegisterOutcome> {
     const proposer = await makeClient(world, `writer${tasks}`, set, seedsNow, false)
     function edit(now: RegisterValue | undefined): { body: unknown; tag: string } | undefined {
       return now?.tag === text ? undefined : { body: text, tag: text }
--- a/packages/fleet/src/test/summaries.test.ts
+++ b/packages/fleet/src/test/summaries.test.ts
@@ -1,6 +1,6 @@
 import t, { type Test } from 'tap'
 import { makeFlag, makeMetrics, pause, type Metrics, type World } from '@claynotch/base'
-import { startPeers, type Peer, type Summary } from '@claynotch/peer'
+import { startSummaryExchange, type Peer, type Summary } from '@claynotch/peer'
 import { makeSim } from '../sim.js'
 
 // Summaries between the nodes of a large fleet: what each node hears in a second doesn't grow with the number of nodes, and
@@ -45,7 +45,7 @@
       function heard(summary: Summary): void {
         if (summary.leaving.includes('i1')) heardAt[k] ??= sim.now()
       }
-      await startPeers(world, peer.addr, makeFlag(), members, { all, seenFor }, metrics[k], heard)
+      await startSummaryExchange(world, peer.addr, makeFlag(), members, { commonSummary: all, observationsFor: seenFor }, metrics[k], heard)
     }
     sim.spawn(sim.machine(peer.node, `10.0.1.${k + 1}`), peer.node, run)
   }
--- a/packages/fleet/src/test/summary-source.test.ts
+++ b/packages/fleet/src/test/summary-source.test.ts
@@ -34,7 +34,7 @@
     summaries: always([]),
   }
   const source = makeSummarySource(world, view as never)
-  source.all([])
+  source.commonSummary([])
   return source
 }
 function heardOf(retries: number): Summary[] {
@@ -57,8 +57,8 @@
       let telling = 0
       for (let k = 1; k <= count; k++) {
         const source = sourceOf(world, { name: `frontend-zone-${k % 5}-${k}`, proxies: count })
-        if (source.seenFor('core1').seen.length > 0) telling++
-        c.strictSame(source.seenFor('core2'), { seen: [], bad: [] }, 'who holds no duty is told nothing')
+        if (source.observationsFor('core1').seen.length > 0) telling++
+        c.strictSame(source.observationsFor('core2'), { seen: [], bad: [] }, 'who holds no duty is told nothing')
       }
       if (count <= WITNESS_COUNT) c.equal(telling, count, `all of ${count}`)
       else c.ok(telling > WITNESS_COUNT / 2 && telling < 2 * WITNESS_COUNT, `${telling} of ${count}`)
@@ -70,7 +70,7 @@
 async function failures(c: Test): Promise<void> {
   function play(world: World): void {
     for (let k = 1; k <= 100; k++) {
-      const { seen, bad } = sourceOf(world, { name: `front-${k}`, proxies: 2300, bad: [['i2', 400]] }).seenFor('core1')
+      const { seen, bad } = sourceOf(world, { name: `front-${k}`, proxies: 2300, bad: [['i2', 400]] }).observationsFor('core1')
       c.strictSame(bad, [['i2', 401]], 'every node tells what fails')
       c.strictSame(seen, [['i1', 6]], 'and with it what answers')
     }
@@ -81,11 +81,11 @@
 async function sends(c: Test): Promise<void> {
   function play(world: World): void {
     const calm = sourceOf(world, { name: 'front-1', proxies: 7, tries: [['g', 100, 0]] })
-    c.strictSame(calm.all([]).tries, [], 'nobody retries')
-    c.strictSame(calm.all(heardOf(RETRY_REPORT_THRESHOLD)).tries, [], 'few do')
-    c.strictSame(calm.all(heardOf(RETRY_REPORT_THRESHOLD + 1)).tries, [['g', 100, 0]], 'many do')
+    c.strictSame(calm.commonSummary([]).tries, [], 'nobody retries')
+    c.strictSame(calm.commonSummary(heardOf(RETRY_REPORT_THRESHOLD)).tries, [], 'few do')
+    c.strictSame(calm.commonSummary(heardOf(RETRY_REPORT_THRESHOLD + 1)).tries, [['g', 100, 0]], 'many do')
     const retrying = sourceOf(world, { name: 'front-1', proxies: 7, tries: [['g', 100, 1]] })
-    c.strictSame(retrying.all([]).tries, [['g', 100, 1]], 'this node does')
+    c.strictSame(retrying.commonSummary([]).tries, [['g', 100, 1]], 'this node does')
   }
   await run(c, play)
 }
--- a/packages/fleet/src/test/teams.test.ts
+++ b/packages/fleet/src/test/teams.test.ts
@@ -233,8 +233,8 @@
 async function checker(c: Test): Promise<void> {
   const f = teamFleet(4)
   c.ok(await f.begin())
-  for (const b of f.boxes) if (b.instance && b.instance.role() === 'follower') b.instance.faults.lag = 4000
-  f.traffic()
+  for (const b of f.instanceHosts) if (b.instance && b.instance.role() === 'follower') b.instance.faults.lag = 4000
+  f.startTraffic()
   // The first fetches under this lag end 3.6 to 4.54 s from now, the next not before 7.2 s: here the best follower lags by
   // 1.96 s at the least, whatever the seed.
   await f.sim.run(f.sim.now() + 6500)
--- a/packages/fleet/src/whole.ts
+++ b/packages/fleet/src/whole.ts
@@ -15,7 +15,7 @@
     connections: p.connections,
     lag: 50,
     requesters: p.sessions,
-    think: (p.sessions / p.rate) * 1000,
+    thinkTimeMs: (p.sessions / p.rate) * 1000,
     keys: 400,
     mixes: p.mixes,
     config: p.config,
@@ -30,7 +30,7 @@
   }
   out(`${p.name}, seed ${seed}: every proxy serves ${Math.round(f.sim.now() - 1000)} ms after the start`)
   await f.sim.run(Math.max(f.sim.now(), 13000))
-  f.traffic()
+  f.startTraffic()
   const [a, b] = p.groups
   // Done operations by second of the run.
   function curve(from: number, to: number): string {
@@ -50,11 +50,11 @@
   await phase('calm', 4000, nothing)
   const dead = leaderIndex(f, a)
   function crash(): void {
-    f.killBox(dead)
+    f.killInstance(dead)
   }
   await phase(`leader of ${a} dies`, 8000, crash)
   async function change(): Promise<void> {
-    f.startBoxAt(dead)
+    f.startInstanceAt(dead)
     f.ask(0, `/groups/${b}/replacement`, 'POST', {})
     const lane = p.config.lanes.find(isNear)!
     function isNear(l: { reads: unknown }): boolean {
@@ -68,7 +68,7 @@
   }
   await phase(`leader of ${b} replaced, a lane tightened`, 4000, change)
   const gone = [f.cores[0].machine]
-  for (const list of [f.fronts, f.boxes])
+  for (const list of [f.fronts, f.instanceHosts])
     for (const [k, x] of list.entries()) if (k % p.areas.length === 0) gone.push(x.machine)
   function lose(): void {
     for (const m of gone) m.dark = true
--- a/packages/peer/src/index.ts
+++ b/packages/peer/src/index.ts
@@ -16,11 +16,11 @@
 export { Summary, type CommonSummary } from './summary.js'
 
 /** Summaries between nodes, by datagrams. */
-export type Peers = {
+export type SummaryExchange = {
   /** The newest of each node, its times as of now. */
-  hints: () => Summary[]
+  currentSummaries: () => Summary[]
   /** A summary goes out at once. */
-  ring: () => void
+  sendNow: () => void
   close: () => Promise<void>
 }
 
@@ -28,9 +28,9 @@
 export type Peer = { node: string; addr: Address; proxy: boolean }
 
 /** What a node says to all, by what it heard of the others; and what it saw of instances, which it says to those who need it. */
-export type Saying = {
-  all: (heard: Summary[]) => CommonSummary
-  seenFor: (node: string) => { seen: [string, number][]; bad: [string, number][] }
+export type OwnSummary = {
+  commonSummary: (heard: Summary[]) => CommonSummary
+  observationsFor: (node: string) => { seen: [string, number][]; bad: [string, number][] }
 }
 
 /** The summary as one datagram; where it is too long for that, what can be spared goes first. */
@@ -48,15 +48,15 @@
   return count
 }
 
-export async function startPeers(
+export async function startSummaryExchange(
   world: World,
   addr: Address,
   stop: Flag,
   members: () => Peer[],
-  mine: Saying,
+  mine: OwnSummary,
   metrics: Metrics,
   onHeard: (summary: Summary) => void,
-): Promise<Peers> {
+): Promise<SummaryExchange> {
   const heard = makeHeardSummaries(world)
   const schedule = makeSummarySchedule(world)
   const sendNow = makeSignal()
@@ -70,12 +70,12 @@
   const wire = await world.bindDatagrams(addr, take)
 
   function send(): void {
-    const common = mine.all(heard.current())
+    const common = mine.commonSummary(heard.current())
     const peers = members()
     const isDue = schedule.isDue(common, countReceivers(peers))
     for (const peer of peers) {
       if (peer.addr === addr) continue
-      const { seen, bad } = mine.seenFor(peer.node)
+      const { seen, bad } = mine.observationsFor(peer.node)
       const isNeeded = seen.length > 0 || bad.length > 0 || (isDue && peer.proxy)
       if (isNeeded) wire.send(peer.addr, encodeSummary({ ...common, seen, bad }))
     }
@@ -85,5 +85,5 @@
   async function close(): Promise<void> {
     wire.close()
   }
-  return { hints: heard.current, ring: sendNow.notify, close }
+  return { currentSummaries: heard.current, sendNow: sendNow.notify, close }
 }
--- a/packages/proxy/src/quota-step.ts
+++ b/packages/proxy/src/quota-step.ts
@@ -82,7 +82,7 @@
     const { reservation } = call
     if (reservation?.tenant !== tenant) return false
     delete call.reservation
-    return reservation.sent()
+    return reservation.markSent()
   }
   return { reserve, consumeReservation: consumeReservation, release }
 }
--- a/packages/proxy/src/state.ts
+++ b/packages/proxy/src/state.ts
@@ -3,7 +3,7 @@
 import {
   groupKey,
   groupOf,
-  shareOf,
+  slotIndexOf,
   SHARES_KEY,
   type AgentFeed,
   type GroupRecord,
@@ -195,7 +195,7 @@
     const leased = records.get(SHARES_KEY)
     if (!leased || world.now() >= leased.leaseExpiresAt) return false
     const { slots } = leased.body as ConnectionShares
-    const slot = shareOf(slots, node)
+    const slot = slotIndexOf(slots, node)
     return slot >= 0 && slot < size && slots[slot]?.ready === true
   }
   function liveProxies(): number {
--- a/packages/quota/src/allowances.ts
+++ b/packages/quota/src/allowances.ts
@@ -28,7 +28,7 @@
 export type Reservation = {
   tenant: string
   /** To be called in the turn in which the operation goes out. False: the lease that it rests on has lapsed; nothing may go out. */
-  sent: () => boolean
+  markSent: () => boolean
   /** Nothing went out. */
   cancel: () => void
 }
@@ -156,7 +156,7 @@
       end()
       serveWaiters(account)
     }
-    return { tenant: account.tenant, sent, cancel }
+    return { tenant: account.tenant, markSent: sent, cancel }
   }
   function noteRefused(account: Account): void {
     const { tenant } = account
--- a/packages/quota/src/ledger.ts
+++ b/packages/quota/src/ledger.ts
@@ -29,7 +29,7 @@
     reserveOf?: (tenant: string) => number,
   ) => QuotaGrant[]
   /** Whether some tenant's proxies together need more, or have more, than that. */
-  needs: (limitOf: (tenant: string) => number | undefined) => boolean
+  needsMoreThan: (limitOf: (tenant: string) => number | undefined) => boolean
   exceeds: (limitOf: (tenant: string) => number | undefined) => boolean
   /**
    * The node's lease is over: what its proxy had cools for one window, then it is free. seenAt: when the look at the members
@@ -39,7 +39,7 @@
   /** Nodes whose proxy may hold something. */
   nodes: () => string[]
   /** Operations of the tenant that may run in one window by all that is known here. */
-  liability: (tenant: string) => number
+  outstanding: (tenant: string) => number
 }
 
 /** One tenant at one proxy. */
@@ -212,5 +212,5 @@
     for (const [tenant, book] of books) if (totalOf(book) > (limitOf(tenant) ?? Infinity)) return true
     return false
   }
-  return { report, needs, exceeds, gone, nodes, liability }
+  return { report, needsMoreThan: needs, exceeds, gone, nodes, outstanding: liability }
 }
--- a/packages/quota/src/test/ledger.test.ts
+++ b/packages/quota/src/test/ledger.test.ts
@@ -37,7 +37,7 @@
     return grants[0]?.[1]
   }
   function liability(): number {
-    return ledger.liability(TENANT)
+    return ledger.outstanding(TENANT)
   }
   return { ledger, time, limit: limitNow, mayGrow, report, liability }
 }
--- a/packages/register/src/core-messages.ts
+++ b/packages/register/src/core-messages.ts
@@ -95,7 +95,7 @@
     if (store.failed() !== undefined) return UNAVAILABLE
     if (!value || !have) return { ok: true, ballot, value: value ?? null }
     if (compareBallots(ballot, have) === 0) return { ok: true, ballot, same: true }
-    const deltas = chains.path(key, have, ballot)
+    const deltas = chains.deltasBetween(key, have, ballot)
     return deltas ? { ok: true, ballot, base: have, deltas } : { ok: true, ballot, value }
   }
   /** An agent knows committed registers and this core isn't founded on disk, so the set was founded before. */
@@ -129,7 +129,7 @@
     return { ok: true }
   }
   function recordAck(link: Link, node: string, message: Extract<CoreMessage, { t: 'ack' }>): object {
-    pushes.acked(link, message.num)
+    pushes.recordAck(link, message.num)
     metrics.add('claynotch_core_acks_total')
     leases.ack(node, message.key, message.turn)
     return { ok: true }
@@ -187,7 +187,7 @@
     return rejectionFor(message) ?? (await answerVotingMessage(message, peer, link))
   }
   function serve(peer: Hello, link: Link) {
-    if (peer.kind === 'agent') pushes.linked(link, peer)
+    if (peer.kind === 'agent') pushes.addLink(link, peer)
     async function handle(data: unknown): Promise<unknown> {
       const message = readAs(CoreMessage, data)
       if (message.err) {
@@ -205,7 +205,7 @@
     return handle
   }
   function onLinkLost(_peer: Hello, link: Link): void {
-    pushes.lost(link)
+    pushes.removeLink(link)
   }
   return { serve, onLinkLost }
 }
--- a/packages/register/src/core-view.ts
+++ b/packages/register/src/core-view.ts
@@ -1,6 +1,6 @@
 import type { World } from '@claynotch/base'
 import {
-  laterStatus,
+  latestStatusOf,
   type RegisterSummary,
   type MemberEntry,
   type LeaseRenewalAnswer,
@@ -119,7 +119,7 @@
       for (const register of answer.keys ?? []) registers.set(register.key, register)
       for (const member of answer.members ?? []) members.set(member.node, { line: member, at: now })
       for (const status of answer.sights ?? [])
-        instances.set(status.name, laterStatus(undefined, status, now - status.age))
+        instances.set(status.name, latestStatusOf(undefined, status, now - status.age))
       for (const node of answer.left ?? []) members.delete(node)
       for (const name of answer.lost ?? []) instances.delete(name)
     }
--- a/packages/register/src/core.ts
+++ b/packages/register/src/core.ts
@@ -189,7 +189,7 @@
   }
   /** Called once a value is on disk. The message that it is committed may have arrived earlier. */
   function onValueAccepted(key: string, before: RegisterEntry, after: RegisterEntry, delta: Delta | undefined): void {
-    chains.taken(key, before, after, delta)
+    chains.recordAccepted(key, before, after, delta)
     if (committed.isCommitted(key, after)) pushes.push(key)
   }
   /** Records that a ballot is committed: notes which unreachable peers miss it, and pushes the value if it is here. */
@@ -260,7 +260,7 @@
     store,
     metrics,
     state: describeState,
-    agents: pushes.nodes,
+    agents: pushes.linkedNodes,
     coreSet: follower.coreSet,
     place: ownPlace,
     adopt: follower.adopt,
--- a/packages/register/src/delta.ts
+++ b/packages/register/src/delta.ts
@@ -145,11 +145,11 @@
 /** What makes next of base; undefined where that isn't smaller than next itself. */
 export function makeDelta(base: unknown, next: unknown): Delta | undefined {
   const delta = diff(base, next, 0)
-  return bytesOf(delta) < bytesOf(next) ? delta : undefined
+  return encodedSizeOf(delta) < encodedSizeOf(next) ? delta : undefined
 }
 
 /** How many bytes this is on a link and on disk. */
-export function bytesOf(x: unknown): number {
+export function encodedSizeOf(x: unknown): number {
   return encode(x).length
 }
 
--- a/packages/register/src/group-record.ts
+++ b/packages/register/src/group-record.ts
@@ -52,7 +52,7 @@
 }
 
 /** What a record says of instances that signed off: it outlives the leader. */
-export function departedOf({ departed }: GroupRecord): Pick<GroupRecord, 'departed'> {
+export function departedFieldOf({ departed }: GroupRecord): Pick<GroupRecord, 'departed'> {
   return departed === undefined ? {} : { departed }
 }
 
@@ -72,7 +72,7 @@
 export type ConnectionShares = { slots: ConnectionShare[] }
 export const SHARES_KEY = 'slots'
 
-export function shareOf(slots: ConnectionShare[], node: string): number {
+export function slotIndexOf(slots: ConnectionShare[], node: string): number {
   for (const [k, s] of slots.entries()) if (s?.node === node) return k
   return -1
 }
--- a/packages/register/src/index.ts
+++ b/packages/register/src/index.ts
@@ -21,7 +21,7 @@
   MemberDescription,
   InstanceStatus,
   RegisterSummary,
-  laterStatus,
+  latestStatusOf as laterStatus,
 } from './messages.js'
 export * from './core-view.js'
 export * from './core.js'
--- a/packages/register/src/leases.ts
+++ b/packages/register/src/leases.ts
@@ -6,8 +6,8 @@
   type World,
 } from '@claynotch/base'
 import {
-  laterStatus,
-  signStatus,
+  latestStatusOf,
+  statusFingerprintOf,
   type Member,
   type MemberEntry,
   type LeaseRenewal,
@@ -70,9 +70,9 @@
 
   function recordStatus(status: InstanceStatus, now: number): void {
     const previous = latestStatuses.get(status.name)
-    const latest = laterStatus(previous, status, now - status.age)
+    const latest = latestStatusOf(previous, status, now - status.age)
     latestStatuses.set(status.name, latest)
-    if (!previous || signStatus(previous.status) !== signStatus(latest.status)) revision++
+    if (!previous || statusFingerprintOf(previous.status) !== statusFingerprintOf(latest.status)) revision++
   }
   function removeExpired(): void {
     const now = world.now()
--- a/packages/register/src/messages.ts
+++ b/packages/register/src/messages.ts
@@ -184,12 +184,12 @@
   return a.addr === b.addr && Math.abs(bAt - aAt) < MAX_ANNOUNCEMENT_DELAY_MS ? b.sequence > a.sequence : bAt > aAt
 }
 /** What an instance says, as text; neither the status's age nor how far the instance has counted. */
-export function signStatus(status: InstanceStatus): string {
+export function statusFingerprintOf(status: InstanceStatus): string {
   const leaving = hasSignedOff(status) ? 'signed off' : String(status.leaving)
   return `${status.group} ${status.addr} ${status.area} ${status.role} ${leaving}`
 }
 // Of two sights of one instance the later, with the earliest notice of either.
-export function laterStatus(
+export function latestStatusOf(
   old: { status: InstanceStatus; at: number } | undefined,
   next: InstanceStatus,
   at: number,
--- a/packages/register/src/proposer.ts
+++ b/packages/register/src/proposer.ts
@@ -3,7 +3,7 @@
 import { CoreSet, type Quorum } from './core-set.js'
 import { makeDelta } from './delta.js'
 import type { RegisterValue } from './register-store.js'
-import { valueOf, type HeldValue } from './values.js'
+import { resolveValue, type HeldValue } from './values.js'
 import type { GetAnswer } from './messages.js'
 
 // deltas: whether its link speaks of values by what changed in them (DELTA_EPOCH); where it isn't given, values are told whole.
@@ -14,7 +14,7 @@
   deltas?: () => boolean
 }
 
-export type Committed = { done: true; value: RegisterValue | undefined; ballot: Ballot } | { done: false; why: string }
+export type RegisterOutcome = { done: true; value: RegisterValue | undefined; ballot: Ballot } | { done: false; why: string }
 
 // What a change does with the present value: a new body and tag, or undefined to leave it as it is.
 export type RegisterEdit = (now: RegisterValue | undefined) => { body: unknown; tag: string } | undefined
@@ -22,11 +22,11 @@
 export type Proposer = {
   // Runs rounds until one is settled. An edit may be asked several times, as rounds that
   // ended unclear are read back: it must find its own earlier change by its tag.
-  change: (key: string, edit: RegisterEdit, limit?: number) => Promise<Committed>
-  read: (key: string, limit?: number) => Promise<Committed>
+  change: (key: string, edit: RegisterEdit, limit?: number) => Promise<RegisterOutcome>
+  read: (key: string, limit?: number) => Promise<RegisterOutcome>
   // The same for those who only want to know, without a ballot of their own: a crowd of readers whose rounds raised the
   // ballots would have each change of others refused. A round is made only where a majority isn't alike.
-  look: (key: string, limit?: number) => Promise<Committed>
+  look: (key: string, limit?: number) => Promise<RegisterOutcome>
 }
 
 type Vote =
@@ -42,7 +42,7 @@
   | null
   | undefined
 
-export type VoterAnswer<T> = { id: string; val: T }
+export type VoterAnswer<T> = { id: string; answer: T }
 
 // Asks all; ends once those who said ok are a quorum, once that has become impossible, or at the limit.
 export function gatherQuorum<T>(
@@ -69,7 +69,7 @@
     }
     async function take(id: string, from: Promise<T>): Promise<void> {
       const val = await from
-      got.push({ id, val })
+      got.push({ id, answer: val })
       if (isOk(val)) good.add(id)
       else may.delete(id)
       if (quorum.met(good) || !quorum.met(may)) end()
@@ -107,7 +107,7 @@
   // have: the value that was named in the question; same stands for it and for no other.
   function yesOf(votes: VoterAnswer<Vote>[], have: HeldValue | undefined): Yes[] {
     const out: Yes[] = []
-    for (const { id, val } of votes) {
+    for (const { id, answer: val } of votes) {
       if (!val?.ok) continue
       const ballot = val.ballot ?? ZERO_BALLOT
       if (val.same !== true) out.push({ id, ballot, value: val.value })
@@ -129,7 +129,7 @@
     for (const v of yes) out.add(v.id)
     return out
   }
-  async function round(key: string, edit: RegisterEdit): Promise<Committed> {
+  async function round(key: string, edit: RegisterEdit): Promise<RegisterOutcome> {
     const all = voters()
     const enough = quorum()
     const { epoch } = enough
@@ -142,7 +142,7 @@
       asks.push({ id: voter.id, got: voter.ask(word, ROUND_TIMEOUT_MS) as Promise<Vote> })
     }
     const votes = await gatherQuorum(world, asks, enough, isOk, ROUND_TIMEOUT_MS)
-    for (const answer of votes) saw(answer.val)
+    for (const answer of votes) saw(answer.answer)
     const yes = yesOf(votes, have)
     if (!enough.met(idsOf(yes))) return { done: false, why: 'no majority promised' }
     // A prepare that took too long is void: a core emptied meanwhile may have lost its promise.
@@ -174,8 +174,8 @@
     const took = await gatherQuorum(world, puts, enough, isOk, ROUND_TIMEOUT_MS)
     const accepted = new Set<string>()
     for (const v of took) {
-      saw(v.val)
-      if (v.val?.ok) accepted.add(v.id)
+      saw(v.answer)
+      if (v.answer?.ok) accepted.add(v.id)
     }
     if (!enough.met(accepted)) return { done: false, why: 'no majority accepted' }
     learn(all, key, ballot)
@@ -184,7 +184,7 @@
   function learn(all: Voter[], key: string, ballot: Ballot): void {
     for (const voter of all) voter.tell({ t: 'learn', key, ballot })
   }
-  async function change(key: string, edit: RegisterEdit, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
+  async function change(key: string, edit: RegisterEdit, limit = CHANGE_TIMEOUT_MS): Promise<RegisterOutcome> {
     const end = world.now() + limit
     let tries = 0
     for (;;) {
@@ -197,18 +197,18 @@
   function same(): undefined {
     return undefined
   }
-  function read(key: string, limit?: number): Promise<Committed> {
+  function read(key: string, limit?: number): Promise<RegisterOutcome> {
     return change(key, same, limit)
   }
   // An answer by deltas is brought to the value that it stands for.
   async function askValue(voter: Voter, word: unknown, have: HeldValue | undefined): Promise<Vote> {
     const got = (await voter.ask(word, ROUND_TIMEOUT_MS)) as Vote | GetAnswer
     if (!got || !('deltas' in got)) return got as Vote
-    const value = have && valueOf(got, have)
+    const value = have && resolveValue(got, have)
     return value ? { ok: true, ballot: got.ballot, value } : undefined
   }
   // What a majority accepted at one ballot is chosen; and a later one chosen before we asked would be told by one of them.
-  async function look(key: string, limit = CHANGE_TIMEOUT_MS): Promise<Committed> {
+  async function look(key: string, limit = CHANGE_TIMEOUT_MS): Promise<RegisterOutcome> {
     const all = voters()
     const enough = quorum()
     const { epoch } = enough
@@ -220,7 +220,7 @@
       asks.push({ id: voter.id, got: askValue(voter, word, have) })
     }
     const votes = await gatherQuorum(world, asks, enough, isOk, ROUND_TIMEOUT_MS)
-    for (const answer of votes) saw(answer.val)
+    for (const answer of votes) saw(answer.answer)
     const yes = yesOf(votes, have)
     let alike = enough.met(idsOf(yes))
     for (const v of yes) if (compareBallots(v.ballot, yes[0].ballot) !== 0) alike = false
--- a/packages/register/src/proxy-messages.ts
+++ b/packages/register/src/proxy-messages.ts
@@ -12,11 +12,11 @@
 
 // One register as it is fed. until: monotonic time of this machine up to which the proxy may work by this
 // turn; body is left out where the proxy has acknowledged the turn already.
-export const FedEntry = t.intersection([
+export const FeedEntry = t.intersection([
   t.type({ key: t.string, turn: t.number, until: t.number }),
   t.partial({ body: t.unknown }),
 ])
-export type FedEntry = t.TypeOf<typeof FedEntry>
+export type FeedEntry = t.TypeOf<typeof FeedEntry>
 
 // moving: [group, epoch] that some node knows to be under promotion. tries: [group, firsts, retries] of the other nodes.
 // live: members that have a proxy, at least 1.
@@ -24,7 +24,7 @@
   t: t.literal('feed'),
   node: t.string,
   area: t.string,
-  cells: t.array(FedEntry),
+  cells: t.array(FeedEntry),
   sights: t.array(InstanceStatus),
   moving: t.array(t.tuple([t.string, t.number])),
   leaving: t.array(t.string),
--- a/packages/register/src/pushes.ts
+++ b/packages/register/src/pushes.ts
@@ -1,6 +1,6 @@
 import { DELTA_LINK_VERSION, MAX_KEPT_DELTAS, type Hello, type Link, type Metrics } from '@claynotch/base'
 import { compareBallots, type Ballot } from './ballot.js'
-import { bytesOf, makeDelta, type Delta } from './delta.js'
+import { encodedSizeOf, makeDelta, type Delta } from './delta.js'
 import type { AcceptedListener, RegisterEntry, RegisterStore, RegisterValue } from './register-store.js'
 import type { Deltas } from './messages.js'
 
@@ -15,9 +15,9 @@
 
 /** The last changes of each register that this core took, as deltas from one ballot to the next. */
 export type DeltaChains = {
-  taken: AcceptedListener
+  recordAccepted: AcceptedListener
   /** What makes the value at the second ballot of the one at the first; undefined: not kept, or no shorter than the value. */
-  path: (key: string, from: Ballot, to: Ballot) => Delta[] | undefined
+  deltasBetween: (key: string, from: Ballot, to: Ballot) => Delta[] | undefined
 }
 
 export function makeDeltaChains(): DeltaChains {
@@ -32,8 +32,8 @@
       chains.delete(key)
       return
     }
-    const chain = chains.get(key) ?? { steps: [], bytes: 0, whole: bytesOf(after.value) }
-    const bytes = bytesOf(delta)
+    const chain = chains.get(key) ?? { steps: [], bytes: 0, whole: encodedSizeOf(after.value) }
+    const bytes = encodedSizeOf(delta)
     chain.steps.push({ base: before.ballot, ballot: after.ballot, delta, bytes })
     chain.bytes += bytes
     while (chain.steps.length > MAX_KEPT_DELTAS || chain.bytes >= chain.whole) chain.bytes -= chain.steps.shift()!.bytes
@@ -53,21 +53,21 @@
     }
     return undefined
   }
-  return { taken, path }
+  return { recordAccepted: taken, deltasBetween: path }
 }
 
 /** One agent's link. has: the ballot of each register that it was told last, or said that it has; undefined: not subscribed. */
 type Listening = { node: string; num: number; acked: number; old: boolean; has: Map<string, Ballot> | undefined }
 
 export type Pushes = {
-  linked: (link: Link, peer: Hello) => void
-  lost: (link: Link) => void
+  addLink: (link: Link, peer: Hello) => void
+  removeLink: (link: Link) => void
   subscribe: (link: Link, have: [string, Ballot][]) => void
   unsubscribe: (link: Link) => void
-  acked: (link: Link, num: number) => void
+  recordAck: (link: Link, num: number) => void
   /** The register is settled at what this core holds of it. */
   push: (key: string) => void
-  nodes: () => string[]
+  linkedNodes: () => string[]
   closeAll: () => void
 }
 
@@ -95,7 +95,7 @@
     const base = listener.has?.get(key)
     if (!base) return { value }
     if (compareBallots(base, entry.ballot) >= 0) return undefined
-    const deltas = chains.path(key, base, entry.ballot)
+    const deltas = chains.deltasBetween(key, base, entry.ballot)
     return deltas ? { base, deltas } : { value }
   }
   function tell(link: Link, listener: Listening, key: string, entry: RegisterEntry): void {
@@ -140,5 +140,5 @@
   function closeAll(): void {
     for (const link of agents.keys()) link.close()
   }
-  return { linked, lost, subscribe, unsubscribe, acked, push, nodes, closeAll }
+  return { addLink: linked, removeLink: lost, subscribe, unsubscribe, recordAck: acked, push, linkedNodes: nodes, closeAll }
 }
--- a/packages/register/src/refill.ts
+++ b/packages/register/src/refill.ts
@@ -37,7 +37,7 @@
   const answeredIds = new Set<string>()
   const keys = new Set<string>()
   let highestNumber = 0
-  for (const { id, val: answer } of await gatherQuorum(world, pendingAnswers, quorum, isKeysAnswer, ROUND_TIMEOUT_MS)) {
+  for (const { id, answer: answer } of await gatherQuorum(world, pendingAnswers, quorum, isKeysAnswer, ROUND_TIMEOUT_MS)) {
     if (!isKeysAnswer(answer)) continue
     answeredIds.add(id)
     for (const key of answer.keys) keys.add(key)
--- a/packages/register/src/renewals.ts
+++ b/packages/register/src/renewals.ts
@@ -2,7 +2,7 @@
 import { makeChangeTable } from './core-view.js'
 import type { Leases } from './leases.js'
 import {
-  signStatus,
+  statusFingerprintOf,
   type RegisterSummary,
   type MemberEntry,
   type LeaseRenewal,
@@ -26,7 +26,7 @@
   const count = { at: 0 }
   const keyTable = makeChangeTable(count, signKey)
   const memberTable = makeChangeTable(count, signMember)
-  const instanceTable = makeChangeTable(count, signStatus)
+  const instanceTable = makeChangeTable(count, statusFingerprintOf)
 
   // tallied: the revision of members and instances that the tables hold; they are walked only where it changed.
   let tallied = -1
--- a/packages/register/src/values.ts
+++ b/packages/register/src/values.ts
@@ -11,7 +11,7 @@
  * The value that an answer or a push stands for, to one who holds this: the same, what deltas make of it, or one told whole.
  * Undefined: it builds on something else, or doesn't fit.
  */
-export function valueOf(told: unknown, held: HeldValue | undefined): RegisterValue | undefined {
+export function resolveValue(told: unknown, held: HeldValue | undefined): RegisterValue | undefined {
   const word = told as { ballot: Ballot; same?: true; value?: unknown }
   if (word.same === true) return held && compareBallots(held.ballot, word.ballot) === 0 ? held.value : undefined
   const deltas = readAs(Deltas, told)
--- a/packages/table-cache/src/admission-watch.ts
+++ b/packages/table-cache/src/admission-watch.ts
@@ -1,12 +1,12 @@
 import type { World } from '@claynotch/base'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 import { admit, barredOf } from './lock-record.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
 
 /** Lets readers that were barred serve again once they hold the present version. */
 export type AdmissionWatch<T> = {
   /** Takes a value that was committed, and admits who is back. */
-  look: (value: TableValue<T>) => Promise<void>
+  admitReturned: (value: TableValue<T>) => Promise<void>
 }
 
 /**
@@ -33,7 +33,7 @@
     if (!absent) return
     function isBack(reader: string): boolean {
       const at = suspendedAt.get(reader)
-      if (at !== undefined && !hasPassed(world.now() - at, 2 * lock.readLeaseMs)) return false
+      if (at !== undefined && !hasExpired(world.now() - at, 2 * lock.readLeaseMs)) return false
       return !absent!.includes(reader)
     }
     const back = barredOf(lock).filter(isBack)
@@ -44,5 +44,5 @@
     }
     await store.change(edit)
   }
-  return { look }
+  return { admitReturned: look }
 }
--- a/packages/table-cache/src/lock-record.ts
+++ b/packages/table-cache/src/lock-record.ts
@@ -1,6 +1,6 @@
 import { Err, Ok, type Result } from '@claynotch/base'
 import * as t from 'io-ts'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 
 /**
  * The lock record of one table, and what the five operations make of it. All are pure: the store commits what they return in
@@ -146,6 +146,6 @@
 export function cleanOrphanLock(record: LockRecord, token: number, elapsedMs: number): Result<LockRecord, LockRefusal> {
   if (record.lockType !== 'WRITE') return Err('not locked')
   if (record.token !== token) return Err('held by another')
-  if (!hasPassed(elapsedMs, record.leaseMs)) return Err('lease still runs')
+  if (!hasExpired(elapsedMs, record.leaseMs)) return Err('lease still runs')
   return Ok(unlocked(record))
 }
--- a/packages/table-cache/src/orphan-watch.ts
+++ b/packages/table-cache/src/orphan-watch.ts
@@ -1,12 +1,12 @@
 import type { World } from '@claynotch/base'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 import { cleanOrphanLock } from './lock-record.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
 
 /** Clears a write lock whose holder let its lease pass. */
 export type OrphanWatch<T> = {
   /** Takes a value that was committed. */
-  see: (value: TableValue<T>) => void
+  observe: (value: TableValue<T>) => void
   /** Clears the lock that was seen last if its lease has passed; whether it is cleared. */
   clearIfDue: () => Promise<boolean>
 }
@@ -22,7 +22,7 @@
   }
   async function clearIfDue(): Promise<boolean> {
     const orphan = seen
-    if (!orphan || !hasPassed(world.now() - orphan.at, orphan.leaseMs)) return false
+    if (!orphan || !hasExpired(world.now() - orphan.at, orphan.leaseMs)) return false
     let isCleared = false
     function edit({ lock, table }: TableValue<T>): ReturnType<TableEdit<T>> {
       const cleared = cleanOrphanLock(lock, orphan!.token, world.now() - orphan!.at)
@@ -35,5 +35,5 @@
     if (isCleared) world.log.warn('orphan-lock-cleared', { table: committed.value.lock.tid, token: orphan.token })
     return isCleared
   }
-  return { see, clearIfDue }
+  return { observe: see, clearIfDue }
 }
--- a/packages/table-cache/src/reader.ts
+++ b/packages/table-cache/src/reader.ts
@@ -11,7 +11,7 @@
  */
 export type TableReader<T> = {
   /** Takes a value that was committed, as pushes bring it. */
-  hear: (value: TableValue<T>) => void
+  applyCommitted: (value: TableValue<T>) => void
   /** LockForRead and RenewLease: one read of a majority; whether the lease was extended. */
   renew: () => Promise<boolean>
   /** Runs this with the table at once where the lease holds now; undefined where it doesn't. Nothing of the table outlives it. */
@@ -66,5 +66,5 @@
     if (!held || !mayServe(held.lock, name, leaseEndsAt, world.now())) return undefined
     return use(held.table, held.version)
   }
-  return { hear, renew, serve }
+  return { applyCommitted: hear, renew, serve }
 }
--- a/packages/table-cache/src/writer.ts
+++ b/packages/table-cache/src/writer.ts
@@ -8,7 +8,7 @@
   TABLE_CHANGE_TIMEOUT_MS,
   type World,
 } from '@claynotch/base'
-import { hasPassed } from './lease-times.js'
+import { hasExpired } from './lease-times.js'
 import { barredOf, isHeldBy, lockForWrite, suspend, withClaim, writeAndUnlock } from './lock-record.js'
 import { makeOrphanWatch } from './orphan-watch.js'
 import type { TableEdit, TableStore, TableValue } from './table-store.js'
@@ -17,10 +17,10 @@
  * What a change comes to on a table: its verdict, and the table that it makes; none where it changes nothing. isNote: readers
  * work by both tables alike, so it is written without the lock.
  */
-export type Judgement<T, V> = { verdict: V; table?: T; isNote?: boolean }
+export type ChangeResult<T, V> = { verdict: V; table?: T; needsNoLock?: boolean }
 
 /** Pure, and asked anew for each table: it finds its own earlier effect and says then what it said before. */
-export type TableChange<T, V> = (table: T) => Judgement<T, V>
+export type TableChange<T, V> = (table: T) => ChangeResult<T, V>
 
 /** What a writer needs of its node. */
 export type WriterView<T> = {
@@ -28,7 +28,7 @@
   name: string
   store: TableStore<T>
   /** Readers that may hold a lease and didn't acknowledge this version or a later one; undefined: not all are known. */
-  missing: (version: number) => Promise<string[] | undefined>
+  unacknowledgedReaders: (version: number) => Promise<string[] | undefined>
 }
 
 /**
@@ -43,7 +43,7 @@
 }
 
 /** One change that has no verdict yet. settle: the verdict of the last judging stands. */
-type Pending<T> = { judge: (table: T) => Judgement<T, unknown>; settle: () => void; drop: () => void; endsAt: number }
+type Pending<T> = { judge: (table: T) => ChangeResult<T, unknown>; settle: () => void; drop: () => void; endsAt: number }
 
 /** A lock that this writer holds. since: local time (ms) at which it knew it committed. */
 type HeldLock<T> = { holder: string; value: TableValue<T>; since: number }
@@ -66,7 +66,7 @@
 
   function pendingOf<V>(change: TableChange<T, V>, done: (verdict: V | undefined) => void): Pending<T> {
     let verdict: V | undefined
-    function judge(table: T): Judgement<T, V> {
+    function judge(table: T): ChangeResult<T, V> {
       const judgement = change(table)
       verdict = judgement.verdict
       return judgement
@@ -97,11 +97,11 @@
     const asked = [...pending]
     const now = await store.read()
     if (!now) return false
-    orphans.see(now)
+    orphans.observe(now)
     const idle: Pending<T>[] = []
     const notes: Pending<T>[] = []
     for (const one of asked) {
-      const { table, isNote } = one.judge(now.table)
+      const { table, needsNoLock: isNote } = one.judge(now.table)
       if (table === undefined) idle.push(one)
       else if (isNote) notes.push(one)
     }
@@ -117,7 +117,7 @@
       for (const one of notes) {
         const judgement = one.judge(next)
         // The table changed meanwhile, and this one would now change it too.
-        if (judgement.table !== undefined && !judgement.isNote) continue
+        if (judgement.table !== undefined && !judgement.needsNoLock) continue
         next = judgement.table ?? next
         written.push(one)
       }
@@ -136,7 +136,7 @@
     const { claim } = lock
     if (!claim || claim.holder.startsWith(`${view.name}#`)) return false
     if (claimed?.holder !== claim.holder || claimed.leaseMs !== claim.leaseMs) claimed = { ...claim, at: world.now() }
-    return !hasPassed(world.now() - claimed.at, claim.leaseMs)
+    return !hasExpired(world.now() - claimed.at, claim.leaseMs)
   }
   /** A version that changes nothing but the lock: the claim, and these readers suspended. */
   async function commitClaim(
@@ -152,7 +152,7 @@
     }
     const committed = await store.change(edit)
     if (!committed.done) return undefined
-    orphans.see(committed.value)
+    orphans.observe(committed.value)
     return isFree ? { value: committed.value, since: world.now() } : undefined
   }
   /**
@@ -169,8 +169,8 @@
       return !excluded.includes(reader)
     }
     for (;;) {
-      if (hasPassed(world.now() - since, readLeaseMs)) return []
-      const missing = (await view.missing(value.version))?.filter(isNotExcluded)
+      if (hasExpired(world.now() - since, readLeaseMs)) return []
+      const missing = (await view.unacknowledgedReaders(value.version))?.filter(isNotExcluded)
       if (missing?.length === 0) return []
       if (world.now() - since >= waitMs) return missing
       await pause(world, pollMs)
@@ -207,12 +207,12 @@
     const committed = await store.change(edit)
     if (!committed.done) return undefined
     const { value } = committed
-    orphans.see(value)
+    orphans.observe(value)
     return isHeldBy(value.lock, holder) ? { holder, value, since: world.now() } : undefined
   }
   /** Change and unlock in one: what the pending changes make of the table, or the table as it is to give the lock back. */
   async function unlock({ holder, value }: HeldLock<T>, changes: Pending<T>[]): Promise<boolean> {
-    const missing = barredOf(value.lock).length > 0 ? await view.missing(value.version) : []
+    const missing = barredOf(value.lock).length > 0 ? await view.unacknowledgedReaders(value.version) : []
     let isHeld = false
     function edit(now: TableValue<T>): ReturnType<TableEdit<T>> {
       const unlocked = writeAndUnlock(now.lock, holder, value.lock.token, missing)
@@ -224,7 +224,7 @@
     }
     const committed = await store.change(edit)
     if (!committed.done) return false
-    orphans.see(committed.value)
+    orphans.observe(committed.value)
     return isHeld
   }
   async function attempt(patienceMs: number): Promise<AttemptEnd> {
