--- a/packages/fleet/src/areas.ts
+++ b/packages/fleet/src/areas.ts
@@ -1,6 +1,6 @@
-import { indexOf, leaderIndex, pick, recordOf, wait, type Scenario } from './harm.js'
+import { instanceIndex, leaderIndex, randomIndex, newestGroupRecord, wait, type Scenario } from './harm.js'
 import type { Machine, Proc } from './sim.js'
-import type { Mix } from './requester.js'
+import type { WorkloadOperation } from './requester.js'
 import type { Box, Shape, SimFleet } from './simfleet.js'
 
 // Scenarios of whole areas, of processes that are slow rather than dead, and of several failures that meet.
@@ -28,7 +28,7 @@
 }
 // Everything in an area is gone at once: dark, or without power as well; later it is back.
 async function areaLost(f: SimFleet, notes: Map<string, number>): Promise<void> {
-  const area = f.shape.areas[pick(f, f.shape.areas.length)]
+  const area = f.shape.areas[randomIndex(f, f.shape.areas.length)]
   await placeLeader(f, area, notes)
   const gone = machinesOf(f, area)
   const power = f.sim.random() < 0.5
@@ -52,7 +52,7 @@
 }
 // An area is cut off from the others while the requesters inside go on.
 async function areaCut(f: SimFleet, notes: Map<string, number>): Promise<void> {
-  const area = f.shape.areas[pick(f, f.shape.areas.length)]
+  const area = f.shape.areas[randomIndex(f, f.shape.areas.length)]
   await placeLeader(f, area, notes)
   const inside = machinesOf(f, area)
   const rest: Machine[] = []
@@ -65,19 +65,19 @@
 }
 // Processes of ours that stop for 50 to 900 ms again and again, disks fifty times slower: nobody is dead, so no leader is replaced.
 async function slowed(f: SimFleet, notes: Map<string, number>): Promise<void> {
-  const holder = recordOf(f)?.holder
+  const holder = newestGroupRecord(f)?.holder
   const front = f.fronts.find(isHolder) ?? f.fronts[0]
   function isHolder(x: { node: string }): boolean {
     return x.node === holder
   }
   const picks: [string, Proc[]][] = [
-    ['a proxy', [f.fronts[pick(f, f.fronts.length)].proxyProc]],
+    ['a proxy', [f.fronts[randomIndex(f, f.fronts.length)].proxyProc]],
     ['the agent that holds the duty', [front.agentProc]],
     ['one core', [f.cores[0].proc]],
     ['two cores', [f.cores[1].proc, f.cores[3].proc]],
     ['an agent and its proxy', [front.agentProc, front.proxyProc]],
   ]
-  const [what, procs] = picks[pick(f, picks.length)]
+  const [what, procs] = picks[randomIndex(f, picks.length)]
   notes.set(what, 1)
   const before = f.promotions.length
   const skip = f.events.length
@@ -116,7 +116,7 @@
   }
   // One machine's proxy goes on, and with it the transactions that are open there: some read in one for a minute, at the
   // follower of that machine's area, as reads stay near.
-  const kept = one === lead ? pick(f, f.fronts.length) : one
+  const kept = one === lead ? randomIndex(f, f.fronts.length) : one
   f.addRequesters(longWatch, LONG_WATCHERS, 100, { nodes: [f.fronts[kept].listen], isUnmeasured: true })
   await wait(f, 2000)
   void f.instanceHosts[one].instance?.leave()
@@ -149,7 +149,7 @@
 // Fewer than the connections that one machine has to an instance, so that others are served there too.
 const LONG_WATCHERS = 4
 const WATCHERS = 8
-const watchMix: Mix = {
+const watchMix: WorkloadOperation = {
   kind: 'watch',
   lane: 'cal-g1',
   group: 'g1',
@@ -158,8 +158,8 @@
   within: 1500,
   own: false,
 }
-const longWatch: Mix[] = [
-  { kind: 'long watch', lane: 'cal-g1', group: 'g1', op: 'watch', weight: 1, within: 1500, own: false, looks: 64 },
+const longWatch: WorkloadOperation[] = [
+  { kind: 'long watch', lane: 'cal-g1', group: 'g1', op: 'watch', weight: 1, within: 1500, own: false, readCount: 64 },
 ]
 // A follower stops receiving while the leader dies and the agent that holds the duty is being restarted.
 async function threeAtOnce(f: SimFleet): Promise<void> {
@@ -169,7 +169,7 @@
   await wait(f, 500 + 2500 * f.sim.random())
   f.killInstance(lead)
   await wait(f, 3500 * f.sim.random())
-  const holder = recordOf(f)?.holder
+  const holder = newestGroupRecord(f)?.holder
   for (const [k, x] of f.fronts.entries()) {
     if (x.node !== holder) continue
     f.sim.kill(x.agentProc)
@@ -183,20 +183,20 @@
 // A planned replacement whose target fails at some point of it.
 async function targetFails(f: SimFleet, notes: Map<string, number>): Promise<void> {
   const lead = leaderIndex(f, 'g1')
-  const to = f.instanceHosts[(lead + 1 + pick(f, 2)) % 3]
-  const phase = ['drain', 'stop', 'promote'][pick(f, 3)]
-  const epoch = recordOf(f)?.epoch ?? 0
+  const to = f.instanceHosts[(lead + 1 + randomIndex(f, 2)) % 3]
+  const phase = ['drain', 'stop', 'promote'][randomIndex(f, 3)]
+  const epoch = newestGroupRecord(f)?.epoch ?? 0
   f.ask(0, '/groups/g1/replacement', 'POST', { to: to.name })
   function there(): boolean {
-    const rec = recordOf(f)
+    const rec = newestGroupRecord(f)
     return rec?.phase === phase || (rec?.phase === 'steady' && rec.epoch > epoch)
   }
   await f.sim.until(there, 10000)
-  notes.set(`the target fails in ${recordOf(f)?.phase}`, 1)
-  if (f.sim.random() < 0.5) f.killInstance(indexOf(f, to))
+  notes.set(`the target fails in ${newestGroupRecord(f)?.phase}`, 1)
+  if (f.sim.random() < 0.5) f.killInstance(instanceIndex(f, to))
   else to.machine.dark = true
   await wait(f, 18000)
-  const rec = recordOf(f)
+  const rec = newestGroupRecord(f)
   if (rec?.phase !== 'steady')
     f.watchBreaches.push({
       rule: 'unfinished',
@@ -230,35 +230,35 @@
 }
 
 export const areas: Scenario[] = [
-  { name: 'area-lost', long: true, rule: 'a whole area lost at once', shape: fourFronts, harm: areaLost },
+  { name: 'area-lost', long: true, rule: 'a whole area lost at once', shape: fourFronts, injectFaults: areaLost },
   {
     name: 'area-cut',
     long: true,
     rule: 'an area cut off while requesters inside go on',
     shape: fourFronts,
-    harm: areaCut,
+    injectFaults: areaCut,
   },
   {
     name: 'slowed',
     long: true,
     rule: 'our processes slowed, not stopped: service goes on and no leader is replaced',
-    harm: slowed,
+    injectFaults: slowed,
   },
   {
     name: 'leaving-through',
     long: true,
     rule: '7 s from the first notice, over restarts and joins',
     shape: watching,
-    harm: leavingThrough,
+    injectFaults: leavingThrough,
   },
   {
     name: 'three-at-once',
     long: true,
     rule: 'a deaf follower, a dead leader and a restarted holder at once',
-    harm: threeAtOnce,
+    injectFaults: threeAtOnce,
   },
-  { name: 'target-fails', long: true, rule: 'a planned replacement whose target fails', harm: targetFails },
-  { name: 'lossy-day', long: true, rule: 'packet loss for a whole run', harm: lossyDay },
+  { name: 'target-fails', long: true, rule: 'a planned replacement whose target fails', injectFaults: targetFails },
+  { name: 'lossy-day', long: true, rule: 'packet loss for a whole run', injectFaults: lossyDay },
 ]
 // Those that go with others in one fleet.
 export const mixable = [areaLost, areaCut, leavingThrough, threeAtOnce, targetFails]
--- a/packages/fleet/src/days.ts
+++ b/packages/fleet/src/days.ts
@@ -1,4 +1,4 @@
-import { pick, wait, type Scenario } from './harm.js'
+import { randomIndex, wait, type Scenario } from './harm.js'
 import type { SimFleet } from './simfleet.js'
 
 // A day of operators, more streams and changes than are kept in full, and then a final fault: whatever was told accepted is read
@@ -17,7 +17,7 @@
       expect: way === 1 ? 0 : epoch,
       edits: [{ op: 'proxies', value: way === 2 ? 40 : 4 + (k % 2) }],
     }
-    const sent = f.change(pick(f, f.fronts.length), stream, [line])
+    const sent = f.change(randomIndex(f, f.fronts.length), stream, [line])
     await f.sim.until(sent.done, 15000)
     const told = sent.out()[0]
     if (told.decision !== (way === 0 ? 'accepted' : 'refused'))
@@ -33,7 +33,7 @@
   await wait(f, 500)
   for (let k = 0; k < f.cores.length; k++) f.startCoreAt(k)
   await wait(f, 3000)
-  for (const k of [pick(f, 2), 2 + pick(f, 3)]) {
+  for (const k of [randomIndex(f, 2), 2 + randomIndex(f, 3)]) {
     f.sim.kill(f.cores[k].proc)
     f.cores[k].machine.files.clear()
     f.startCoreAt(k)
@@ -48,8 +48,8 @@
       f.watchBreaches.push({ rule: 'repair', what: `${f.cores[k].id} was not refilled in 20 s` })
   }
   for (let k = 0; k < 12; k++) {
-    const one = firsts[pick(f, firsts.length)]
-    const sent = f.change(pick(f, f.fronts.length), one.stream, [one.line])
+    const one = firsts[randomIndex(f, firsts.length)]
+    const sent = f.change(randomIndex(f, f.fronts.length), one.stream, [one.line])
     await f.sim.until(sent.done, 15000)
     const told = sent.out()[0]
     if (told.decision !== 'accepted' || told.epoch !== one.epoch)
@@ -65,5 +65,5 @@
 }
 
 export const days: Scenario[] = [
-  { name: 'day-ends', long: true, rule: "every acknowledged change is read back at day's end", harm: dayEnds },
+  { name: 'day-ends', long: true, rule: "every acknowledged change is read back at day's end", injectFaults: dayEnds },
 ]
--- a/packages/fleet/src/harm.ts
+++ b/packages/fleet/src/harm.ts
@@ -26,11 +26,11 @@
   calm?: boolean
   long?: boolean
   reads?: boolean
-  harm: (f: SimFleet, notes: Map<string, number>) => Promise<void>
+  injectFaults: (f: SimFleet, notes: Map<string, number>) => Promise<void>
 }
 
 /** The index of an instance in the fleet, or -1. */
-export function indexOf(fleet: SimFleet, box: { name: string } | undefined): number {
+export function instanceIndex(fleet: SimFleet, box: { name: string } | undefined): number {
   for (const [index, candidate] of fleet.instanceHosts.entries()) if (candidate === box) return index
   return -1
 }
@@ -39,17 +39,17 @@
   return fleet.sim.run(fleet.sim.now() + ms)
 }
 /** A random integer from 0 to `count` - 1, from the simulation's seeded source. */
-export function pick(fleet: SimFleet, count: number): number {
+export function randomIndex(fleet: SimFleet, count: number): number {
   return Math.floor(fleet.sim.random() * count)
 }
 /** The index of the group's leader. */
 export function leaderIndex(fleet: SimFleet, group: string): number {
   // Falls back to the first instance where the group has no leader at the moment.
-  return Math.max(0, indexOf(fleet, fleet.leaderOf(group)))
+  return Math.max(0, instanceIndex(fleet, fleet.leaderOf(group)))
 }
 
 /** The newest value of a register that any running agent holds. */
-export function newestOf(fleet: SimFleet, key: string): unknown {
+export function newestRegisterValue(fleet: SimFleet, key: string): unknown {
   let best: { turn: number; body: unknown } | undefined
   for (const front of fleet.fronts) {
     const cell = front.agentProc.state === 'up' ? front.agent?.register(key) : undefined
@@ -58,6 +58,6 @@
   return best?.body
 }
 /** The newest record of a group that any running agent holds. */
-export function recordOf(fleet: SimFleet, group = 'g1'): GroupRecord | undefined {
-  return newestOf(fleet, `group/${group}`) as GroupRecord | undefined
+export function newestGroupRecord(fleet: SimFleet, group = 'g1'): GroupRecord | undefined {
+  return newestRegisterValue(fleet, `group/${group}`) as GroupRecord | undefined
 }
--- a/packages/fleet/src/judge.ts
+++ b/packages/fleet/src/judge.ts
@@ -12,7 +12,7 @@
  * A lane's rule from a time on, set by an accepted change; `group` undefined: the lane was dropped. `fenced`: a move
  * switched the lane to the group, so no write may succeed in the other group once one has succeeded in this one.
  */
-export type Law = {
+export type LaneRule = {
   lane: string
   from: number
   group: string | undefined
@@ -40,15 +40,15 @@
  * Checks all events. `apart`: each group holds its own data, so that a read in one group need not see writes of
  * another.
  */
-export function judge(events: Event[], records: InstanceRecord[], laws: Law[] = [], apart = false): Judgement {
+export function judge(events: Event[], records: InstanceRecord[], laws: LaneRule[] = [], apart = false): Judgement {
   const breaches: Breach[] = []
   const lost = new Set<string>()
-  const rulesByLane = new Map<string, Law[]>()
+  const rulesByLane = new Map<string, LaneRule[]>()
   for (const rule of laws) rulesByLane.set(rule.lane, [...(rulesByLane.get(rule.lane) ?? []), rule])
   /** The rules that work between two times may follow: those in force then, and those replaced just before. */
-  function rulesInForce(lane: string, from: number, to: number): Law[] {
+  function rulesInForce(lane: string, from: number, to: number): LaneRule[] {
     const rules = rulesByLane.get(lane) ?? []
-    const inForce: Law[] = []
+    const inForce: LaneRule[] = []
     for (const [index, rule] of rules.entries()) {
       const next = rules[index + 1]
       if (rule.from <= to && (!next || next.from + REPLACED_RULE_GRACE_MS >= from)) inForce.push(rule)
--- a/packages/fleet/src/lanes.ts
+++ b/packages/fleet/src/lanes.ts
@@ -1,6 +1,6 @@
 import { dutyHolderOf } from '@claynotch/failover'
 import type { ConfigurationBody, Config, Move } from '@claynotch/operator'
-import { leaderIndex, newestOf, pick, wait, type Scenario } from './harm.js'
+import { leaderIndex, newestRegisterValue, randomIndex, wait, type Scenario } from './harm.js'
 import { lawOf, smallShape, type Decided, type Shape, type SimFleet } from './simfleet.js'
 
 /**
@@ -20,7 +20,7 @@
 export async function changeLane(fleet: SimFleet, name: string, next: Lane | undefined): Promise<void> {
   const changeNumber = fleet.operatorDecisions.length
   const edits = next ? [{ op: 'put', what: 'lane', value: next }] : [{ op: 'drop', what: 'lane', name }]
-  const sent = fleet.change(pick(fleet, fleet.fronts.length), `lanes${changeNumber}`, [
+  const sent = fleet.change(randomIndex(fleet, fleet.fronts.length), `lanes${changeNumber}`, [
     { number: 1, expect: latestAcceptedEpoch(fleet), edits },
   ])
   await fleet.sim.until(sent.done, 15000)
@@ -51,7 +51,7 @@
  */
 async function lanesChanged(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
   for (let k = 0; k < 3; k++) {
-    const name = ['book-g1', 'dep-g1', 'cal-g1'][pick(fleet, 3)]
+    const name = ['book-g1', 'dep-g1', 'cal-g1'][randomIndex(fleet, 3)]
     const original = currentLane(fleet, name)
     const changes: [string, Lane | undefined][] = [
       ['moved', { ...original, group: 'g2' }],
@@ -59,7 +59,7 @@
       ['tightened', { ...original, reads: 'leader' }],
     ]
     if (original.reads !== 'leader') changes.push(['own bound', { ...original, reads: { within: 1000, own: true } }])
-    const [way, next] = changes[pick(fleet, changes.length)]
+    const [way, next] = changes[randomIndex(fleet, changes.length)]
     const deadIndex = fleet.sim.random() < 0.5 ? leaderIndex(fleet, 'g1') : -1
     notes.set(`${name} ${way}${deadIndex >= 0 ? ' in a promotion' : ''}`, 1)
     if (deadIndex >= 0) {
@@ -124,11 +124,11 @@
 }
 /** The newest value of the configuration register that any agent holds. */
 function currentConfiguration(fleet: SimFleet): ConfigurationBody | undefined {
-  return newestOf(fleet, 'configuration') as ConfigurationBody | undefined
+  return newestRegisterValue(fleet, 'configuration') as ConfigurationBody | undefined
 }
 /** Sends a change and returns its decision. */
 async function sendChange(fleet: SimFleet, stream: string, edits: unknown[]): Promise<Decided> {
-  const sent = fleet.change(pick(fleet, fleet.fronts.length), stream, [
+  const sent = fleet.change(randomIndex(fleet, fleet.fronts.length), stream, [
     { number: fleet.operatorDecisions.length + 1, expect: currentConfiguration(fleet)?.epoch ?? 0, edits },
   ])
   await fleet.sim.until(sent.done, 15000)
@@ -242,7 +242,7 @@
 async function moveHarmed(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
   const phases = ['copy', 'ease', 'drain', 'quiet', 'held']
   const harms = harmsOf(fleet)
-  await moveWithHarm(fleet, notes, phases[pick(fleet, phases.length)], harms[pick(fleet, harms.length)])
+  await moveWithHarm(fleet, notes, phases[randomIndex(fleet, phases.length)], harms[randomIndex(fleet, harms.length)])
 }
 /** A proxy applies the last phase before the switch, and is partitioned so that it doesn't learn of the switch. */
 async function moveDeaf(fleet: SimFleet, notes: Map<string, number>): Promise<void> {
@@ -297,7 +297,7 @@
   }
   /** Partitions a proxy from the cores and other nodes; its clients and both groups stay reachable. */
   function proxyDeaf(): void {
-    const frontIndex = pick(f, f.fronts.length)
+    const frontIndex = randomIndex(f, f.fronts.length)
     // The delay of up to 30 ms lets some proxies apply the phase before the partition.
     f.sim.at(30 * f.sim.random(), cut)
     function cut(): void {
@@ -307,7 +307,7 @@
     }
   }
   function proxySleeps(): void {
-    const { proxyProc } = f.fronts[pick(f, f.fronts.length)]
+    const { proxyProc } = f.fronts[randomIndex(f, f.fronts.length)]
     f.sim.freeze(proxyProc)
     f.sim.at(1000 + 7000 * f.sim.random(), thaw)
     function thaw(): void {
@@ -315,7 +315,7 @@
     }
   }
   function agentSilent(): void {
-    const { agentProc } = f.fronts[pick(f, f.fronts.length)]
+    const { agentProc } = f.fronts[randomIndex(f, f.fronts.length)]
     f.sim.freeze(agentProc)
     f.sim.at(3000 + 6000 * f.sim.random(), thaw)
     function thaw(): void {
@@ -364,7 +364,7 @@
     long: true,
     rule: 'no call, session or transaction goes by a rule replaced over 3 s ago',
     shape: twoSeparateGroups,
-    harm: lanesChanged,
+    injectFaults: lanesChanged,
   },
   {
     name: 'move',
@@ -372,7 +372,7 @@
     calm: true,
     rule: 'a move of lanes drops no answer and misses no write',
     shape: twoSidesShortTransactions,
-    harm: moveCalm,
+    injectFaults: moveCalm,
   },
   {
     name: 'move-lagging',
@@ -380,20 +380,20 @@
     calm: true,
     rule: "a session's own writes of before a move are not missed after it",
     shape: twoLagging,
-    harm: moveLagging,
+    injectFaults: moveLagging,
   },
   {
     name: 'move-deaf',
     long: true,
     rule: 'no read of the old side once the new one took a write',
     shape: oneWayCopy,
-    harm: moveDeaf,
+    injectFaults: moveDeaf,
   },
   {
     name: 'move-harmed',
     long: true,
     rule: 'no write on both sides of a move, none missed after it, whatever fails',
     shape: twoSides,
-    harm: moveHarmed,
+    injectFaults: moveHarmed,
   },
 ]
--- a/packages/fleet/src/local.ts
+++ b/packages/fleet/src/local.ts
@@ -44,7 +44,7 @@
 }
 
 /** A loopback address with a free port. */
-export async function freeAddr(): Promise<Address> {
+export async function freeAddress(): Promise<Address> {
   return `127.0.0.1:${await findFreePort()}`
 }
 
@@ -254,7 +254,7 @@
             id: k,
             nodes,
             mixes: profile.mixes,
-            think: thinkMs,
+            thinkMs: thinkMs,
             keys: 400,
             again: false,
             until: never,
--- a/packages/fleet/src/profile.ts
+++ b/packages/fleet/src/profile.ts
@@ -1,5 +1,5 @@
 import type { Config } from '@claynotch/operator'
-import type { Mix } from './requester.js'
+import type { WorkloadOperation } from './requester.js'
 
 /** Fleet profiles of the two reference deployments: size, workload and configuration. */
 
@@ -14,7 +14,7 @@
   connections: number
   sessions: number
   rate: number
-  mixes: Mix[]
+  mixes: WorkloadOperation[]
   config: Config
 }
 
@@ -32,9 +32,16 @@
 /** Every operation once for each group, its weight divided among the groups. */
 function mixesOf(
   groups: string[],
-  templates: { kind: string; lane: string; op: Mix['op']; weight: number; within: number; own: boolean }[],
-): Mix[] {
-  const groupMixes: Mix[] = []
+  templates: {
+    kind: string
+    lane: string
+    op: WorkloadOperation['op']
+    weight: number
+    within: number
+    own: boolean
+  }[],
+): WorkloadOperation[] {
+  const groupMixes: WorkloadOperation[] = []
   for (const group of groups)
     for (const mix of templates)
       groupMixes.push({
--- a/packages/fleet/src/requester.ts
+++ b/packages/fleet/src/requester.ts
@@ -35,7 +35,7 @@
 }
 
 /** One kind of operation in a client's workload, chosen with the probability `weight` / total weight. */
-export type Mix = {
+export type WorkloadOperation = {
   kind: string
   lane: string
   group: string
@@ -44,21 +44,21 @@
   within: number
   own: boolean
   /** Reads of one 'watch' transaction; 10 unless given. */
-  looks?: number
+  readCount?: number
 }
 
 /** Settings of a client. `think`: mean pause between operations, ms. `again`: retries failed operations. */
 export type RequesterSettings = {
   id: number
   nodes: Address[]
-  mixes: Mix[]
-  think: number
+  mixes: WorkloadOperation[]
+  thinkMs: number
   keys: number
   again: boolean
   until: () => boolean
   note: (e: Event) => void
   /** Called for each pause that the client makes inside a transaction; times in ms of its clock. */
-  rested?: (span: TimeSpan) => void
+  onTransactionPause?: (span: TimeSpan) => void
 }
 
 /** The body of a node's answer, or the outcome `none` where no answer arrived. */
@@ -75,7 +75,7 @@
 }
 
 /** Suffix of an event's kind that marks one read inside a read-only transaction. */
-export const LOOK_SUFFIX = ' look'
+export const TRANSACTION_READ_SUFFIX = ' look'
 /** Reads in one read-only transaction, with pauses between them. */
 const WATCH_READS = 10
 const BROWSE_READS = 2
@@ -106,7 +106,7 @@
   async function pauseInTransaction(ms: number): Promise<void> {
     const from = world.now()
     await pause(world, ms, stop)
-    settings.rested?.({ from, to: world.now() })
+    settings.onTransactionPause?.({ from, to: world.now() })
   }
   /** Closes the connection, drops all sessions and picks another node at random. */
   function moveToOtherNode(): void {
@@ -116,7 +116,7 @@
     nodeIndex = (nodeIndex + 1 + Math.floor(world.random() * (settings.nodes.length - 1))) % settings.nodes.length
   }
   /** Returns the session of the lane, opened on first use; moves to another node where that fails. */
-  async function sessionFor(mix: Mix): Promise<string | undefined> {
+  async function sessionFor(mix: WorkloadOperation): Promise<string | undefined> {
     const existing = sessions.get(mix.lane)
     if (existing !== undefined) return existing
     const created = await call('POST', '/sessions', {
@@ -132,7 +132,7 @@
     sessions.set(mix.lane, created.session)
     return created.session
   }
-  function pickMix(): Mix {
+  function pickMix(): WorkloadOperation {
     let totalWeight = 0
     for (const mix of settings.mixes) totalWeight += mix.weight
     let remaining = world.random() * totalWeight
@@ -143,7 +143,7 @@
     return settings.mixes[0]
   }
   /** Runs one operation and records its result; undefined where no session could be opened. */
-  async function runOperation(mix: Mix): Promise<RequestResult | undefined> {
+  async function runOperation(mix: WorkloadOperation): Promise<RequestResult | undefined> {
     const session = await sessionFor(mix)
     if (session === undefined) return undefined
     const key = `${mix.group}/k${Math.floor(world.random() * settings.keys)}`
@@ -179,7 +179,7 @@
       takeRows(result)
     } else if (mix.op === 'browse' || mix.op === 'watch') {
       // A read-only transaction with pauses between its reads; each read must meet the lane's consistency rule.
-      const readCount = mix.op === 'watch' ? (mix.looks ?? WATCH_READS) : BROWSE_READS
+      const readCount = mix.op === 'watch' ? (mix.readCount ?? WATCH_READS) : BROWSE_READS
       isWrite = false
       result = await call('POST', `${sessionPath}/begin`, { kind: 'read' })
       for (let readIndex = 0; readIndex < readCount && result.outcome === 'done'; readIndex++) {
@@ -189,7 +189,7 @@
         takeRows(result)
         if (result.outcome === 'done')
           settings.note({
-            kind: `${mix.kind}${LOOK_SUFFIX}`,
+            kind: `${mix.kind}${TRANSACTION_READ_SUFFIX}`,
             lane: mix.lane,
             group: mix.group,
             served,
@@ -293,7 +293,7 @@
     }
     return result
   }
-  await pause(world, world.random() * settings.think, stop)
+  await pause(world, world.random() * settings.thinkMs, stop)
   while (!stop.fired() && !settings.until()) {
     const mix = pickMix()
     let result = await runOperation(mix)
@@ -321,7 +321,7 @@
         (result.outcome === 'refused' && result.class !== 'ROLLED_BACK' && world.random() < 0.3))
     )
       moveToOtherNode()
-    await pause(world, settings.think * (0.5 + world.random()), stop)
+    await pause(world, settings.thinkMs * (0.5 + world.random()), stop)
   }
   connection?.close()
 }
--- a/packages/fleet/src/scenarios.ts
+++ b/packages/fleet/src/scenarios.ts
@@ -1,6 +1,6 @@
 import { areas, mixable } from './areas.js'
 import { days } from './days.js'
-import { type Outcome, pick, type Scenario, wait } from './harm.js'
+import { type Outcome, randomIndex, type Scenario, wait } from './harm.js'
 import type { Breach } from './judge.js'
 import { lanes } from './lanes.js'
 import { ackLost, lateNews, operatorsRace } from './scenarios/changes.js'
@@ -69,8 +69,8 @@
     ...mixable,
   ]
   const runs: Promise<void>[] = []
-  for (let k = f.sim.random() < 0.5 ? 2 : 3; k > 0; k--) runs.push(one(list.splice(pick(f, list.length), 1)[0]))
-  async function one(harm: Scenario['harm']): Promise<void> {
+  for (let k = f.sim.random() < 0.5 ? 2 : 3; k > 0; k--) runs.push(one(list.splice(randomIndex(f, list.length), 1)[0]))
+  async function one(harm: Scenario['injectFaults']): Promise<void> {
     notes.set(harm.name, 1)
     await wait(f, 5000 * f.sim.random())
     // What a harm of its own says of a fleet that bears another at the same time is no finding; the judge's word is.
@@ -86,74 +86,98 @@
 }
 
 export const scenarios: Scenario[] = [
-  { name: 'leader-crash', rule: 'no write twice, none resent, service back', harm: leaderCrash },
-  { name: 'leader-dark', rule: 'no write on an old leader reported done', harm: leaderDark },
-  { name: 'leader-frozen', rule: 'no write on an old leader reported done', harm: leaderFrozen },
-  { name: 'planned-replacement', calm: true, shape: far, rule: 'no answer dropped, no commit lost', harm: planned },
-  { name: 'answers-lost', rule: 'what may have reached is not sent again; no false promise', harm: answersLost },
-  { name: 'resets', rule: 'what may have reached is not sent again; no false promise', harm: resets },
-  { name: 'holder-fails', rule: 'a successor finishes the move', harm: holderKilled },
-  { name: 'drain-dark', rule: 'a planned stop drops no answer, be the leader dark', shape: busy, harm: drainDark },
-  { name: 'rolling', calm: true, rule: 'stopped and started in turn, no answer is dropped', harm: rolling },
-  { name: 'agent-restarts', calm: true, rule: 'an agent back within its term interrupts nothing', harm: agentRestarts },
-  { name: 'quick-restart', rule: 'stale connections: what may have reached is not sent again', harm: quickRestart },
-  { name: 'ack-lost', rule: 'a repeated change takes effect once', harm: ackLost },
-  { name: 'nodes-fail', rule: 'own processes killed and frozen', harm: proxiesFail },
-  { name: 'frozen-through-move', rule: 'a waking proxy looks at its term first', harm: frozenThroughMove },
-  { name: 'cuts', rule: 'one-way and two-way cuts', harm: cuts },
-  { name: 'lossy', rule: 'packet loss during a promotion', harm: lossy },
-  { name: 'deaf-follower', rule: 'no owed commit missed', harm: deafFollower },
-  { name: 'lagging-followers', rule: 'no owed commit missed', harm: laggingFollowers },
-  { name: 'cores-restart', rule: 'acknowledged configuration kept', harm: coresRestart },
-  { name: 'disk-full', rule: 'a core that can not write does not vote', calm: true, harm: diskFull },
-  { name: 'cores-emptied', rule: 'acknowledged configuration kept', harm: coreEmptied },
-  { name: 'everything-stops', rule: 'acknowledged configuration kept', harm: everythingStops },
-  { name: 'cores-cut', rule: 'no work without a term', harm: coresCut },
-  { name: 'leaving', calm: true, rule: 'no new work 7 s after the notice', harm: leaving },
-  { name: 'operators-race', calm: true, rule: 'one winner per epoch', harm: operatorsRace },
-  { name: 'drain', calm: true, rule: 'a planned stop drops no answer', harm: drained },
-  { name: 'proxy-cut-off', rule: 'the fence holds for a node that hears nothing', harm: proxyCutOff },
-  { name: 'news-cut-off', rule: 'no acknowledged configuration unheeded after 3 s', harm: newsCutOff },
-  { name: 'split', shape: busy, rule: 'no write on an old leader reported done', harm: split },
+  { name: 'leader-crash', rule: 'no write twice, none resent, service back', injectFaults: leaderCrash },
+  { name: 'leader-dark', rule: 'no write on an old leader reported done', injectFaults: leaderDark },
+  { name: 'leader-frozen', rule: 'no write on an old leader reported done', injectFaults: leaderFrozen },
+  {
+    name: 'planned-replacement',
+    calm: true,
+    shape: far,
+    rule: 'no answer dropped, no commit lost',
+    injectFaults: planned,
+  },
+  {
+    name: 'answers-lost',
+    rule: 'what may have reached is not sent again; no false promise',
+    injectFaults: answersLost,
+  },
+  { name: 'resets', rule: 'what may have reached is not sent again; no false promise', injectFaults: resets },
+  { name: 'holder-fails', rule: 'a successor finishes the move', injectFaults: holderKilled },
+  {
+    name: 'drain-dark',
+    rule: 'a planned stop drops no answer, be the leader dark',
+    shape: busy,
+    injectFaults: drainDark,
+  },
+  { name: 'rolling', calm: true, rule: 'stopped and started in turn, no answer is dropped', injectFaults: rolling },
+  {
+    name: 'agent-restarts',
+    calm: true,
+    rule: 'an agent back within its term interrupts nothing',
+    injectFaults: agentRestarts,
+  },
+  {
+    name: 'quick-restart',
+    rule: 'stale connections: what may have reached is not sent again',
+    injectFaults: quickRestart,
+  },
+  { name: 'ack-lost', rule: 'a repeated change takes effect once', injectFaults: ackLost },
+  { name: 'nodes-fail', rule: 'own processes killed and frozen', injectFaults: proxiesFail },
+  { name: 'frozen-through-move', rule: 'a waking proxy looks at its term first', injectFaults: frozenThroughMove },
+  { name: 'cuts', rule: 'one-way and two-way cuts', injectFaults: cuts },
+  { name: 'lossy', rule: 'packet loss during a promotion', injectFaults: lossy },
+  { name: 'deaf-follower', rule: 'no owed commit missed', injectFaults: deafFollower },
+  { name: 'lagging-followers', rule: 'no owed commit missed', injectFaults: laggingFollowers },
+  { name: 'cores-restart', rule: 'acknowledged configuration kept', injectFaults: coresRestart },
+  { name: 'disk-full', rule: 'a core that can not write does not vote', calm: true, injectFaults: diskFull },
+  { name: 'cores-emptied', rule: 'acknowledged configuration kept', injectFaults: coreEmptied },
+  { name: 'everything-stops', rule: 'acknowledged configuration kept', injectFaults: everythingStops },
+  { name: 'cores-cut', rule: 'no work without a term', injectFaults: coresCut },
+  { name: 'leaving', calm: true, rule: 'no new work 7 s after the notice', injectFaults: leaving },
+  { name: 'operators-race', calm: true, rule: 'one winner per epoch', injectFaults: operatorsRace },
+  { name: 'drain', calm: true, rule: 'a planned stop drops no answer', injectFaults: drained },
+  { name: 'proxy-cut-off', rule: 'the fence holds for a node that hears nothing', injectFaults: proxyCutOff },
+  { name: 'news-cut-off', rule: 'no acknowledged configuration unheeded after 3 s', injectFaults: newsCutOff },
+  { name: 'split', shape: busy, rule: 'no write on an old leader reported done', injectFaults: split },
   {
     name: 'guarded-split',
     rule: 'with a guard, what a leader takes to its grave is bounded',
     shape: guardedBusy,
-    harm: guardedSplit,
+    injectFaults: guardedSplit,
   },
-  { name: 'late-delivery', rule: 'a reply under a lapsed epoch is unknown, never done', harm: lateDelivery },
-  { name: 'late-news', rule: 'no node slips back to an older configuration', harm: lateNews },
-  { name: 'too-many', rule: 'caps hold with more machines than shares', shape: threeShares, harm: tooMany },
-  { name: 'crowd', rule: 'caps hold, new machines join', shape: crowded, harm: crowd },
-  { name: 'core-away', rule: 'what a missing core should have had is handed over', harm: coreAway },
-  { name: 'own-area', rule: 'reads stay near, and go elsewhere in need', harm: ownArea },
+  { name: 'late-delivery', rule: 'a reply under a lapsed epoch is unknown, never done', injectFaults: lateDelivery },
+  { name: 'late-news', rule: 'no node slips back to an older configuration', injectFaults: lateNews },
+  { name: 'too-many', rule: 'caps hold with more machines than shares', shape: threeShares, injectFaults: tooMany },
+  { name: 'crowd', rule: 'caps hold, new machines join', shape: crowded, injectFaults: crowd },
+  { name: 'core-away', rule: 'what a missing core should have had is handed over', injectFaults: coreAway },
+  { name: 'own-area', rule: 'reads stay near, and go elsewhere in need', injectFaults: ownArea },
   {
     name: 'homecoming',
     long: true,
     calm: true,
     rule: 'a leader lives in its home area, and is brought there once that is well',
     shape: homed,
-    harm: homecoming,
+    injectFaults: homecoming,
   },
   {
     name: 'noisy-team',
     rule: "one team's crowd doesn't starve another",
     shape: twoTeams,
     reads: false,
-    harm: noisyTeam,
+    injectFaults: noisyTeam,
   },
-  { name: 'swapped', rule: 'whole groups swapped one by one', harm: swapped },
-  { name: 'retrying-crowd', rule: 'service back though requesters retry', shape: retrying, harm: leaderCrash },
+  { name: 'swapped', rule: 'whole groups swapped one by one', injectFaults: swapped },
+  { name: 'retrying-crowd', rule: 'service back though requesters retry', shape: retrying, injectFaults: leaderCrash },
   {
     name: 'sick-leader',
     rule: 'retries summed over nodes are capped; service comes back',
     shape: retrying,
-    harm: sickLeader,
+    injectFaults: sickLeader,
   },
   ...lanes,
   ...days,
   ...areas,
-  { name: 'mixed', rule: 'all of them', harm: mixed },
+  { name: 'mixed', rule: 'all of them', injectFaults: mixed },
 ]
 
 export async function runScenario(s: Scenario, seed: number, opt: { keepLines?: boolean } = {}): Promise<Outcome> {
@@ -166,7 +190,7 @@
     f.startTraffic()
     await wait(f, 3000)
     const before = { from: f.sim.now() - 2000, to: f.sim.now() }
-    await s.harm(f, notes)
+    await s.injectFaults(f, notes)
     // Whatever the harm left behind is mended now; 12 s later service must be back above a quarter.
     f.sim.heal()
     f.sim.loss(0)
--- a/packages/fleet/src/scenarios/changes.ts
+++ b/packages/fleet/src/scenarios/changes.ts
@@ -1,4 +1,4 @@
-import { pick, wait } from '../harm.js'
+import { randomIndex, wait } from '../harm.js'
 import type { SimFleet } from '../simfleet.js'
 
 // Harm to operators' changes: lost acknowledgements, races, pushes that arrive late.
@@ -13,7 +13,7 @@
         { op: 'put', what: 'lane', value: { name: `extra${k}`, database: 'kiln', group: 'g1', reads: 'leader' } },
       ],
     }
-    const n = pick(f, f.fronts.length)
+    const n = randomIndex(f, f.fronts.length)
     const first = f.change(n, 'again', [line])
     await wait(f, 8 * f.sim.random())
     if (!first.done()) f.sim.reset(f.fronts[n].agentProc)
@@ -55,8 +55,8 @@
   // A push of an older change arrives after a newer one was applied.
   const lane = { database: 'kiln', group: 'g1', reads: 'leader' }
   for (let k = 0; k < 2; k++) {
-    const n = pick(f, f.fronts.length)
-    const c = pick(f, f.cores.length)
+    const n = randomIndex(f, f.fronts.length)
+    const c = randomIndex(f, f.cores.length)
     f.sim.cut(f.fronts[n].machine, f.cores[c].machine)
     const a = f.change((n + 1) % f.fronts.length, `late${k}`, [
       { number: 1, expect: 2 * k + 1, edits: [{ op: 'put', what: 'lane', value: { ...lane, name: `first${k}` } }] },
--- a/packages/fleet/src/scenarios/cores.ts
+++ b/packages/fleet/src/scenarios/cores.ts
@@ -1,4 +1,4 @@
-import { pick, wait } from '../harm.js'
+import { randomIndex, wait } from '../harm.js'
 import type { SimFleet } from '../simfleet.js'
 
 // Harm to cores, their disks and the way to them.
@@ -39,7 +39,7 @@
 
 export async function coresRestart(f: SimFleet): Promise<void> {
   for (let k = 0; k < f.cores.length; k++) {
-    f.change(pick(f, 3), `during${k}`, [
+    f.change(randomIndex(f, 3), `during${k}`, [
       {
         number: 1,
         expect: k + 1,
@@ -59,7 +59,7 @@
   for (const k of [0, 1, 2, 3, 4]) {
     f.sim.kill(f.cores[k].proc)
     f.cores[k].machine.files.clear()
-    const sent = f.change(pick(f, 3), `during${k}`, [
+    const sent = f.change(randomIndex(f, 3), `during${k}`, [
       {
         number: 1,
         expect: k + 1,
@@ -104,7 +104,7 @@
 
 export async function coreAway(f: SimFleet, notes: Map<string, number>): Promise<void> {
   // A core is away while registers change; soon after its return it must hold them all.
-  const at = pick(f, f.cores.length)
+  const at = randomIndex(f, f.cores.length)
   f.sim.kill(f.cores[at].proc)
   const sent = f.change(0, 'away', [
     {
--- a/packages/fleet/src/scenarios/fronts.ts
+++ b/packages/fleet/src/scenarios/fronts.ts
@@ -1,4 +1,4 @@
-import { leaderIndex, pick, wait } from '../harm.js'
+import { leaderIndex, randomIndex, wait } from '../harm.js'
 import type { SimFleet } from '../simfleet.js'
 import { teamMixes } from './shapes.js'
 
@@ -125,7 +125,7 @@
 
 export async function proxiesFail(f: SimFleet): Promise<void> {
   for (let k = 0; k < 5; k++) {
-    const n = pick(f, f.fronts.length)
+    const n = randomIndex(f, f.fronts.length)
     const front = f.fronts[n]
     const r = f.sim.random()
     if (r < 0.3) {
@@ -148,7 +148,7 @@
 
 export async function frozenThroughMove(f: SimFleet): Promise<void> {
   // A proxy sleeps through a whole promotion and wakes with a term that ran out meanwhile.
-  const n = pick(f, f.fronts.length)
+  const n = randomIndex(f, f.fronts.length)
   f.sim.freeze(f.fronts[n].proxyProc)
   if (f.sim.random() < 0.5) f.sim.freeze(f.fronts[n].agentProc)
   const sent = f.ask((n + 1) % f.fronts.length, '/groups/g1/replacement', 'POST', {})
@@ -180,7 +180,7 @@
 
 export async function proxyCutOff(f: SimFleet): Promise<void> {
   // One front machine loses the cores and its fellows, and still reaches a leader that is well and about to be replaced.
-  const n = pick(f, f.fronts.length)
+  const n = randomIndex(f, f.fronts.length)
   const lone = f.fronts[n].machine
   for (const c of f.cores) f.sim.cut(lone, c.machine)
   for (const x of f.fronts) if (x.machine !== lone) f.sim.cut(lone, x.machine)
@@ -194,7 +194,7 @@
 export async function newsCutOff(f: SimFleet): Promise<void> {
   // Pushes are lost with their connections: the news must come by renewal.
   for (let k = 0; k < 4; k++) {
-    const n = pick(f, f.fronts.length)
+    const n = randomIndex(f, f.fronts.length)
     const lone = f.fronts[n]
     for (const c of f.cores) f.sim.cut(lone.machine, c.machine)
     const sent = f.change((n + 1) % f.fronts.length, `news${k}`, [
--- a/packages/fleet/src/scenarios/instances.ts
+++ b/packages/fleet/src/scenarios/instances.ts
@@ -1,13 +1,13 @@
-import { leaderIndex, pick, wait } from '../harm.js'
+import { leaderIndex, randomIndex, wait } from '../harm.js'
 import type { SimFleet } from '../simfleet.js'
 
 // Harm to instances other than the death of a leader: lost answers, restarts, deaf and lagging followers, notices.
 
 export async function answersLost(f: SimFleet): Promise<void> {
   for (let k = 0; k < 20; k++) {
-    const box = f.instanceHosts[pick(f, f.instanceHosts.length)]
+    const box = f.instanceHosts[randomIndex(f, f.instanceHosts.length)]
     const paths = ['/statement', '/commit', '/begin', '/statement']
-    box.instance?.faults.lose.push(paths[pick(f, paths.length)])
+    box.instance?.faults.lose.push(paths[randomIndex(f, paths.length)])
     await wait(f, 300)
   }
 }
@@ -15,7 +15,7 @@
 export async function quickRestart(f: SimFleet): Promise<void> {
   // Instances restart within a moment: requests go out on connections that are broken already.
   for (let k = 0; k < 8; k++) {
-    const at = pick(f, f.instanceHosts.length)
+    const at = randomIndex(f, f.instanceHosts.length)
     f.killInstance(at)
     await wait(f, 20 + 300 * f.sim.random())
     f.startInstanceAt(at)
@@ -47,7 +47,7 @@
   const lead = leaderIndex(f, 'g1')
   const one = f.sim.random() < 0.5 ? lead : (lead + 1) % 3
   // One node misses the notice by datagram; it must learn it another way.
-  const deaf = f.fronts[pick(f, f.fronts.length)].machine
+  const deaf = f.fronts[randomIndex(f, f.fronts.length)].machine
   for (const x of f.fronts) if (x.machine !== deaf) f.sim.cut(x.machine, deaf)
   void f.instanceHosts[one].instance?.leave()
   await wait(f, 14000)
--- a/packages/fleet/src/scenarios/leaders.ts
+++ b/packages/fleet/src/scenarios/leaders.ts
@@ -1,5 +1,5 @@
 import { RETRY_TOKENS } from '@claynotch/base'
-import { leaderIndex, pick, recordOf, wait } from '../harm.js'
+import { leaderIndex, randomIndex, newestGroupRecord, wait } from '../harm.js'
 import type { SimFleet } from '../simfleet.js'
 import { GUARD } from './shapes.js'
 
@@ -65,7 +65,7 @@
 
 export async function planned(f: SimFleet): Promise<void> {
   for (let k = 0; k < 3; k++) {
-    const sent = f.ask(pick(f, f.fronts.length), '/groups/g1/replacement', 'POST', {})
+    const sent = f.ask(randomIndex(f, f.fronts.length), '/groups/g1/replacement', 'POST', {})
     await f.sim.until(sent.done, 8000)
     await wait(f, 5000)
   }
@@ -75,22 +75,22 @@
   // Whoever holds the duty dies or freezes at a step of the move that the seed picks: before the stop, in it,
   // when the call may go out, right after it went out, and with the record just steady.
   const steps = ['suspected', 'stop', 'promote', 'called', 'steady']
-  const step = steps[pick(f, steps.length)]
+  const step = steps[randomIndex(f, steps.length)]
   notes.set(`holder fails: ${step}`, 1)
   const planned = f.sim.random() < 0.3
   const calls = f.promotions.length
-  const first = recordOf(f)?.epoch ?? 0
+  const first = newestGroupRecord(f)?.epoch ?? 0
   if (planned) f.ask(0, '/groups/g1/replacement', 'POST', {})
   else f.killInstance(leaderIndex(f, 'g1'))
   if (step === 'suspected') await wait(f, 2000 * f.sim.random())
   function there(): boolean {
-    const rec = recordOf(f)
+    const rec = newestGroupRecord(f)
     if (step === 'called') return f.promotions.length > calls
     if (step === 'steady') return rec?.phase === 'steady' && rec.epoch > first
     return step === 'suspected' || rec?.phase === step
   }
   await f.sim.until(there, 15000)
-  const holder = recordOf(f)?.holder
+  const holder = newestGroupRecord(f)?.holder
   const front = f.fronts.find(isHolder)
   function isHolder(x: { node: string }): boolean {
     return x.node === holder
@@ -108,7 +108,7 @@
   }
   await wait(f, 15000)
   // A successor has finished the move: one leader, by record and by its own word.
-  const rec = recordOf(f)
+  const rec = newestGroupRecord(f)
   const lead = f.leaderOf('g1')
   if (rec?.phase !== 'steady' || rec.epoch <= first || lead?.name !== rec.leader)
     f.watchBreaches.push({
@@ -121,7 +121,7 @@
   // The leader is cut off from all but one front machine, whose agent falls silent a little later: its proxy
   // works on by the term that it was fed, and reaches a leader that nobody else hears.
   const box = f.instanceHosts[leaderIndex(f, 'g1')]
-  const n = pick(f, f.fronts.length)
+  const n = randomIndex(f, f.fronts.length)
   // In half of the seeds its followers hear it too, so that nothing but the stop holds the promotion up.
   if (f.sim.random() < 0.5) for (const b of f.instanceHosts) if (b !== box) f.sim.cut(box.machine, b.machine)
   for (const x of f.fronts) if (x !== f.fronts[n]) f.sim.cut(box.machine, x.machine)
@@ -176,12 +176,12 @@
   async function home(limit: number): Promise<number> {
     const from = f.sim.now()
     function is(): boolean {
-      return recordOf(f)?.phase === 'steady' && recordOf(f)?.leader === 'g12'
+      return newestGroupRecord(f)?.phase === 'steady' && newestGroupRecord(f)?.leader === 'g12'
     }
     if (!(await f.sim.until(is, limit)))
       f.watchBreaches.push({
         rule: 'home',
-        what: `after ${limit} ms the leader is ${recordOf(f)?.leader}, home is g12's`,
+        what: `after ${limit} ms the leader is ${newestGroupRecord(f)?.leader}, home is g12's`,
       })
     return Math.round(f.sim.now() - from)
   }
@@ -190,8 +190,8 @@
   const sent = f.ask(0, '/groups/g1/replacement', 'POST', { to: 'g13' })
   await f.sim.until(sent.done, 8000)
   await wait(f, 3000)
-  if (recordOf(f)?.leader !== 'g13')
-    f.watchBreaches.push({ rule: 'home', what: `an operator's wish for g13 left ${recordOf(f)?.leader}` })
+  if (newestGroupRecord(f)?.leader !== 'g13')
+    f.watchBreaches.push({ rule: 'home', what: `an operator's wish for g13 left ${newestGroupRecord(f)?.leader}` })
   const took = await home(40000)
   notes.set('ms until home again', took)
   if (took < 15000) f.watchBreaches.push({ rule: 'home', what: `it went home after ${took} ms already` })
--- a/packages/fleet/src/scenarios/network.ts
+++ b/packages/fleet/src/scenarios/network.ts
@@ -1,4 +1,4 @@
-import { leaderIndex, pick, wait } from '../harm.js'
+import { leaderIndex, randomIndex, wait } from '../harm.js'
 import type { SimFleet } from '../simfleet.js'
 
 // Harm to the network: cuts, loss and resets.
@@ -6,11 +6,11 @@
 export async function cuts(f: SimFleet): Promise<void> {
   for (let k = 0; k < 6; k++) {
     const list = [...f.fronts, ...f.cores, ...f.instanceHosts]
-    const a = list[pick(f, list.length)].machine
-    const b = list[pick(f, list.length)].machine
+    const a = list[randomIndex(f, list.length)].machine
+    const b = list[randomIndex(f, list.length)].machine
     f.sim.cut(a, b, f.sim.random() < 0.5)
     if (f.sim.random() < 0.4) {
-      const c = f.fronts[pick(f, f.fronts.length)].machine
+      const c = f.fronts[randomIndex(f, f.fronts.length)].machine
       for (const core of f.cores) f.sim.cut(c, core.machine)
     }
     await wait(f, 1000 + 3000 * f.sim.random())
@@ -31,7 +31,7 @@
 export async function resets(f: SimFleet): Promise<void> {
   for (let k = 0; k < 15; k++) {
     const list = [...f.fronts.map(proxyOf), ...f.instanceHosts.map(procOf)]
-    f.sim.reset(list[pick(f, list.length)])
+    f.sim.reset(list[randomIndex(f, list.length)])
     await wait(f, 400)
   }
 }
--- a/packages/fleet/src/scenarios/shapes.ts
+++ b/packages/fleet/src/scenarios/shapes.ts
@@ -1,4 +1,4 @@
-import type { Mix } from '../requester.js'
+import type { WorkloadOperation } from '../requester.js'
 import type { Shape } from '../simfleet.js'
 
 // The shapes of fleet and traffic that scenarios ask for, each made from the small one.
@@ -35,7 +35,7 @@
   return { ...s, latency: 8 }
 }
 
-export function teamMixes(team: string): Mix[] {
+export function teamMixes(team: string): WorkloadOperation[] {
   return [{ kind: team, lane: `lane-${team}`, group: 'g1', op: 'book', weight: 1, within: 0, own: false }]
 }
 
--- a/packages/fleet/src/service-rate.ts
+++ b/packages/fleet/src/service-rate.ts
@@ -12,11 +12,11 @@
 /** The data from which the rate is computed. */
 export type ServiceHistory = {
   /** End times of successful operations, in ms; reads within a transaction don't count as operations. */
-  doneAt: number[]
+  completionTimes: number[]
   /** Start time of each client, in ms. */
   requesterStarts: number[]
   /** Pauses of clients within their transactions. */
-  rests: TimeSpan[]
+  transactionPauses: TimeSpan[]
 }
 
 const MS_PER_SECOND = 1000
@@ -32,11 +32,11 @@
  */
 export function serviceRate(history: ServiceHistory, window: TimeSpan): number {
   let done = 0
-  for (const doneTime of history.doneAt) if (doneTime >= window.from && doneTime < window.to) done++
+  for (const doneTime of history.completionTimes) if (doneTime >= window.from && doneTime < window.to) done++
   let requesterMs = 0
   for (const start of history.requesterStarts) requesterMs += overlapMs({ from: start, to: Infinity }, window)
   let restMs = 0
-  for (const rest of history.rests) restMs += overlapMs(rest, window)
+  for (const rest of history.transactionPauses) restMs += overlapMs(rest, window)
   const askingMs = requesterMs - restMs
   if (askingMs <= 0) return 0
   const doneEachSecond = (done * MS_PER_SECOND) / (window.to - window.from)
--- a/packages/fleet/src/simfleet.ts
+++ b/packages/fleet/src/simfleet.ts
@@ -11,8 +11,8 @@
 import { type ProxyAdapters, startProxy } from '@claynotch/proxy'
 import { type CoreMember, startCore } from '@claynotch/register'
 import { type InstanceRecord, startInstance } from './instance.js'
-import { type Breach, judge, type Judgement, type Law } from './judge.js'
-import { type Event, LOOK_SUFFIX, type Mix, runRequester } from './requester.js'
+import { type Breach, judge, type Judgement, type LaneRule } from './judge.js'
+import { type Event, TRANSACTION_READ_SUFFIX, type WorkloadOperation, runRequester } from './requester.js'
 import { makeSim } from './sim.js'
 import { serviceRate, type ServiceHistory, type TimeSpan } from './service-rate.js'
 import type { InstanceHost, CoreHost, RequesterOptions, Decision, FrontHost, SimFleet } from './simfleettypes.js'
@@ -47,7 +47,7 @@
   /** Breaches found by watching the proxies and group records while the simulation runs. */
   const watched: Breach[] = []
   /** The rules of each lane by the accepted changes, in order. */
-  const laws: Law[] = []
+  const laws: LaneRule[] = []
   const trafficStopFlag = makeFlag()
   const coreMembers: CoreMember[] = []
   for (let k = 0; k < shape.cores; k++) coreMembers.push({ id: `core${k + 1}`, addr: `10.0.1.${k + 1}:7000` })
@@ -307,22 +307,23 @@
   function traffic(): void {
     crowdIn(shape.mixes, shape.requesters, shape.thinkTimeMs)
   }
-  const history: ServiceHistory = { doneAt: [], requesterStarts: [], rests: [] }
+  const history: ServiceHistory = { completionTimes: [], requesterStarts: [], transactionPauses: [] }
   function serviceRateNow(window: TimeSpan): number {
     return serviceRate(history, window)
   }
   let nextRequesterId = 0
   /** Starts `count` more requesters. */
-  function crowdIn(mixes: Mix[], count: number, think: number, options: RequesterOptions = {}): void {
+  function crowdIn(mixes: WorkloadOperation[], count: number, think: number, options: RequesterOptions = {}): void {
     const isMeasured = options.isUnmeasured !== true
     const nodes: Address[] = []
     for (const front of fronts) nodes.push(front.listen)
     function recordEvent(event: Event): void {
       events.push(event)
-      if (isMeasured && event.outcome === 'done' && !event.kind.endsWith(LOOK_SUFFIX)) history.doneAt.push(event.end)
+      if (isMeasured && event.outcome === 'done' && !event.kind.endsWith(TRANSACTION_READ_SUFFIX))
+        history.completionTimes.push(event.end)
     }
     function recordRest(span: TimeSpan): void {
-      if (isMeasured) history.rests.push(span)
+      if (isMeasured) history.transactionPauses.push(span)
     }
     for (let k = 0; k < count; k++) {
       const id = nextRequesterId++
@@ -333,12 +334,12 @@
             id,
             nodes: options.nodes ?? nodes,
             mixes,
-            think,
+            thinkMs: think,
             keys: shape.keys,
             again: shape.again === true,
             until: isTrafficStopped,
             note: recordEvent,
-            rested: recordRest,
+            onTransactionPause: recordRest,
           },
           trafficStopFlag,
         )
--- a/packages/fleet/src/simfleettypes.ts
+++ b/packages/fleet/src/simfleettypes.ts
@@ -3,8 +3,8 @@
 import type { Proxy } from '@claynotch/proxy'
 import type { Core } from '@claynotch/register'
 import type { Instance, InstanceRecord } from './instance.js'
-import type { Breach, Judgement, Law } from './judge.js'
-import type { Event, Mix } from './requester.js'
+import type { Breach, Judgement, LaneRule } from './judge.js'
+import type { Event, WorkloadOperation } from './requester.js'
 import type { Machine, Proc, Sim } from './sim.js'
 import type { TimeSpan } from './service-rate.js'
 import type { Shape } from './simshape.js'
@@ -55,7 +55,7 @@
   /** Every decision that an operator was given (`told`) and when; stream, number and expect are the change's. */
   operatorDecisions: { stream: string; number: number; expect: number; told: Decision; at: number }[]
   /** The rules of each lane by the accepted changes, in order. */
-  laws: Law[]
+  laws: LaneRule[]
   /** Breaches found by watching the fleet while the simulation runs. */
   watchBreaches: Breach[]
   /** Promotion calls that the platform forwarded, and when. */
@@ -83,7 +83,7 @@
   /** Starts the requesters that the shape names. */
   startTraffic: () => void
   /** Starts more requesters, with their own mixes of operations. */
-  addRequesters: (mixes: Mix[], count: number, think: number, options?: RequesterOptions) => void
+  addRequesters: (mixes: WorkloadOperation[], count: number, think: number, options?: RequesterOptions) => void
   /** Service rate of the measured requesters in a time span. */
   serviceRate: (window: TimeSpan) => number
   /** Ends the traffic, then leaves 25 s for outstanding answers to arrive and for followers to catch up. */
--- a/packages/fleet/src/simshape.ts
+++ b/packages/fleet/src/simshape.ts
@@ -1,6 +1,6 @@
 import type { Config, Credential } from '@claynotch/operator'
-import type { Law } from './judge.js'
-import type { Mix } from './requester.js'
+import type { LaneRule } from './judge.js'
+import type { WorkloadOperation } from './requester.js'
 
 /** Size, configuration and traffic of a simulated fleet. Times are in ms. */
 export type Shape = {
@@ -15,7 +15,7 @@
   connections: number
   lag: number
   config: Config
-  mixes: Mix[]
+  mixes: WorkloadOperation[]
   requesters: number
   /** Scale of the random pauses that requesters make between operations. */
   thinkTimeMs: number
@@ -36,7 +36,7 @@
 }
 
 /** The rule by which the judge checks a lane from a time on; reads from the leader may miss no commit. */
-export function lawOf(lane: Config['lanes'][number], from: number): Law {
+export function lawOf(lane: Config['lanes'][number], from: number): LaneRule {
   const readBound =
     lane.reads === 'leader' ? { within: 0, own: false } : { within: lane.reads.within, own: lane.reads.own === true }
   return { lane: lane.name, from, group: lane.group, ...readBound }
@@ -47,7 +47,7 @@
   const groupNames: string[] = []
   for (let k = 0; k < groups; k++) groupNames.push(`g${k + 1}`)
   const lanes: Config['lanes'] = []
-  const mixes: Mix[] = []
+  const mixes: WorkloadOperation[] = []
   for (const group of groupNames) {
     lanes.push(
       { name: `book-${group}`, database: 'kiln', group, reads: 'leader' },
--- a/packages/fleet/src/steps.ts
+++ b/packages/fleet/src/steps.ts
@@ -1,5 +1,5 @@
 import { CONFIRMED_SUSPICION_TIMEOUT_MS } from '@claynotch/base'
-import { recordOf, wait } from './harm.js'
+import { newestGroupRecord, wait } from './harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from './simfleet.js'
 
 /**
@@ -41,23 +41,23 @@
 export async function measureReplacement(fleet: SimFleet, injectFault: () => void): Promise<ReplacementSteps> {
   const faultAt = fleet.sim.now()
   const promotionsBefore = fleet.promotions.length
-  const epochBefore = recordOf(fleet)?.epoch ?? 0
+  const epochBefore = newestGroupRecord(fleet)?.epoch ?? 0
   injectFault()
   async function elapsedUntil(condition: () => boolean): Promise<number> {
     await fleet.sim.until(condition, 30000)
     return Math.round(fleet.sim.now() - faultAt)
   }
   function isStopped(): boolean {
-    return recordOf(fleet)?.phase !== 'steady'
+    return newestGroupRecord(fleet)?.phase !== 'steady'
   }
   function isPromoting(): boolean {
-    return recordOf(fleet)?.phase === 'promote' || isSteady()
+    return newestGroupRecord(fleet)?.phase === 'promote' || isSteady()
   }
   function isPromotionCalled(): boolean {
     return fleet.promotions.length > promotionsBefore
   }
   function isSteady(): boolean {
-    const record = recordOf(fleet)
+    const record = newestGroupRecord(fleet)
     return record?.phase === 'steady' && record.epoch > epochBefore
   }
   const stop = await elapsedUntil(isStopped)
--- a/packages/fleet/src/test/cutoff.test.ts
+++ b/packages/fleet/src/test/cutoff.test.ts
@@ -24,7 +24,7 @@
   type Quorum,
   type Voter,
 } from '@claynotch/register'
-import { recordOf, wait } from '../harm.js'
+import { newestGroupRecord, wait } from '../harm.js'
 import { makeSim, type Proc, type Sim } from '../sim.js'
 import { makeSimFleet, smallShape, type SimFleet } from '../simfleet.js'
 
@@ -65,7 +65,7 @@
   return { ...group, sync: 0 }
 }
 function holderOf(f: SimFleet): number {
-  const name = recordOf(f)?.holder
+  const name = newestGroupRecord(f)?.holder
   for (const [k, x] of f.fronts.entries()) if (x.node === name) return k
   throw new Error('nobody holds the duty')
 }
@@ -92,7 +92,7 @@
     let late = 0
     for (const one of called) if (one.holder === holder.node && one.at > from + LEASE_DURATION_MS + STEP) late++
     c.equal(late, 0, `${way}: no call by a node without a term, of ${called.length}`)
-    c.ok(f.promotions.length > 0 && recordOf(f)?.phase === 'steady', `${way}: another node promoted`)
+    c.ok(f.promotions.length > 0 && newestGroupRecord(f)?.phase === 'steady', `${way}: another node promoted`)
     await f.quiet()
     c.strictSame(f.judge().breaches, [], `${way}: every rule held`)
   }
@@ -111,7 +111,7 @@
     f.killInstance(f.instanceHosts.indexOf(f.leaderOf('g1')!))
     await wait(f, 20000)
     c.ok(frozen > 0 && called.length > 0, 'a call was on its way')
-    c.equal(recordOf(f)?.phase, 'steady', 'another node promoted meanwhile')
+    c.equal(newestGroupRecord(f)?.phase, 'steady', 'another node promoted meanwhile')
     const before = f.promotions.length
     f.sim.thaw(agent)
     await wait(f, 5000)
--- a/packages/fleet/src/test/duty.test.ts
+++ b/packages/fleet/src/test/duty.test.ts
@@ -5,7 +5,7 @@
 import type { PromotionRequest, PromotionResult } from '@claynotch/host'
 import { httpAdapters as ownProxyEdges } from '@claynotch/proxy'
 import { httpInstanceAdapter, type InstanceAdapter, type Status, type InstanceAddress } from '@claynotch/instance'
-import { recordOf, wait } from '../harm.js'
+import { newestGroupRecord, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
 import { measureReplacement } from '../steps.js'
 
@@ -26,7 +26,7 @@
   return f
 }
 function holderOf(f: SimFleet): number {
-  const name = recordOf(f)?.holder
+  const name = newestGroupRecord(f)?.holder
   for (const [k, x] of f.fronts.entries()) if (x.node === name) return k
   return -1
 }
@@ -194,13 +194,13 @@
     await f.begin()
     f.startTraffic()
     await wait(f, 4000)
-    c.equal(recordOf(f)?.term, 1, "the record tells the leader's own number")
+    c.equal(newestGroupRecord(f)?.term, 1, "the record tells the leader's own number")
     const at = f.instanceHosts.indexOf(f.leaderOf('g1')!)
     const old = f.instanceHosts[at].name
     const from = f.sim.now()
     f.killInstance(at)
     await wait(f, 6000)
-    const rec = recordOf(f)!
+    const rec = newestGroupRecord(f)!
     const lead = f.leaderOf('g1')!
     c.equal(rec.phase, 'steady', name)
     c.strictSame(
@@ -218,7 +218,7 @@
     f.startInstanceAt(at)
     await wait(f, 5000)
     c.ok(odd.demoted.includes(old), 'the old leader was told to step down')
-    c.equal(recordOf(f)?.leader, lead.name)
+    c.equal(newestGroupRecord(f)?.leader, lead.name)
     await f.quiet()
     c.strictSame(f.judge().breaches, [])
   }
--- a/packages/fleet/src/test/processes.test.ts
+++ b/packages/fleet/src/test/processes.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
 import t, { type Test } from 'tap'
-import { freeAddr, runLocal } from '../local.js'
+import { freeAddress, runLocal } from '../local.js'
 import { kamini } from '../profile.js'
 
 t.setTimeout(600000)
@@ -65,10 +65,10 @@
   const good = {
     node: 'n1',
     area: 'a',
-    link: await freeAddr(),
-    peer: await freeAddr(),
-    http: await freeAddr(),
-    seeds: [await freeAddr()],
+    link: await freeAddress(),
+    peer: await freeAddress(),
+    http: await freeAddress(),
+    seeds: [await freeAddress()],
   }
   writeFileSync(path, JSON.stringify(good))
   let step = 0
@@ -104,13 +104,13 @@
 async function coreStops(c: Test): Promise<void> {
   const dir = mkdtempSync(join(tmpdir(), 'claynotch-test-'))
   const cores: { id: string; addr: string }[] = []
-  for (const id of ['c1', 'c2', 'c3']) cores.push({ id, addr: await freeAddr() })
+  for (const id of ['c1', 'c2', 'c3']) cores.push({ id, addr: await freeAddress() })
   const stops: (() => void)[] = []
   const ends: Promise<Ended>[] = []
   let founded = 0
   for (const core of cores) {
     const path = join(dir, `${core.id}.json`)
-    writeFileSync(path, JSON.stringify({ id: core.id, cores, data: join(dir, core.id), http: await freeAddr() }))
+    writeFileSync(path, JSON.stringify({ id: core.id, cores, data: join(dir, core.id), http: await freeAddress() }))
     let seen = false
     function see(err: string, kill: (signal: NodeJS.Signals) => void): void {
       if (seen || !err.includes('event=core-founded')) return
--- a/packages/fleet/src/test/service-rate.test.ts
+++ b/packages/fleet/src/test/service-rate.test.ts
@@ -5,30 +5,34 @@
 const WINDOW = { from: 1000, to: 3000 }
 
 function historyOf(part: Partial<ServiceHistory>): ServiceHistory {
-  return { doneAt: [], requesterStarts: [0, 0], rests: [], ...part }
+  return { completionTimes: [], requesterStarts: [0, 0], transactionPauses: [], ...part }
 }
 
 function countsOnlyTheWindow(c: Test): void {
-  c.equal(serviceRate(historyOf({ doneAt: [999, 1000, 2999, 3000] }), WINDOW), 1, 'two in two seconds')
+  c.equal(serviceRate(historyOf({ completionTimes: [999, 1000, 2999, 3000] }), WINDOW), 1, 'two in two seconds')
   c.end()
 }
 
 function leavesRestsOut(c: Test): void {
   const doneAt = [1500, 2500]
-  const oneRests = historyOf({ doneAt, rests: [{ from: 0, to: 9000 }] })
+  const oneRests = historyOf({ completionTimes: doneAt, transactionPauses: [{ from: 0, to: 9000 }] })
   c.equal(serviceRate(oneRests, WINDOW), 2, 'one of two requesters rests throughout: the other one is measured')
-  const partly = historyOf({ doneAt, rests: [{ from: 500, to: 2000 }] })
+  const partly = historyOf({ completionTimes: doneAt, transactionPauses: [{ from: 500, to: 2000 }] })
   c.equal(serviceRate(partly, WINDOW), 4 / 3, 'a rest counts as far as it reaches into the window')
   c.end()
 }
 
 function hidesNoOutage(c: Test): void {
-  c.equal(serviceRate(historyOf({ rests: [{ from: 0, to: 9000 }] }), WINDOW), 0, 'nobody is served')
+  c.equal(serviceRate(historyOf({ transactionPauses: [{ from: 0, to: 9000 }] }), WINDOW), 0, 'nobody is served')
   const allRest = [
     { from: 0, to: 9000 },
     { from: 0, to: 9000 },
   ]
-  c.equal(serviceRate(historyOf({ doneAt: [1500], rests: allRest }), WINDOW), 0, 'nobody asks: nothing is shown')
+  c.equal(
+    serviceRate(historyOf({ completionTimes: [1500], transactionPauses: allRest }), WINDOW),
+    0,
+    'nobody asks: nothing is shown',
+  )
   c.end()
 }
 
--- a/packages/fleet/src/test/takeover.test.ts
+++ b/packages/fleet/src/test/takeover.test.ts
@@ -1,7 +1,7 @@
 import t, { type Test } from 'tap'
 import { httpAdapters } from '@claynotch/proxy'
 import { httpInstanceAdapter } from '@claynotch/instance'
-import { recordOf, wait } from '../harm.js'
+import { newestGroupRecord, wait } from '../harm.js'
 import { makeSimFleet, smallShape, type Shape, type SimFleet } from '../simfleet.js'
 
 t.setTimeout(600000)
@@ -23,7 +23,7 @@
 }
 /** Index of the front that holds the group's duty; -1: none does. */
 function holderOf(fleet: SimFleet): number {
-  const name = recordOf(fleet)?.holder
+  const name = newestGroupRecord(fleet)?.holder
   for (const [k, front] of fleet.fronts.entries()) if (front.node === name) return k
   return -1
 }
@@ -50,7 +50,7 @@
     holder.machine.dark = true
     leader.machine.dark = true
     function isGroupStopped(): boolean {
-      const record = recordOf(fleet)
+      const record = newestGroupRecord(fleet)
       return record !== undefined && (record.phase !== 'steady' || record.leader !== oldLeader)
     }
     test.ok(await fleet.sim.until(isGroupStopped, 20000), `seed ${seed}: the group is stopped`)
