--- a/packages/fleet/src/control/fleet.ts
+++ b/packages/fleet/src/control/fleet.ts
@@ -169,7 +169,7 @@
         agent: started.agent,
         machine: host.machine,
         proc: spawned,
-        isStopping: isStopping,
+        isStopping,
       })
     }
     host.coreMachine = undefined
@@ -356,8 +356,8 @@
     sim,
     hosts: boxes,
     front,
-    coreSetsByEpoch: coreSetsByEpoch,
-    reportViolation: reportViolation,
+    coreSetsByEpoch,
+    reportViolation,
     add,
     start,
     kill,
@@ -365,10 +365,10 @@
     startFront,
     killFront,
     latestCoreSet: latest,
-    isSettled: isSettled,
+    isSettled,
     isFullyVoting: whole,
-    liveAgents: liveAgents,
-    canLoseDisksOf: canLoseDisksOf,
+    liveAgents,
+    canLoseDisksOf,
     presentHosts: present,
   }
 }
--- a/packages/fleet/src/control/model.ts
+++ b/packages/fleet/src/control/model.ts
@@ -166,11 +166,11 @@
   return {
     order,
     orders: list,
-    recordAnswer: recordAnswer,
-    observeBody: observeBody,
-    observeValue: observeValue,
-    highestAcknowledgedEpoch: highestAcknowledgedEpoch,
-    newestEpoch: newestEpoch,
-    checkFinalRead: checkFinalRead,
+    recordAnswer,
+    observeBody,
+    observeValue,
+    highestAcknowledgedEpoch,
+    newestEpoch,
+    checkFinalRead,
   }
 }
--- a/packages/fleet/src/control/run.ts
+++ b/packages/fleet/src/control/run.ts
@@ -205,7 +205,7 @@
       unclear += sentOrder.unclearAnswers
     }
     return {
-      violations: violations,
+      violations,
       orders: model.orders().length,
       accepted,
       refused,
@@ -228,7 +228,7 @@
     foundCluster: found,
     sendOrder: order,
     sendRacingOrders: race,
-    untilIdle: untilIdle,
+    untilIdle,
     describeState: states,
     finish,
   }
--- a/packages/fleet/src/instance.ts
+++ b/packages/fleet/src/instance.ts
@@ -319,7 +319,7 @@
     }
     closed.watch(onClosed)
   }
-  const http = await serveHttp(world, settings.addr, handle, { onConnection: onConnection, limit: 4 * 1024 * 1024 })
+  const http = await serveHttp(world, settings.addr, handle, { onConnection, limit: 4 * 1024 * 1024 })
 
   // --- replication: a follower fetches log entries from the leader with the highest epoch ---
   let upstream: { addr: Address; connection: HttpConnection } | undefined
@@ -359,7 +359,7 @@
     const logAnswer = await upstream.connection.ask(
       'POST',
       '/log',
-      { position: position, last: position > 0 ? log[position - 1].epoch : 0 },
+      { position, last: position > 0 ? log[position - 1].epoch : 0 },
       1000,
     )
     if (logAnswer.err || logAnswer.val.status !== 200 || role !== 'follower' || faults.deaf || faults.dark) {
--- a/packages/fleet/src/local.ts
+++ b/packages/fleet/src/local.ts
@@ -254,7 +254,7 @@
             id: k,
             nodes,
             mixes: profile.mixes,
-            thinkMs: thinkMs,
+            thinkMs,
             keys: 400,
             again: false,
             until: never,
--- a/packages/fleet/src/profile.ts
+++ b/packages/fleet/src/profile.ts
@@ -26,7 +26,7 @@
   const lanes: Config['lanes'] = []
   for (const group of groups)
     for (const lane of names)
-      lanes.push({ name: `${lane.name}-${group}`, database: lane.name, group: group, reads: lane.reads })
+      lanes.push({ name: `${lane.name}-${group}`, database: lane.name, group, reads: lane.reads })
   return lanes
 }
 /** Every operation once for each group, its weight divided among the groups. */
@@ -47,7 +47,7 @@
       groupMixes.push({
         kind: mix.kind,
         lane: `${mix.lane}-${group}`,
-        group: group,
+        group,
         op: mix.op,
         weight: mix.weight / groups.length,
         within: mix.within,
--- a/packages/fleet/src/test/key-refusals.test.ts
+++ b/packages/fleet/src/test/key-refusals.test.ts
@@ -53,7 +53,7 @@
     return rules
   }
   const world = { now: readClock, log: logTo(sink) } as Pick<World, 'now' | 'log'> as World
-  const state = { rules: currentRules, hasValidLease: hasValidLease } as Pick<State, 'rules' | 'hasValidLease'> as State
+  const state = { rules: currentRules, hasValidLease } as Pick<State, 'rules' | 'hasValidLease'> as State
   const refusals = makeKeyRefusals(world, state, metrics)
   function advance(ms: number): void {
     now += ms
--- a/packages/fleet/src/test/lend.test.ts
+++ b/packages/fleet/src/test/lend.test.ts
@@ -321,10 +321,10 @@
       return undefined
     }
     const state = {
-      changed: changed,
-      hasConnectionShare: hasConnectionShare,
+      changed,
+      hasConnectionShare,
       config: configNow,
-      instanceStatuses: instanceStatuses,
+      instanceStatuses,
       group,
     } as unknown as State
     const stop = makeFlag()
--- a/packages/fleet/src/test/parts.test.ts
+++ b/packages/fleet/src/test/parts.test.ts
@@ -65,7 +65,7 @@
     for (let k = 0; k < 20; k++) {
       const askedAt = random() * now
       const answeredPosition = positionAt(Math.min(now, askedAt + random() * 600))
-      samples.push({ askedAt: askedAt, epoch: answeredPosition.epoch, position: answeredPosition })
+      samples.push({ askedAt, epoch: answeredPosition.epoch, position: answeredPosition })
     }
     const followerCommit = commits[Math.floor(random() * commits.length)]
     const follower = { epoch: random() < 0.8 ? epoch : followerCommit.epoch, position: followerCommit.position }
--- a/packages/fleet/src/test/takeover.test.ts
+++ b/packages/fleet/src/test/takeover.test.ts
@@ -36,7 +36,7 @@
   // Proxies don't poll the instances' status, as on the users' platform.
   const { sampler: _, ...adapterWithoutSampler } = httpInstanceAdapter
   for (const seed of [1, 2, 3, 4]) {
-    const fleet = makeSimFleet(seed, shape(), { proxyEdges: { ...httpAdapters, instance: adapterWithoutSampler } })
+    const fleet = makeSimFleet(seed, shape(), { proxyAdapters: { ...httpAdapters, instance: adapterWithoutSampler } })
     test.ok(await fleet.begin())
     await wait(fleet, 6000)
     const holder = fleet.fronts[holderOf(fleet)]
