--- a/packages/agent/src/subscription.ts
+++ b/packages/agent/src/subscription.ts
@@ -59,7 +59,10 @@
   ballots: () => [string, Ballot][],
 ): Subscription {
   let subscribedCore: string | undefined
-  /** Consecutive checks at which the core lacked a ballot that this node had known for at least SUBSCRIPTION_LAG_MS. */
+  /**
+   * Consecutive checks at which the core lacked a ballot that this node had known for at least
+   * SUBSCRIPTION_CHECK_INTERVAL_MS.
+   */
   let lagCount = 0
   /** The ballots that this node knew at the previous check. */
   let lastCheck: { at: number; ballots: [string, Ballot][] } | undefined
--- a/packages/failover/src/group-instances.ts
+++ b/packages/failover/src/group-instances.ts
@@ -118,7 +118,7 @@
   }
   /**
    * Whether a is preferred over b at equal log positions. Not the old leader, then not a leaving instance, then one in
-   * a home zone, then one that is newer by more than NEWER_INSTANCE_MS.
+   * a home zone, then one that is newer by more than NEWER_CANDIDATE_MARGIN_MS.
    */
   function isPreferred(a: string, b: string, oldLeader: string | undefined): boolean {
     if (a === oldLeader || b === oldLeader) return b === oldLeader
--- a/packages/failover/src/route-moves.ts
+++ b/packages/failover/src/route-moves.ts
@@ -39,7 +39,7 @@
   since: number
   /** The source's final position, once its writes have stopped. */
   mark: LogPosition | undefined
-  /** Positions of the source's leader over the last MOVE_NEAR_LAG_MS, with the time of each. */
+  /** Positions of the source's leader over the last MOVE_CUTOVER_LAG_MS, with the time of each. */
   sourcePositions: { at: number; mark: LogPosition }[]
 }
 
--- a/packages/fleet/src/test/register.test.ts
+++ b/packages/fleet/src/test/register.test.ts
@@ -271,7 +271,7 @@
 
 // The same with the real core: after its refill, the older round can't finish.
 async function refilled(c: Test): Promise<void> {
-  // A round is void after ROUND_LIFE by its proposer's clock, and clocks may run apart by as much as a lease bears.
+  // A round is void after ROUND_TIMEOUT_MS by its proposer's clock, and clocks may run apart by as much as a lease bears.
   c.ok(
     REFILL_DELAY_MS >= ROUND_TIMEOUT_MS * (1 + LEASE_CLOCK_SLACK_MS / LEASE_DURATION_MS),
     'the wait outlasts a round by the slowest clock',
--- a/packages/quota/src/test/window-meter.test.ts
+++ b/packages/quota/src/test/window-meter.test.ts
@@ -27,7 +27,7 @@
 
 /**
  * Compares the meter with a list of all times: it never counts fewer events than the list, and never more than the list
- * with a window that is longer by QUOTA_METER_GRAIN_MS.
+ * with a window that is longer by QUOTA_METER_RESOLUTION_MS.
  */
 function matchesReferenceList(c: Test): void {
   let steps = 0
--- a/packages/quota/src/window-meter.ts
+++ b/packages/quota/src/window-meter.ts
@@ -3,12 +3,12 @@
 /**
  * Counts events within the last window.
  *
- * Invariant: an event counts from when it is added until the window has passed, and at most QUOTA_METER_GRAIN_MS
+ * Invariant: an event counts from when it is added until the window has passed, and at most QUOTA_METER_RESOLUTION_MS
  * longer.
  */
 export type WindowMeter = { add: () => void; count: () => number }
 
-/** Events that were added within QUOTA_METER_GRAIN_MS. firstAt, lastAt: times (ms) of the first and the last one. */
+/** Events that were added within QUOTA_METER_RESOLUTION_MS. firstAt, lastAt: times (ms) of the first and the last one. */
 type Bucket = { firstAt: number; lastAt: number; events: number }
 
 /** now returns a time in ms. */
