--- a/tools/mutants.list.js
+++ b/tools/mutants.list.js
@@ -50,7 +50,7 @@
       [
         'proxy/dist/watch.js',
         'instance.samples.push({ askedAt, epoch: leaderEpoch, position });',
-        'instance.samples.push({ askedAt: now + 1500, epoch, position });',
+        'instance.samples.push({ askedAt: now + 1500, epoch: leaderEpoch, position });',
       ],
     ],
   },
@@ -127,7 +127,7 @@
     seeds: [1, 6],
     edits: [
       ['proxy/dist/pool.js', 'if (isResetDue) {', 'if (false) {'],
-      ['proxy/dist/pool.js', 'if (connection.settings.get(name) !== value)', 'if (!connection.set.has(name))'],
+      ['proxy/dist/pool.js', 'if (connection.settings.get(name) !== value)', 'if (!connection.settings.has(name))'],
     ],
   },
   {
@@ -1101,7 +1101,11 @@
     test: 'cutoff.test.js',
     seeds: [1, 1],
     edits: [
-      ['operator/dist/edge.js', 'return proposal.done ? answer : unclearAnswer(request, NO_MAJORITY);', 'return out;'],
+      [
+        'operator/dist/edge.js',
+        'return proposal.done ? answer : unclearAnswer(request, NO_MAJORITY);',
+        'return answer;',
+      ],
     ],
   },
   {
@@ -1216,7 +1220,11 @@
     test: 'orders.test.js',
     seeds: [1, 1],
     edits: [
-      ['operator/dist/edge.js', 'return proposal.done ? answer : unclearAnswer(request, NO_MAJORITY);', 'return out;'],
+      [
+        'operator/dist/edge.js',
+        'return proposal.done ? answer : unclearAnswer(request, NO_MAJORITY);',
+        'return answer;',
+      ],
     ],
   },
   {
@@ -2239,7 +2247,7 @@
         `if (!isInformed(target))
             reportedByTenant.clear();
         const due = [];`,
-        'const out = [];',
+        'const due = [];',
       ],
     ],
   },
